--- a/internal/care/care.go
+++ b/internal/care/care.go
@@ -1,36 +1,35 @@
-// Package care judges whether a request may be what ends the servers that it is sent to, and bounds how
-// many more it reaches then.
+// Package care limits how many servers a request reaches once it may be the cause of their crashes.
 package care
 
-// carefulLosses is from how many lost attempts on, and no answer, a request is sent to one server at a
-// time. Without that, one gathered request under which servers end reaches up to three servers of each of
-// its shards; now one of each, and a few more. Where a zone is lost or connections are reset, other shards
-// answer within milliseconds, and nothing is held up.
-const carefulLosses = 3
+// serialThreshold is the number of attempts lost without any answer from which on a request is sent to one
+// server at a time. Without this limit, one gathered request that crashes servers reaches up to three servers
+// of each of its shards; with it, one of each and a few more. Where a zone is lost or connections are reset,
+// other shards answer within milliseconds, so nothing is delayed.
+const serialThreshold = 3
 
-// State is what a request has met so far; the zero value is nothing.
+// State tracks how the attempts of a request ended. The zero value is a request of which none has ended.
 type State struct {
-	losses int
-	heard  bool
-	// lost is set once an attempt that was made carefully was lost.
-	lost bool
+	losses   int
+	answered bool
+	// serialLost is set once a serial attempt was lost.
+	serialLost bool
 }
 
-// Lose takes in that an attempt was sent and has ended without an answer, other than at the end of its
-// time. It was made carefully if it was the only one that could be under way.
-func (s *State) Lose(carefully bool) {
+// Lose records that an attempt was sent and ended without an answer, other than by its deadline. An attempt
+// is serial if it was the only one that could be in flight.
+func (s *State) Lose(serial bool) {
 	s.losses++
-	s.lost = s.lost || carefully
+	s.serialLost = s.serialLost || serial
 }
 
-// Hear takes in that a server has answered: the request does not end them all.
-func (s *State) Hear() { s.heard = true }
+// Hear records that a server has answered: the request does not crash every server.
+func (s *State) Hear() { s.answered = true }
 
 // Heard reports whether a server has answered.
-func (s *State) Heard() bool { return s.heard }
+func (s *State) Heard() bool { return s.answered }
 
-// Careful reports whether only one attempt of the request may be under way.
-func (s *State) Careful() bool { return !s.heard && s.losses >= carefulLosses }
+// Careful reports whether only one attempt of the request may be in flight.
+func (s *State) Careful() bool { return !s.answered && s.losses >= serialThreshold }
 
-// Stopped reports whether nothing more of the request may be sent: a careful attempt was lost.
-func (s *State) Stopped() bool { return s.lost && !s.heard }
+// Stopped reports whether no further attempt may be sent because a serial attempt was lost.
+func (s *State) Stopped() bool { return s.serialLost && !s.answered }
