--- a/internal/endpoints/choose.go
+++ b/internal/endpoints/choose.go
@@ -7,29 +7,29 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// Choice is a server for one request together with what is expected of it.
+// Choice is a server chosen for one request together with the expectations of it.
 type Choice struct {
 	Endpoint *Endpoint
-	// Server is the registry entry by which the choice was made, Incarnation names its
-	// process.
+	// Server is the registry entry on which the choice was based, Incarnation identifies
+	// its process.
 	Server      Server
 	Incarnation string
 	// Expected is the predicted time until the answer, round trip included.
 	Expected time.Duration
-	// LateAfter is the time after which the answer is taken for late.
+	// LateAfter is the time after which the answer is considered late.
 	LateAfter time.Duration
-	// Connecting is what a new connection adds, as long as there is no idle one.
+	// Connecting is the time that a new connection adds; zero if there is an idle one.
 	Connecting time.Duration
-	// Delay is how long this node's own steps waited for the processor.
+	// Delay is how long this node's own steps wait for the CPU.
 	Delay time.Duration
-	// UnderWay is how many requests this node had at the server before.
+	// UnderWay is how many requests this node already had in flight at the server.
 	UnderWay int
 	// BudgetLeft is what is left of the service's retry budget.
 	BudgetLeft float64
-	// Reserved is the start of the reservation, to be handed to Finish.
+	// Reserved is the start of the reservation, to be passed to Finish.
 	Reserved time.Time
-	// Admission is by which version the server was chosen, Route the name of the request's
-	// route.
+	// Admission is the version rule under which the server was chosen, Route the name of
+	// the request's route.
 	Admission rollout.Admission
 	Route     string
 }
@@ -38,17 +38,17 @@
 type Availability uint8
 
 const (
-	// Chosen is a server that has been reserved.
+	// Chosen means that a server has been reserved.
 	Chosen Availability = iota
-	// NoServer means that no other server takes requests.
+	// NoServer means that no other server accepts requests.
 	NoServer
 	// Busy means that there are servers but this node's share of their
 	// connections is in use.
 	Busy
-	// Cold means that there are servers, but they have just started and may get no
-	// request of this node now.
+	// Cold means that there are servers, but they have just started and may not get a
+	// request from this node now.
 	Cold
-	// NoBudget means that the retry budget of the service is spent.
+	// NoBudget means that the retry budget of the service is exhausted.
 	NoBudget
 )
 
@@ -57,20 +57,20 @@
 // String returns the name used in logs and metrics.
 func (a Availability) String() string { return availabilityNames[a] }
 
-// Demand is what a request asks of a server.
+// Demand describes the server that a request needs.
 type Demand struct {
 	Service string
-	// Route bounds the regions whose servers may get the request; nil for all.
+	// Route restricts the regions whose servers may get the request; nil for all.
 	Route *routing.Route
-	// Tried are the servers that are left out.
+	// Tried are the servers to exclude.
 	Tried []*Endpoint
-	// Only are the servers of which one is chosen; nil for all.
+	// Only are the servers to choose from; nil for all.
 	Only []*Endpoint
-	// Extra sends, those beyond the first, are taken off the retry budget.
+	// Extra sends, those after the first, are charged to the retry budget.
 	Extra bool
-	// Work is the learned time of work of such requests.
+	// Work is the learned processing time of such requests.
 	Work *Estimate
-	// Delay is how long this node's own steps wait for the processor.
+	// Delay is how long this node's own steps wait for the CPU.
 	Delay time.Duration
 	// Left is the time until the answer loses most of its value; it may be negative.
 	Left time.Duration
@@ -78,8 +78,8 @@
 
 // Choose reserves a server: the one with the least predicted time in the node's
 // own region if that leaves time for another attempt, else the one with the
-// least predicted time anywhere. Bytes between regions are dear, and an answer
-// within the time left is not worth more for being earlier. Servers that lately
+// least predicted time anywhere. Traffic between regions is expensive, and an answer
+// within the time left is not worth more for being earlier. Servers that recently
 // failed come last. The reservation ends with Finish.
 func (d *Directory) Choose(demand Demand, now time.Time) (Choice, Availability) {
 	d.mutex.Lock()
@@ -96,7 +96,7 @@
 		return Choice{}, availability
 	case demand.Extra && !d.takeExtra(demand.Service, now):
 		d.versions.Refund(admission)
-		d.want(demand.Service, now)
+		d.requestGrant(demand.Service, now)
 		return Choice{}, NoBudget
 	}
 	choice := d.reserve(best, demand, now)
@@ -110,13 +110,13 @@
 
 // expected returns the predicted time until an answer, round trip included.
 func (d *Directory) expected(endpoint *Endpoint, demand Demand, now time.Time) time.Duration {
-	return endpoint.predict(demand.Work.Mean(), now) + d.travel(endpoint)
+	return endpoint.predict(demand.Work.Mean(), now) + d.networkTime(endpoint)
 }
 
-// travel returns the time of the round trip to the endpoint, a new connection
-// included where there is no idle one.
-func (d *Directory) travel(endpoint *Endpoint) time.Duration {
-	return endpoint.site.roundTrip + d.connecting(endpoint)
+// networkTime returns the round-trip time to the endpoint, plus the time of a new
+// connection if there is no idle one.
+func (d *Directory) networkTime(endpoint *Endpoint) time.Duration {
+	return endpoint.location.roundTrip + d.connectTime(endpoint)
 }
 
 // best returns the server with the least cost, or why there is none.
@@ -125,17 +125,17 @@
 	var bestCost time.Duration
 	availability := NoServer
 	for _, endpoint := range d.admitted(demand.Service, admission) {
-		// The farCost of servers of other regions is more than that of any good near one.
-		if best != nil && bestCost < farCost && !endpoint.site.near || !d.takes(endpoint, demand, now) {
+		// The remoteCost of servers of other regions exceeds the cost of any good local server.
+		if best != nil && bestCost < remoteCost && !endpoint.location.local || !d.eligible(endpoint, demand, now) {
 			continue
 		}
-		if !d.mayWarm(endpoint, now) {
+		if !d.coldStartAllows(endpoint, now) {
 			if availability == NoServer {
 				availability = Cold
 			}
 			continue
 		}
-		if d.occupied(endpoint, now) {
+		if d.atCapacity(endpoint, now) {
 			availability = Busy
 			continue
 		}
@@ -150,45 +150,45 @@
 	return best, availability
 }
 
-// occupied reports whether the server takes no further request of this node now.
-func (d *Directory) occupied(endpoint *Endpoint, now time.Time) bool {
-	return endpoint.full(now) || endpoint.crowded(now) && d.connecting(endpoint) > 0
+// atCapacity reports whether the server accepts no further request from this node now.
+func (d *Directory) atCapacity(endpoint *Endpoint, now time.Time) bool {
+	return endpoint.atLimit(now) || endpoint.connectPaused(now) && d.connectTime(endpoint) > 0
 }
 
 const (
-	// backoffCost ranks servers that lately failed behind all others.
+	// backoffCost ranks servers that recently failed behind all others.
 	backoffCost = time.Minute
-	// farCost ranks servers of other regions behind near ones that are fast enough.
-	farCost = 10 * time.Second
-	// nearShare is the part of the time left within which a near server has to be
+	// remoteCost ranks servers of other regions behind local ones that are fast enough.
+	remoteCost = 10 * time.Second
+	// localShare is the fraction of the time left within which a local server has to be
 	// expected to answer to be preferred.
-	nearShare = 0.5
-	// slowNearShare is nearShare for slow servers: the budget does not last for a
-	// hedge to each of their requests.
-	slowNearShare = 0.25
+	localShare = 0.5
+	// slowLocalShare is localShare for slow servers: the retry budget does not cover a
+	// hedge for each of their requests.
+	slowLocalShare = 0.25
 )
 
 func (d *Directory) cost(endpoint *Endpoint, demand Demand, now time.Time) time.Duration {
 	expected := d.expected(endpoint, demand, now)
 	cost := expected + endpoint.failures.cost(demand.Left, now)
 	if !preferred(endpoint, expected, demand.Left, now) {
-		cost += farCost
+		cost += remoteCost
 	}
-	if endpoint.backsOff(now) {
+	if endpoint.backingOff(now) {
 		cost += backoffCost + endpoint.backoffUntil.Sub(now)
 	}
 	return cost
 }
 
-// preferred reports whether the server is near and, by its expected time, fast enough to
-// leave time for another attempt.
+// preferred reports whether the server is local, reliable and, by its expected time, fast
+// enough to leave time for another attempt.
 func preferred(endpoint *Endpoint, expected, left time.Duration, now time.Time) bool {
-	if !endpoint.site.near || endpoint.failures.current(now) >= unreliableShare {
+	if !endpoint.location.local || endpoint.failures.current(now) >= unreliableShare {
 		return false
 	}
-	share := nearShare
+	share := localShare
 	if endpoint.currentSlowness(now) >= slowRatio {
-		share = slowNearShare
+		share = slowLocalShare
 	}
 	return expected <= time.Duration(share*float64(left))
 }
@@ -200,26 +200,26 @@
 		Incarnation: endpoint.incarnation,
 		Expected:    d.expected(endpoint, demand, now),
 		LateAfter:   d.lateAfter(endpoint, demand, now),
-		Connecting:  d.connecting(endpoint),
+		Connecting:  d.connectTime(endpoint),
 		Delay:       demand.Delay,
-		UnderWay:    len(endpoint.underWay),
+		UnderWay:    len(endpoint.inFlight),
 		BudgetLeft:  d.service(endpoint.Service).extra.Left(d.budget, now),
 		Reserved:    now,
 	}
 	endpoint.begin(now)
-	d.noteWarming(endpoint, now)
+	d.useColdTurn(endpoint, now)
 	return choice
 }
 
-// waitingSteps is how many times an attempt waits for this node's processor: to be
+// schedulingDelays is how many times an attempt waits for this node's CPU: to be
 // sent and to be read.
-const waitingSteps = 2
+const schedulingDelays = 2
 
-// Open reports whether the endpoint still takes requests.
+// Open reports whether the endpoint still accepts requests.
 func (d *Directory) Open(endpoint *Endpoint) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return endpoint.open() && d.byID[endpoint.ID] == endpoint && !d.evacuated[endpoint.Zone] &&
+	return endpoint.serving() && d.byID[endpoint.ID] == endpoint && !d.evacuated[endpoint.Zone] &&
 		!d.versions.Halted(endpoint.Service, endpoint.candidate())
 }
 
@@ -227,24 +227,24 @@
 type Result uint8
 
 const (
-	// ResultAnswered is a whole answer.
+	// ResultAnswered is a complete answer.
 	ResultAnswered Result = iota
-	// ResultErred is a whole answer that tells of an error of the server.
+	// ResultErred is a complete answer that reports an error of the server.
 	ResultErred
-	// ResultRefused is a refusal by the server: nothing ran.
+	// ResultRefused is a refusal by the server: the request did not run.
 	ResultRefused
-	// ResultFailed is a connection that failed or bytes that are no answer.
+	// ResultFailed is a failed connection or a malformed answer.
 	ResultFailed
 	// ResultReset is a new connection that the server reset.
 	ResultReset
-	// ResultAbandoned is a request that was given up while under way.
+	// ResultAbandoned is a request that was given up while in flight.
 	ResultAbandoned
-	// ResultUnreachable is an address where nobody listens or answers.
+	// ResultUnreachable is an address where nothing listens or answers.
 	ResultUnreachable
-	// ResultForeign is an address that belongs to another server by now: the one
-	// that was meant has ended.
+	// ResultForeign is an address that now belongs to another server: the intended
+	// one has ended.
 	ResultForeign
-	// ResultUnused is a reservation that was never sent.
+	// ResultUnused is a reservation whose request was never sent.
 	ResultUnused
 )
 
@@ -254,49 +254,50 @@
 	defer d.mutex.Unlock()
 	endpoint := choice.Endpoint
 	endpoint.end(choice.Reserved)
-	endpoint.noteReach(result)
-	if result.heard() {
-		d.reach(endpoint.Zone).hear(now)
+	endpoint.updateUnreachable(result)
+	if result.responded() {
+		d.reachability(endpoint.Zone).recordResponse(now)
 	}
-	elapsed := now.Sub(choice.Reserved) - endpoint.site.roundTrip - choice.Connecting - waitingSteps*choice.Delay
-	d.observe(choice, estimate, result, elapsed, now)
-	// What the told pace explains is neither work nor slowness.
+	elapsed := now.Sub(choice.Reserved) - endpoint.location.roundTrip - choice.Connecting - schedulingDelays*choice.Delay
+	d.recordSample(choice, estimate, result, elapsed, now)
+	// The part of the time that the reported pace explains is neither processing time nor
+	// learned slowness.
 	elapsed = time.Duration(float64(elapsed) / endpoint.pace.current(now))
 	if result == ResultAnswered && !choice.Admission.Trial() {
 		estimate.observe(elapsed, endpoint.learnedSlowness(now) >= slowRatio)
 	}
 	ratio := float64(elapsed) / float64(max(estimate.Mean(), time.Millisecond))
 	if result == ResultAnswered || result == ResultRefused {
-		d.pressure.add(result == ResultRefused, now)
+		d.refusals.add(result == ResultRefused, now)
 	}
 	switch result {
 	case ResultAnswered:
 		endpoint.succeeded(now)
-		endpoint.failures.note(false, now)
+		endpoint.failures.record(false, now)
 		endpoint.learn(ratio, choice.Reserved, now)
 	case ResultErred:
-		// What an error takes is no time of work.
+		// The time until an error is not a processing time.
 		endpoint.succeeded(now)
-		endpoint.failures.note(true, now)
+		endpoint.failures.record(true, now)
 	case ResultAbandoned:
 		endpoint.learnAtLeast(ratio, choice.Reserved, now)
-		if endpoint.silentSince(choice.Reserved) {
+		if endpoint.noResponseSince(choice.Reserved) {
 			endpoint.failed(now)
 		}
 	case ResultRefused:
 		endpoint.refused(now)
-		endpoint.failures.note(true, now)
+		endpoint.failures.record(true, now)
 	case ResultReset:
-		endpoint.resetConnection(now)
-		endpoint.failures.note(true, now)
+		endpoint.connectionReset(now)
+		endpoint.failures.record(true, now)
 	case ResultFailed:
 		endpoint.failed(now)
-		endpoint.failures.note(true, now)
+		endpoint.failures.record(true, now)
 	case ResultUnreachable:
 		endpoint.failed(now)
-		endpoint.backoffUntil = now.Add(maximumBackoff)
+		endpoint.backoffUntil = now.Add(maxBackoff)
 	case ResultForeign:
-		endpoint.gone = true
+		endpoint.addressTaken = true
 	case ResultUnused:
 	}
 }
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -10,9 +10,9 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// Sharers are the nodes that share the connections of a server.
+// Sharers are the numbers of nodes that share the connections of a server.
 type Sharers struct {
-	// Near are those of the server's own region, Far all others.
+	// Near is the number of nodes in the server's own region, Far that of all others.
 	Near int
 	Far  int
 	// Settled is set once both have been counted.
@@ -22,184 +22,188 @@
 // Directory holds the endpoints of all services. It is safe for concurrent use.
 type Directory struct {
 	topology Topology
-	// connections may be nil: then no request needs a new connection.
+	// connections may be nil; then no request is assumed to need a new connection.
 	connections Connections
-	// versions tell which versions of a service a send may go to; nil for all.
+	// versions restricts the versions of a service to which requests may be sent; nil for
+	// no restriction.
 	versions *rollout.Tracker
-	// suspended returns for how long the machine has been suspended; nil for never.
+	// suspended returns the total time for which the machine has been suspended; nil for
+	// never.
 	suspended func() time.Duration
-	// budgetSlept is the suspension that the retry budgets have taken in.
-	budgetSlept time.Duration
+	// budgetSuspended is the suspension that the retry budgets already account for.
+	budgetSuspended time.Duration
 
 	mutex sync.Mutex
-	// settledAt is when a list that was read after an outage of the store is whole
-	// at the latest.
+	// settledAt is the time from which a list that was read after a store outage is
+	// complete.
 	settledAt time.Time
-	// knownSince is when the first server was put into the directory.
-	knownSince time.Time
-	// pressure is how often servers refuse.
-	pressure pressure
-	// firstList is set if that list was the first one of this node.
+	// firstServerAt is when the first server was added to the directory.
+	firstServerAt time.Time
+	// refusals is how often servers refuse requests.
+	refusals refusals
+	// firstList is set if the list read after the outage was the first one of this node.
 	firstList bool
 	budget    retrybudget.Limits
-	// pooled is set while the nodes are too many to divide the retry budget among them; wants
-	// is what services lack then.
+	// pooled is set while there are too many nodes to divide the retry budget among them;
+	// grants are then the requests for extra sends from the pool.
 	pooled  bool
-	wants   wants
+	grants  grantRequests
 	sharers Sharers
 	byID    map[string]*Endpoint
-	// departed are the servers that have gone lately, by incarnation; doubted the entries of a
-	// restored list that don't count yet, by id.
-	departed map[string]departure
-	doubted  map[string]doubt
-	// evacuated are the zones whose servers get nothing new, readmitted when they last did again.
+	// retired are recently ended servers by incarnation; unconfirmed are entries of a
+	// restored list, by ID, that have no effect yet.
+	retired     map[string]retiredServer
+	unconfirmed map[string]unconfirmedEntry
+	// evacuated are the zones whose servers get no new requests, readmitted when the
+	// evacuation of a zone last ended.
 	evacuated  map[string]bool
 	readmitted map[string]time.Time
-	// doubtedZones are those of which a restored list tells otherwise than is known.
-	doubtedZones map[string]zoneDoubt
-	// reaches are the ways to the zones.
-	reaches  map[string]*reach
+	// unconfirmedZones are those for which a restored list contradicts the known state.
+	unconfirmedZones map[string]unconfirmedZone
+	// zones is the reachability of each zone.
+	zones    map[string]*reachability
 	services map[string]*service
 }
 
 // service is what the node keeps of one service.
 type service struct {
 	endpoints []*Endpoint
-	// extra counts the sends beyond the first one of each request.
+	// extra counts the sends after the first one of each request.
 	extra          retrybudget.Budget
 	maxConnections int
-	// growth is how the list has grown since an outage of the store.
-	growth growth
-	// coldRate and coldStart are what the service tells of servers that have just started.
+	// growth is how much the list has grown since a store outage.
+	growth listGrowth
+	// coldRate is how many requests per second a cold server can take from all nodes together,
+	// coldStart how long a server is cold after its start.
 	coldRate  float64
 	coldStart time.Duration
 }
 
-// New returns an empty directory without retry budget. The connections may be nil.
+// New returns an empty directory without retry budget. connections may be nil.
 func New(topology Topology, connections Connections) *Directory {
 	return &Directory{
 		topology:    topology,
 		connections: connections,
 		sharers:     Sharers{Near: 1, Far: 1},
 		byID:        make(map[string]*Endpoint),
-		departed:    make(map[string]departure),
-		doubted:     make(map[string]doubt),
+		retired:     make(map[string]retiredServer),
+		unconfirmed: make(map[string]unconfirmedEntry),
 		evacuated:   make(map[string]bool),
 		readmitted:  make(map[string]time.Time),
 
-		doubtedZones: make(map[string]zoneDoubt),
-		reaches:      make(map[string]*reach),
-		services:     make(map[string]*service),
-		wants:        newWants(),
+		unconfirmedZones: make(map[string]unconfirmedZone),
+		zones:            make(map[string]*reachability),
+		services:         make(map[string]*service),
+		grants:           newGrantRequests(),
 	}
 }
 
-// FollowRollouts lets the tracker tell which versions of a service a send may go to. It is
-// called before the directory is used.
+// FollowRollouts sets the tracker that decides to which versions of a service requests may be
+// sent. It is called before the directory is used.
 func (d *Directory) FollowRollouts(versions *rollout.Tracker) { d.versions = versions }
 
-// CountSuspensions lets permissions run out while the machine is suspended. It is called
-// before the directory is used.
+// CountSuspensions sets the function that returns the total time for which the machine has been
+// suspended, so that permissions expire meanwhile. It is called before the directory is used.
 func (d *Directory) CountSuspensions(suspended func() time.Duration) { d.suspended = suspended }
 
-// Put adds the server or replaces what is known of it. It returns the incarnation that has
-// ended, if the server has started again under its id: nothing that was learned of that one
-// holds for the new one.
+// Put adds the server or updates its entry. If the server has restarted under its ID, Put
+// returns the incarnation that has ended: nothing that was learned of it applies to the new
+// one.
 func (d *Directory) Put(server Server, now time.Time) (ended string, restarted bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.doubts(server, now) {
+	if d.isUnconfirmed(server, now) {
 		return "", false
 	}
 	known, found := d.byID[server.ID]
 	switch {
 	case !found:
 	case server.Born > 0 && known.bornAfter(server):
-		// Word of a process that has ended by now.
+		// A late entry of a process that has already ended.
 		return "", false
 	case server.bornAfter(known.Server):
-		d.depart(known, now)
+		d.retire(known, now)
 		ended, restarted = known.incarnation, true
 	default:
 		known.update(server, now)
 		d.locate(known)
 		return "", false
 	}
-	if d.knownSince.IsZero() {
-		d.knownSince = now
+	if d.firstServerAt.IsZero() {
+		d.firstServerAt = now
 	}
-	if gone, returned := d.departed[server.Incarnation()]; returned && gone.created > 0 {
-		server.Created = min(server.Created, gone.created)
+	if retired, returned := d.retired[server.Incarnation()]; returned && retired.created > 0 {
+		server.Created = min(server.Created, retired.created)
 	}
 	endpoint := newEndpoint(server, now)
 	d.locate(endpoint)
 	d.byID[server.ID] = endpoint
 	d.supersede(endpoint)
-	owner := d.service(server.Service)
-	owner.growth.add(now)
-	endpoint.setCeiling(d.ceiling(server, owner.maxConnections), now)
-	owner.endpoints = append(owner.endpoints, endpoint)
+	svc := d.service(server.Service)
+	svc.growth.add(now)
+	endpoint.setMaxLimit(d.inFlightLimit(server, svc.maxConnections), now)
+	svc.endpoints = append(svc.endpoints, endpoint)
 	return ended, restarted
 }
 
-// locate notes where the server stands.
+// locate updates the cached location of the server.
 func (d *Directory) locate(endpoint *Endpoint) {
-	if endpoint.site.way != nil && endpoint.site.zone == endpoint.Zone {
+	if endpoint.location.reachability != nil && endpoint.location.zone == endpoint.Zone {
 		return
 	}
-	endpoint.site = site{
-		zone:      endpoint.Zone,
-		near:      d.topology.Near(endpoint.Zone),
-		roundTrip: d.topology.RoundTrip(endpoint.Zone),
-		way:       d.reach(endpoint.Zone),
-		rank:      d.rank(endpoint.Server),
+	endpoint.location = location{
+		zone:         endpoint.Zone,
+		local:        d.topology.Near(endpoint.Zone),
+		roundTrip:    d.topology.RoundTrip(endpoint.Zone),
+		reachability: d.reachability(endpoint.Zone),
+		rank:         d.rank(endpoint.Server),
 	}
 }
 
-// supersede takes the servers out of use that had the address of a newer one before: they
-// have ended, though their entries have yet to run out. What is sent there reaches the newer
-// one, which refuses it.
+// supersede takes servers out of use whose address a newer one has: they have ended,
+// though their entries have not expired yet. Requests sent there reach the newer server,
+// which refuses them.
 func (d *Directory) supersede(newer *Endpoint) {
 	for _, older := range d.service(newer.Service).endpoints {
 		if newer.Address != "" && older.Address == newer.Address && older.Created < newer.Created {
-			older.gone = true
+			older.addressTaken = true
 		}
 	}
 }
 
-// Remove forgets the server: it gets no new requests. It returns the incarnation that was
-// known, if there was one.
+// Remove removes the server, so that it gets no new requests. It returns the incarnation that
+// was known, if there was one.
 func (d *Directory) Remove(id string) (removed string, known bool) {
-	return d.drop(id, d.remove)
+	return d.removeWith(id, d.remove)
 }
 
-// removeGone is Remove for a server that has gone.
-func (d *Directory) removeGone(id string, now time.Time) (removed string, known bool) {
-	return d.drop(id, func(endpoint *Endpoint) { d.depart(endpoint, now) })
+// removeEnded is Remove for a server that has ended.
+func (d *Directory) removeEnded(id string, now time.Time) (removed string, known bool) {
+	return d.removeWith(id, func(endpoint *Endpoint) { d.retire(endpoint, now) })
 }
 
-// drop takes the server out in the given way.
-func (d *Directory) drop(id string, out func(*Endpoint)) (removed string, known bool) {
+// removeWith removes the server by the given function.
+func (d *Directory) removeWith(id string, remove func(*Endpoint)) (removed string, known bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	delete(d.doubted, id)
+	delete(d.unconfirmed, id)
 	endpoint, found := d.byID[id]
 	if !found {
 		return "", false
 	}
-	out(endpoint)
+	remove(endpoint)
 	return endpoint.incarnation, true
 }
 
 func (d *Directory) remove(endpoint *Endpoint) {
 	delete(d.byID, endpoint.ID)
-	owner := d.service(endpoint.Service)
-	if index := slices.Index(owner.endpoints, endpoint); index >= 0 {
-		owner.endpoints = slices.Delete(owner.endpoints, index, index+1)
+	svc := d.service(endpoint.Service)
+	if index := slices.Index(svc.endpoints, endpoint); index >= 0 {
+		svc.endpoints = slices.Delete(svc.endpoints, index, index+1)
 	}
 }
 
-// Replace makes the servers the whole content of the directory and returns the
+// Replace replaces the content of the directory by the servers and returns the
 // incarnations that were removed.
 func (d *Directory) Replace(servers []Server, now time.Time) []string {
 	listed := make(map[string]bool, len(servers))
@@ -211,14 +215,14 @@
 		if listed[id] {
 			continue
 		}
-		if incarnation, known := d.removeGone(id, now); known {
+		if incarnation, known := d.removeEnded(id, now); known {
 			removed = append(removed, incarnation)
 		}
 	}
 	return removed
 }
 
-// putAll puts the servers and returns the incarnations that have ended.
+// putAll adds or updates the servers and returns the incarnations that have ended.
 func (d *Directory) putAll(servers []Server, now time.Time) []string {
 	var ended []string
 	for _, server := range servers {
@@ -239,62 +243,62 @@
 	return ids
 }
 
-// Configure takes over the connection limits of the table's services.
+// Configure applies the connection limits and cold-start settings of the table's services.
 func (d *Directory) Configure(table *routing.Table, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for name, configured := range table.Services {
-		owner := d.service(name)
-		owner.maxConnections = configured.MaximumConnections
-		owner.coldRate, owner.coldStart = configured.ColdRate, configured.ColdStart
-		d.setCeilings(owner, now)
+		svc := d.service(name)
+		svc.maxConnections = configured.MaximumConnections
+		svc.coldRate, svc.coldStart = configured.ColdRate, configured.ColdStart
+		d.updateMaxLimits(svc, now)
 	}
 }
 
-// Share sets the retry budget of each service, whether there is a pool for what it lacks, and
-// the nodes that share the connections of a server.
+// Share sets the retry budget of each service, whether a pool grants extra sends beyond it,
+// and the numbers of nodes that share the connections of a server.
 func (d *Directory) Share(budget retrybudget.Limits, pooled bool, sharers Sharers, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.budget, d.pooled = budget, pooled
 	d.sharers = sharers
-	for _, owner := range d.services {
-		d.setCeilings(owner, now)
+	for _, svc := range d.services {
+		d.updateMaxLimits(svc, now)
 	}
 }
 
-func (d *Directory) setCeilings(owner *service, now time.Time) {
-	for _, endpoint := range owner.endpoints {
-		endpoint.setCeiling(d.ceiling(endpoint.Server, owner.maxConnections), now)
+func (d *Directory) updateMaxLimits(svc *service, now time.Time) {
+	for _, endpoint := range svc.endpoints {
+		endpoint.setMaxLimit(d.inFlightLimit(endpoint.Server, svc.maxConnections), now)
 	}
 }
 
 func (d *Directory) service(name string) *service {
-	owner, found := d.services[name]
+	svc, found := d.services[name]
 	if !found {
-		owner = &service{}
-		d.services[name] = owner
+		svc = &service{}
+		d.services[name] = svc
 	}
-	return owner
+	return svc
 }
 
 // Listed reports whether the service has a server that may get requests of the route.
 func (d *Directory) Listed(service string, route *routing.Route) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return slices.ContainsFunc(d.usable(service), func(endpoint *Endpoint) bool {
-		return endpoint.open() && d.allowed(endpoint, route)
+	return slices.ContainsFunc(d.currentlyAdmitted(service), func(endpoint *Endpoint) bool {
+		return endpoint.serving() && d.allowed(endpoint, route)
 	})
 }
 
-// Usable reports whether the service has a server that may get requests of the route and to
-// which a connection has not just failed.
+// Usable reports whether the service has a server that may get requests of the route and has
+// not just been found unreachable.
 func (d *Directory) Usable(service string, route *routing.Route, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return slices.ContainsFunc(d.usable(service), func(endpoint *Endpoint) bool {
+	return slices.ContainsFunc(d.currentlyAdmitted(service), func(endpoint *Endpoint) bool {
 		failed := endpoint.unreachable && now.Before(endpoint.backoffUntil)
-		return endpoint.open() && d.allowed(endpoint, route) && !failed
+		return endpoint.serving() && d.allowed(endpoint, route) && !failed
 	})
 }
 
@@ -305,14 +309,14 @@
 	return len(d.byID)
 }
 
-// Servers returns all servers as they were listed, and the ids of those that were missing in
-// the latest list and are kept only until it is whole.
+// Servers returns all servers as they were listed, and the IDs of those that were missing in
+// the latest list and are kept only until it is complete.
 func (d *Directory) Servers() (servers []Server, unlisted []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	servers = d.listed()
 	for id, endpoint := range d.byID {
-		if !endpoint.goneAt.IsZero() {
+		if !endpoint.removeAt.IsZero() {
 			servers = append(servers, endpoint.Server)
 			unlisted = append(unlisted, id)
 		}
--- a/internal/endpoints/directory_test.go
+++ b/internal/endpoints/directory_test.go
@@ -37,10 +37,10 @@
 	return Demand{Service: "s", Work: work, Tried: tried, Left: 200 * time.Millisecond}
 }
 
-// established returns an estimate that rests on many observations.
+// established returns an estimate as after many observations.
 func established(mean time.Duration) *Estimate {
 	estimate := NewEstimate(mean)
-	estimate.count = int(1 / workWeight)
+	estimate.count = int(1 / meanWeight)
 	return estimate
 }
 
@@ -65,7 +65,7 @@
 	is.Equal(availability, NoServer)
 }
 
-func TestSlowNearServerYieldsToAFarOne(t *testing.T) {
+func TestSlowLocalServerLosesToARemoteOne(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := NewEstimate(20 * time.Millisecond)
@@ -86,7 +86,7 @@
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := NewEstimate(20 * time.Millisecond)
 	slow := directory.byID["near"]
-	slow.slowness, slow.slownessAt = 8, epoch
+	slow.slowness, slow.slownessUpdatedAt = 8, epoch
 	later := epoch.Add(2 * slownessHalfLife)
 	is.Equal(choose(t, directory, demand(work), later).Server.ID, "near")
 	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far")
@@ -97,7 +97,7 @@
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := NewEstimate(20 * time.Millisecond)
 	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultFailed, epoch)
-	later := epoch.Add(maximumBackoff)
+	later := epoch.Add(maxBackoff)
 	probe := choose(t, directory, demand(work), later)
 	is.Equal(probe.Server.ID, "near")
 	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far")
@@ -106,7 +106,7 @@
 	is.Equal(choose(t, directory, demand(work), later).Server.ID, "near")
 }
 
-func TestSilentServerIsAvoided(t *testing.T) {
+func TestStalledServerIsAvoided(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := NewEstimate(20 * time.Millisecond)
@@ -114,11 +114,11 @@
 	later := epoch.Add(150 * time.Millisecond)
 	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far")
 	directory.Finish(stuck, work, ResultAbandoned, later)
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far") // still after it was given up
+	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far") // also after the request was given up
 	is.Equal(choose(t, directory, demand(work), later.Add(time.Minute)).Server.ID, "near")
 }
 
-func TestOneLongRequestIsNoSilence(t *testing.T) {
+func TestOneLongRequestIsNoStall(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := NewEstimate(20 * time.Millisecond)
@@ -130,7 +130,7 @@
 	is.Equal(choose(t, directory, demand(work), epoch.Add(100*time.Millisecond)).Server.ID, "near")
 }
 
-func TestResultsThatPutAServerBehind(t *testing.T) {
+func TestResultsThatCauseBackoff(t *testing.T) {
 	for _, result := range []Result{ResultFailed, ResultRefused, ResultUnreachable, ResultReset} {
 		is := is.New(t)
 		directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestAddressOfAnotherServerIsNotAskedAgain(t *testing.T) {
+func TestReusedAddressIsNotTriedAgain(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("only", "near-1"))
 	work := NewEstimate(20 * time.Millisecond)
@@ -174,7 +174,7 @@
 	is.Equal(availability, NoServer)
 }
 
-func TestReplaceForgetsWhatIsNotListed(t *testing.T) {
+func TestReplaceRemovesUnlistedServers(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"), server("b", "near-1"))
 	removed := directory.Replace([]Server{server("b", "near-1"), server("c", "near-1")}, epoch)
@@ -185,7 +185,7 @@
 func TestLimitOfRequestsAtAServer(t *testing.T) {
 	is := is.New(t)
 	wide := server("only", "near-1")
-	wide.Slots = 8 // connections are what binds here
+	wide.Slots = 8 // so that the connections are the limit
 	directory := directoryOf(wide)
 	table, err := routing.NewTable(1, routing.Limits{}, []routing.Service{{Name: "s", MaximumConnections: 10}}, nil)
 	is.NoErr(err)
@@ -203,7 +203,7 @@
 	is.Equal(availability, Busy)
 	directory.Finish(choices[0], work, ResultReset, epoch)
 	_, availability = directory.Choose(demand(work), epoch)
-	is.Equal(availability, Busy) // the limit was cut
+	is.Equal(availability, Busy) // the limit was decreased
 	for _, choice := range choices[1:] {
 		directory.Finish(choice, work, ResultAnswered, epoch)
 	}
@@ -213,8 +213,8 @@
 	}
 }
 
-// A node leaves a slot of a server to others, so that what waits can still go to
-// another server; with hardly any neighbors it may use all of them.
+// A node leaves one slot of a server to the others, so that waiting requests can still go to
+// another server; with very few other nodes in the region it may use all of them.
 func TestSlotsBoundTheRequestsAtAServer(t *testing.T) {
 	for _, test := range []struct {
 		near, slots, want int
@@ -240,27 +240,27 @@
 	}
 }
 
-// connections are those that a node has idle.
+// connections is the set of servers to which the node has idle connections.
 type connections map[string]bool
 
-func (c connections) HasIdle(serverID string) bool { return c[serverID] }
+func (c connections) HasIdle(incarnation string) bool { return c[incarnation] }
 
 // A server that has reset a new connection would reset the next one as well; an idle
-// connection to it is good.
-func TestCrowdedServerIsAskedOnlyOverIdleConnections(t *testing.T) {
+// connection to it remains usable.
+func TestNoNewConnectionRightAfterAReset(t *testing.T) {
 	is := is.New(t)
 	idle := connections{}
 	directory := New(testTopology(), idle)
 	directory.Put(server("only", "near-1"), epoch)
 	work := NewEstimate(20 * time.Millisecond)
 	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultReset, epoch)
-	soon := epoch.Add(crowdedPause / 2)
+	soon := epoch.Add(connectPause / 2)
 	_, availability := directory.Choose(demand(work), soon)
 	is.Equal(availability, Busy)
 	idle["only"] = true
 	directory.Finish(choose(t, directory, demand(work), soon), work, ResultAnswered, soon)
 	delete(idle, "only")
-	choose(t, directory, demand(work), epoch.Add(2*crowdedPause))
+	choose(t, directory, demand(work), epoch.Add(2*connectPause))
 }
 
 func TestIdleLimitOfUnboundedServers(t *testing.T) {
@@ -283,28 +283,28 @@
 	is.Equal(availability, NoBudget)
 }
 
-func TestHedgeToAnotherRegionWaitsAsLongAsItCan(t *testing.T) {
+func TestHedgeToAnotherRegionWaitsAsLongAsPossible(t *testing.T) {
 	is := is.New(t)
 	work := NewEstimate(20 * time.Millisecond)
-	alone := choose(t, directoryOf(server("near", "near-1"), server("far", "far-1")), demand(work), epoch)
-	company := choose(t, directoryOf(server("near", "near-1"), server("mid", "near-2")), demand(work), epoch)
-	is.True(alone.LateAfter > company.LateAfter)
-	is.True(alone.LateAfter < 150*time.Millisecond) // time for the other one is left
+	remoteOnly := choose(t, directoryOf(server("near", "near-1"), server("far", "far-1")), demand(work), epoch)
+	withLocal := choose(t, directoryOf(server("near", "near-1"), server("mid", "near-2")), demand(work), epoch)
+	is.True(remoteOnly.LateAfter > withLocal.LateAfter)
+	is.True(remoteOnly.LateAfter < 150*time.Millisecond) // leaves time for the hedge
 }
 
-func TestSlowNearServerIsNoReasonToHedgeEarly(t *testing.T) {
+func TestSlowLocalServerCausesNoEarlyHedge(t *testing.T) {
 	is := is.New(t)
 	work := NewEstimate(20 * time.Millisecond)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	slow := directory.byID["near"]
-	slow.slowness, slow.slownessAt = 20, epoch
+	slow.slowness, slow.slownessUpdatedAt = 20, epoch
 	choice := choose(t, directory, demand(work), epoch)
 	is.Equal(choice.Server.ID, "far")
 	alone := choose(t, directoryOf(server("far", "far-1")), demand(work), epoch)
 	is.Equal(choice.LateAfter, alone.LateAfter)
 }
 
-func TestEstimateFollowsTheWork(t *testing.T) {
+func TestEstimateFollowsProcessingTime(t *testing.T) {
 	is := is.New(t)
 	estimate := NewEstimate(100 * time.Millisecond)
 	for index := range 2000 {
--- a/internal/endpoints/endpoint.go
+++ b/internal/endpoints/endpoint.go
@@ -6,123 +6,124 @@
 )
 
 const (
-	// slownessHalfLife is the time in which half of a server's learned slowness
-	// is forgotten, so that a server that was slow is tried again. It doubles up to
-	// longestHalfLife each time that the server is found slow once more.
-	slownessHalfLife = 2 * time.Second
-	longestHalfLife  = 4 * time.Second
+	// slownessHalfLife is the half-life of a server's learned slowness, after which a
+	// slow server is tried again. It doubles up to maxSlownessHalfLife each time that the
+	// server proves slow once more.
+	slownessHalfLife    = 2 * time.Second
+	maxSlownessHalfLife = 4 * time.Second
 	// slowRatio is the ratio of actual to usual time from which an answer is slow.
 	slowRatio = 3.0
-	// maximumSlowness bounds what a single stall teaches.
-	maximumSlowness = 30.0
-	// stallFactor is how many times its expected time a request may be under way
-	// before the server is taken for stalled.
+	// maxSlowness limits the effect of a single stall.
+	maxSlowness = 30.0
+	// stallFactor is how many times its expected time a request may be in flight
+	// before the server is considered stalled.
 	stallFactor = 2.5
 	// coldFactor is the slowness expected of a server that has just started.
 	coldFactor = 1.6
-	// firstBackoff is the pause after a failed connection or a silence; it doubles
-	// up to maximumBackoff.
-	firstBackoff   = 250 * time.Millisecond
-	maximumBackoff = 3 * time.Second
-	// limitCut is the part of the requests under way that stays allowed after a
-	// server reset a new connection; limitGrowth is how many more are allowed for
-	// each second after that.
-	limitCut    = 0.5
-	limitGrowth = 2.0
-	// refusalBackoff is the pause after a server refused work.
+	// initialBackoff is the backoff after a failed connection or an unanswered request;
+	// it doubles up to maxBackoff.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 3 * time.Second
+	// limitDecrease is the fraction of the requests in flight that remains allowed after
+	// a server reset a new connection; limitIncrease is how many more are allowed per
+	// second after that.
+	limitDecrease = 0.5
+	limitIncrease = 2.0
+	// refusalBackoff is the backoff after a server refused work.
 	refusalBackoff = 100 * time.Millisecond
-	// crowdedPause is how long no new connection is opened to a server that has
+	// connectPause is how long no new connection is opened to a server that has
 	// reset one.
-	crowdedPause = 100 * time.Millisecond
+	connectPause = 100 * time.Millisecond
 )
 
 // Endpoint is a server together with what this node has learned of it. Its
 // fields are guarded by the Directory's lock.
 type Endpoint struct {
 	Server
-	// incarnation is the name of the server's process.
+	// incarnation identifies the server's process.
 	incarnation string
-	// site is where the server stands as seen from this node, kept because each request
-	// asks it of each server.
-	site site
-	// limit bounds the requests under way; 0 for unbounded.
+	// location is cached because each request reads it for each server.
+	location location
+	// limit bounds the requests in flight; 0 for unbounded.
 	limit float64
-	// ceiling is the limit while the server resets no new connections.
-	ceiling    float64
-	limitAt    time.Time
-	underWay   []time.Time
-	slowness   float64
-	slownessAt time.Time
-	halfLife   time.Duration
-	// pace is what the server tells of its own speed. What is learned besides is what
-	// it does not explain: servers that hang, or tell another pace than they have.
+	// maxLimit is the limit while the server resets no new connections.
+	maxLimit   float64
+	limitSetAt time.Time
+	// inFlight are the start times of the requests in flight.
+	inFlight          []time.Time
+	slowness          float64
+	slownessUpdatedAt time.Time
+	halfLife          time.Duration
+	// pace is the speed that the server reports. The learned slowness covers only what
+	// the pace does not explain: servers that hang or report a wrong pace.
 	pace pace
-	// ratio is the latest observation that was independent of the one before it,
-	// ratioAt when it was made.
-	ratio     float64
-	ratioAt   time.Time
-	coldUntil time.Time
-	// coldTurn is this node's turn in which it sent a request to the cold server last.
-	coldTurn int64
-	// streak is how many failures came in a row; failures is the share of them.
-	streak       int
-	failures     failures
-	backoffUntil time.Time
-	// crowdedUntil is until when no new connection is opened.
-	crowdedUntil time.Time
-	// goneAt is from when the server is gone if it is still missing in the list; zero
-	// while it is listed.
-	goneAt time.Time
-	// gone is set once another server has the address, unreachable while nobody answers
-	// there.
-	gone, unreachable bool
-	// answeredAt is when the server last answered anything.
-	answeredAt time.Time
+	// lastRatio is the latest observation that was independent of the one before it,
+	// made at lastRatioAt.
+	lastRatio   float64
+	lastRatioAt time.Time
+	coldUntil   time.Time
+	// lastColdTurn is the latest of this node's turns in which it sent the server a
+	// request while it was cold.
+	lastColdTurn int64
+	// consecutiveFailures counts failures in a row; failures is their share of requests.
+	consecutiveFailures int
+	failures            failures
+	backoffUntil        time.Time
+	// noConnectUntil is until when no new connection is opened.
+	noConnectUntil time.Time
+	// removeAt is when the server is removed unless it is listed again; zero while it is
+	// listed.
+	removeAt time.Time
+	// addressTaken is set once another server has the address, unreachable while nothing
+	// answers there.
+	addressTaken, unreachable bool
+	// lastResponseAt is when the server last responded in any way.
+	lastResponseAt time.Time
 }
 
 func newEndpoint(server Server, now time.Time) *Endpoint {
 	return &Endpoint{
-		Server:      server,
-		incarnation: server.Incarnation(),
-		slowness:    1,
-		slownessAt:  now,
-		halfLife:    slownessHalfLife,
-		ratio:       1,
-		coldUntil:   now.Add(server.ColdRemaining),
+		Server:            server,
+		incarnation:       server.Incarnation(),
+		slowness:          1,
+		slownessUpdatedAt: now,
+		halfLife:          slownessHalfLife,
+		lastRatio:         1,
+		coldUntil:         now.Add(server.ColdRemaining),
 	}
 }
 
-// Incarnation names the server's process.
+// Incarnation identifies the server's process.
 func (e *Endpoint) Incarnation() string { return e.incarnation }
 
-// update takes over what the registry tells anew. A server that tells another time for
-// which it is cold has turned cold once more, or still is.
+// update applies a new registry entry of the same process. A changed cold time means that
+// the server has turned cold again or still is.
 func (e *Endpoint) update(server Server, now time.Time) {
 	if server.ColdRemaining > 0 && server.ColdRemaining != e.ColdRemaining {
-		e.chill(server.ColdRemaining, now)
+		e.markCold(server.ColdRemaining, now)
 	}
 	if e.Created > 0 {
-		// An entry that ran out and was made anew is of the same server.
+		// An entry that expired and was created again belongs to the same server.
 		server.Created = min(server.Created, e.Created)
 	}
 	server.Born = max(server.Born, e.Born)
 	e.Server = server
 	e.incarnation = server.Incarnation()
-	e.goneAt = time.Time{}
+	e.removeAt = time.Time{}
 }
 
-// learnedSlowness returns the learned slowness, forgotten in part.
+// learnedSlowness returns the learned slowness after decay.
 func (e *Endpoint) learnedSlowness(now time.Time) float64 {
 	if e.slowness == 1 {
 		return 1
 	}
-	age := now.Sub(e.slownessAt)
+	age := now.Sub(e.slownessUpdatedAt)
 	kept := math.Exp2(-float64(age) / float64(e.halfLife))
 	return 1 + (e.slowness-1)*kept
 }
 
-// currentSlowness returns how many times the usual time the server is expected to take,
-// by what it tells and what is learned of it.
+// currentSlowness returns the expected ratio of the server's processing time to the usual
+// one, from the pace that it reports and the learned slowness.
 func (e *Endpoint) currentSlowness(now time.Time) float64 {
 	slowness := e.learnedSlowness(now) * e.pace.current(now)
 	if e.cold(now) {
@@ -131,157 +132,157 @@
 	return slowness
 }
 
-// learn moves the slowness towards one observed ratio of actual to usual time, of
-// a request that was sent at the given time. A single observation may be a long
-// request or a pause, so it counts for little; a second one that began after the
-// first had ended counts in full.
+// learn moves the slowness toward one observed ratio of actual to usual time, of
+// a request sent at the given time. A single observation may be a long request or
+// a pause, so it has little weight; a second one that began after the first had
+// ended has full weight.
 func (e *Endpoint) learn(ratio float64, sent, now time.Time) {
-	ratio = min(max(ratio, 0.25), maximumSlowness)
+	ratio = min(max(ratio, 0.25), maxSlowness)
 	current := e.learnedSlowness(now)
 	e.slowness = current + slownessWeight*(ratio-current)
-	e.slownessAt = now
-	if sent.Before(e.ratioAt) {
+	e.slownessUpdatedAt = now
+	if sent.Before(e.lastRatioAt) {
 		return
 	}
-	e.slowness = median(e.slowness, e.ratio, ratio)
-	e.remember(min(e.ratio, ratio))
-	e.ratio, e.ratioAt = ratio, now
+	e.slowness = median(e.slowness, e.lastRatio, ratio)
+	e.updateHalfLife(min(e.lastRatio, ratio))
+	e.lastRatio, e.lastRatioAt = ratio, now
 }
 
-// remember sets how long the slowness lasts by what the two latest independent
-// observations have in common.
-func (e *Endpoint) remember(ratio float64) {
+// updateHalfLife sets the half-life of the slowness from the lower of the two latest
+// independent observations.
+func (e *Endpoint) updateHalfLife(ratio float64) {
 	if ratio < slowRatio {
 		e.halfLife = slownessHalfLife
 		return
 	}
-	e.halfLife = min(2*e.halfLife, longestHalfLife)
+	e.halfLife = min(2*e.halfLife, maxSlownessHalfLife)
 }
 
 func median(a, b, c float64) float64 {
 	return max(min(a, b), min(max(a, b), c))
 }
 
-// learnAtLeast is learn for a request that was given up: the true ratio is not
-// below the one observed.
+// learnAtLeast is learn for an abandoned request, whose true ratio is at least the
+// one observed.
 func (e *Endpoint) learnAtLeast(ratio float64, sent, now time.Time) {
 	if ratio > e.learnedSlowness(now) {
 		e.learn(ratio, sent, now)
 	}
 }
 
-// predict returns the expected time until an answer, distance left out.
-func (e *Endpoint) predict(work time.Duration, now time.Time) time.Duration {
+// predict returns the expected time until an answer, without the network.
+func (e *Endpoint) predict(processing time.Duration, now time.Time) time.Duration {
 	slowness := e.currentSlowness(now)
-	if e.probed() {
-		slowness = max(slowness, e.slowness*max(e.pace.told, 1))
+	if e.probing() {
+		slowness = max(slowness, e.slowness*max(e.pace.reported, 1))
 	}
-	expected := float64(work) * slowness
+	expected := float64(processing) * slowness
 	predicted := time.Duration(expected * (1 + e.queueing()))
-	if age := e.silence(now); float64(age) > stallFactor*expected {
+	if age := e.stalledFor(now); float64(age) > stallFactor*expected {
 		predicted += age
 	}
 	return predicted
 }
 
-// sharedLoad is what a full server adds to the expected time, in parts of it,
-// besides its queue: other nodes' requests are not seen, and nearly full servers
-// are slower.
+// sharedLoad is the fraction of the expected time that a full server adds besides
+// its queue: requests of other nodes are not visible, and nearly full servers are
+// slower.
 const sharedLoad = 0.25
 
-// queueing returns the expected wait in units of the time of work.
+// queueing returns the expected wait in units of the processing time.
 func (e *Endpoint) queueing() float64 {
 	slots := float64(max(e.Slots, 1))
-	underWay := float64(len(e.underWay))
-	queued := max(underWay+1-slots, 0)
-	return (sharedLoad*underWay + queued) / slots
+	inFlight := float64(len(e.inFlight))
+	queued := max(inFlight+1-slots, 0)
+	return (sharedLoad*inFlight + queued) / slots
 }
 
-// silence returns the age of the oldest request under way since which the server
-// has answered nothing. A request that is late beside others that were answered
-// is only a long one.
-func (e *Endpoint) silence(now time.Time) time.Duration {
-	silence := time.Duration(0)
-	for _, started := range e.underWay {
-		if e.silentSince(started) {
-			silence = max(silence, now.Sub(started))
+// stalledFor returns the age of the oldest request in flight since which the server
+// has answered nothing. A late request is only a long one if others were answered
+// meanwhile.
+func (e *Endpoint) stalledFor(now time.Time) time.Duration {
+	stalled := time.Duration(0)
+	for _, started := range e.inFlight {
+		if e.noResponseSince(started) {
+			stalled = max(stalled, now.Sub(started))
 		}
 	}
-	return silence
+	return stalled
 }
 
-func (e *Endpoint) silentSince(started time.Time) bool {
-	return e.answeredAt.Before(started)
+func (e *Endpoint) noResponseSince(started time.Time) bool {
+	return e.lastResponseAt.Before(started)
 }
 
-// probed reports whether a request is under way. A server that was slow or failed
-// is tried again with one request at a time, until that is answered.
-func (e *Endpoint) probed() bool { return len(e.underWay) > 0 }
+// probing reports whether a request is in flight. A server that was slow or failed
+// is tried again with one request at a time until that is answered.
+func (e *Endpoint) probing() bool { return len(e.inFlight) > 0 }
 
-func (e *Endpoint) backsOff(now time.Time) bool {
-	return now.Before(e.backoffUntil) || e.streak > 0 && e.probed()
+func (e *Endpoint) backingOff(now time.Time) bool {
+	return now.Before(e.backoffUntil) || e.consecutiveFailures > 0 && e.probing()
 }
 
-// open reports whether the server may get new requests.
-func (e *Endpoint) open() bool { return !e.Draining && !e.gone }
+// serving reports whether the server may get new requests.
+func (e *Endpoint) serving() bool { return !e.Draining && !e.addressTaken }
 
-// full reports whether the node has as many requests at the server as it may.
-func (e *Endpoint) full(now time.Time) bool {
-	return e.ceiling > 0 && float64(len(e.underWay)) >= e.currentLimit(now)
+// atLimit reports whether the node has as many requests in flight at the server as allowed.
+func (e *Endpoint) atLimit(now time.Time) bool {
+	return e.maxLimit > 0 && float64(len(e.inFlight)) >= e.currentLimit(now)
 }
 
-// currentLimit returns the limit, grown since it was cut.
+// currentLimit returns the limit with its growth since it was set.
 func (e *Endpoint) currentLimit(now time.Time) float64 {
-	grown := e.limit + limitGrowth*now.Sub(e.limitAt).Seconds()
-	return min(max(grown, 1), e.ceiling)
+	grown := e.limit + limitIncrease*now.Sub(e.limitSetAt).Seconds()
+	return min(max(grown, 1), e.maxLimit)
 }
 
-// resetConnection cuts the limit: the server has reset a new connection, as it does when
-// all callers together have too many.
-func (e *Endpoint) resetConnection(now time.Time) {
-	e.limit = max(float64(len(e.underWay))*limitCut, 1)
-	e.limitAt = now
-	e.crowdedUntil = now.Add(crowdedPause)
+// connectionReset decreases the limit after the server has reset a new connection, as
+// servers do when all callers together have too many.
+func (e *Endpoint) connectionReset(now time.Time) {
+	e.limit = max(float64(len(e.inFlight))*limitDecrease, 1)
+	e.limitSetAt = now
+	e.noConnectUntil = now.Add(connectPause)
 	e.backoffUntil = now.Add(refusalBackoff)
 }
 
-// crowded reports whether the server has just reset a new connection: another one
-// would be reset as well.
-func (e *Endpoint) crowded(now time.Time) bool { return now.Before(e.crowdedUntil) }
+// connectPaused reports whether the server has just reset a new connection, so that
+// it would reset another one as well.
+func (e *Endpoint) connectPaused(now time.Time) bool { return now.Before(e.noConnectUntil) }
 
-func (e *Endpoint) setCeiling(ceiling float64, now time.Time) {
-	if e.ceiling == ceiling {
+func (e *Endpoint) setMaxLimit(limit float64, now time.Time) {
+	if e.maxLimit == limit {
 		return
 	}
-	e.ceiling = ceiling
-	e.limit = ceiling
-	e.limitAt = now
+	e.maxLimit = limit
+	e.limit = limit
+	e.limitSetAt = now
 }
 
 func (e *Endpoint) begin(now time.Time) {
-	e.underWay = append(e.underWay, now)
+	e.inFlight = append(e.inFlight, now)
 }
 
 func (e *Endpoint) end(started time.Time) {
-	for index, other := range e.underWay {
+	for index, other := range e.inFlight {
 		if other.Equal(started) {
-			last := len(e.underWay) - 1
-			e.underWay[index] = e.underWay[last]
-			e.underWay = e.underWay[:last]
+			last := len(e.inFlight) - 1
+			e.inFlight[index] = e.inFlight[last]
+			e.inFlight = e.inFlight[:last]
 			return
 		}
 	}
 }
 
 func (e *Endpoint) succeeded(now time.Time) {
-	e.answeredAt = now
-	e.streak = 0
+	e.lastResponseAt = now
+	e.consecutiveFailures = 0
 	e.backoffUntil = time.Time{}
 }
 
 func (e *Endpoint) failed(now time.Time) {
-	backoff := min(firstBackoff<<min(e.streak, 8), maximumBackoff)
-	e.streak++
+	backoff := min(initialBackoff<<min(e.consecutiveFailures, 8), maxBackoff)
+	e.consecutiveFailures++
 	e.backoffUntil = now.Add(backoff)
 }
 
--- a/internal/endpoints/failures_test.go
+++ b/internal/endpoints/failures_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A server that fails a part of its requests is not asked first while another can
-// answer in time, also between its good answers, and is after a while without failure.
-func TestServerThatFailsAPartOfItsRequestsComesSecond(t *testing.T) {
+// A server that fails some of its requests is not chosen first while another can answer in
+// time, not even right after a success. It is chosen first again after a while without failures.
+func TestUnreliableServerIsNotPreferred(t *testing.T) {
 	for _, result := range []Result{ResultFailed, ResultErred, ResultRefused} {
 		is := is.New(t)
 		directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
@@ -21,55 +21,55 @@
 			directory.Finish(Choice{Endpoint: near, Server: near.Server, Reserved: now}, work, end, now.Add(20*time.Millisecond))
 			now = now.Add(400 * time.Millisecond)
 		}
-		is.True(!near.backsOff(now))
+		is.True(!near.backingOff(now))
 		is.Equal(choose(t, directory, demand(work), now).Server.ID, "far")
-		is.Equal(choose(t, directory, demand(work), now.Add(5*longestFailureHalfLife)).Server.ID, "near")
+		is.Equal(choose(t, directory, demand(work), now.Add(5*maxFailureHalfLife)).Server.ID, "near")
 	}
 }
 
-// A server that fails again and again is looked at less and less often; one that has not
-// failed for long is forgiven as soon as before.
+// A server that fails repeatedly is tried less and less often; after a long time without
+// failure, the half-life is back to its initial value.
 func TestRepeatedFailuresAreRememberedLonger(t *testing.T) {
 	is := is.New(t)
-	var seen failures
-	seen.note(true, epoch)
-	is.Equal(seen.current(epoch.Add(failureHalfLife)), failureWeight/2)
-	again := epoch.Add(failureMemory)
-	seen.note(true, again)
-	share := seen.current(again)
-	is.Equal(seen.current(again.Add(2*failureHalfLife)), share/2)
+	var tracked failures
+	tracked.record(true, epoch)
+	is.Equal(tracked.current(epoch.Add(failureHalfLife)), failureWeight/2)
+	again := epoch.Add(failureRepeatWindow)
+	tracked.record(true, again)
+	share := tracked.current(again)
+	is.Equal(tracked.current(again.Add(2*failureHalfLife)), share/2)
 	for range 5 {
-		seen.note(true, again)
+		tracked.record(true, again)
 	}
-	share = seen.current(again)
-	is.Equal(seen.current(again.Add(longestFailureHalfLife)), share/2)
-	later := again.Add(failureMemory + time.Second)
-	seen.note(true, later)
-	share = seen.current(later)
-	is.Equal(seen.current(later.Add(failureHalfLife)), share/2)
+	share = tracked.current(again)
+	is.Equal(tracked.current(again.Add(maxFailureHalfLife)), share/2)
+	later := again.Add(failureRepeatWindow + time.Second)
+	tracked.record(true, later)
+	share = tracked.current(later)
+	is.Equal(tracked.current(later.Add(failureHalfLife)), share/2)
 }
 
-// What failed lately is forgotten sooner than what a server is known for.
-func TestRecentFailuresAreForgottenSoon(t *testing.T) {
+// The share of recent failures decays faster than the expected failure share.
+func TestRecentFailuresDecayFaster(t *testing.T) {
 	is := is.New(t)
-	var seen failures
-	seen.note(true, epoch)
-	is.Equal(seen.recent(epoch.Add(recentHalfLife)), failureWeight/2)
-	is.True(seen.recent(epoch.Add(recentHalfLife)) < seen.current(epoch.Add(recentHalfLife)))
+	var tracked failures
+	tracked.record(true, epoch)
+	is.Equal(tracked.recent(epoch.Add(recentHalfLife)), failureWeight/2)
+	is.True(tracked.recent(epoch.Add(recentHalfLife)) < tracked.current(epoch.Add(recentHalfLife)))
 }
 
-// Where all servers fail alike, the near one stays first.
-func TestServersThatFailAlikeAreChosenAsBefore(t *testing.T) {
+// If all servers fail equally, the local one stays first.
+func TestEqualFailuresDoNotChangeTheOrder(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	for _, endpoint := range directory.byID {
-		endpoint.failures = failures{share: 0.4, at: epoch, halfLife: failureHalfLife}
+		endpoint.failures = failures{share: 0.4, updatedAt: epoch, halfLife: failureHalfLife}
 	}
 	is.Equal(choose(t, directory, demand(established(20*time.Millisecond)), epoch).Server.ID, "near")
 }
 
-// Errors come quickly: they teach no time of work.
-func TestErrorsTeachNoTimeOfWork(t *testing.T) {
+// Errors return quickly and say nothing about the processing time.
+func TestEstimateIgnoresErrors(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"))
 	work := established(20 * time.Millisecond)
--- a/internal/endpoints/growth.go
+++ b/internal/endpoints/growth.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// shortGrowth is the growth since the list was read, in parts of it, that shows
-	// that it was short.
-	shortGrowth = 0.25
-	// growthPause is how long a list that was short has to stay as it is to be taken
-	// for whole; changes are read in batches.
+	// incompleteGrowth is the growth since the list was read, as a fraction of it, that
+	// shows that it was incomplete.
+	incompleteGrowth = 0.25
+	// growthPause is how long an incomplete list has to stay unchanged to be considered
+	// complete; changes are read in batches.
 	growthPause = 500 * time.Millisecond
 )
 
-// growth counts the servers of one service since its list was read after an outage
-// of the store. The zero value is a list without servers.
-type growth struct {
+// listGrowth counts the servers of one service since its list was read after a store
+// outage. The zero value is an empty list.
+type listGrowth struct {
 	// listed is how many servers were in the list, added how many have come since.
 	listed, added int
 	addedAt       time.Time
 }
 
-// add notes a server that is new.
-func (g *growth) add(now time.Time) {
+// add counts a new server.
+func (g *listGrowth) add(now time.Time) {
 	g.added++
 	g.addedAt = now
 }
 
-// join adds what is known of another service.
-func (g *growth) join(other growth) {
+// merge adds the counts of another service.
+func (g *listGrowth) merge(other listGrowth) {
 	g.listed += other.listed
 	g.added += other.added
 	if other.addedAt.After(g.addedAt) {
@@ -34,24 +34,24 @@
 	}
 }
 
-// growing reports whether the list was short and still grows.
-func (g *growth) growing(now time.Time) bool {
-	return float64(g.added) > shortGrowth*float64(g.listed) && now.Sub(g.addedAt) < growthPause
+// growing reports whether the list was incomplete and still grows.
+func (g *listGrowth) growing(now time.Time) bool {
+	return float64(g.added) > incompleteGrowth*float64(g.listed) && now.Sub(g.addedAt) < growthPause
 }
 
-// Growing reports whether the lists of the services are short taken together: the
-// few servers that are known would get the requests of all. Servers that come for
-// other services, as for the next version of an index, tell nothing of these, and a
-// node that has known servers before the outage still has them (see Withdraw).
+// Growing reports whether the lists of the services taken together are incomplete, so that
+// the few known servers would get all requests. Servers added to other services, such as
+// those of the next version of an index, do not count, and a node that knew servers before
+// the outage still has them (see Withdraw).
 func (d *Directory) Growing(services []string, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.firstList || !now.Before(d.settledAt) {
 		return false
 	}
-	var joint growth
+	var total listGrowth
 	for _, name := range services {
-		joint.join(d.service(name).growth)
+		total.merge(d.service(name).growth)
 	}
-	return joint.growing(now)
+	return total.growing(now)
 }
--- a/internal/endpoints/hedge.go
+++ b/internal/endpoints/hedge.go
@@ -6,70 +6,72 @@
 )
 
 const (
-	// hedgeMargin is what a hedge needs besides the times of work and travel.
+	// hedgeMargin is the time that a hedge needs besides processing and network.
 	hedgeMargin = 10 * time.Millisecond
-	// hedgeReserve is the time that is kept for a hedge's work, in units of that work.
+	// hedgeReserve is the time reserved for the processing of a hedge, in units of the
+	// processing time.
 	hedgeReserve = 1.5
 )
 
-// lateAfter returns when an answer is taken for late. Where only a server of
-// another region could take over, that is when the server seems to have stalled as
-// long as there is plenty of retry budget, and as late as leaves time for the other
-// one when there is none.
+// lateAfter returns when an answer is considered late. If only a server of another
+// region could take over, that is between two times, depending on the retry budget left:
+// with a full budget when the server seems to have stalled, and with none as late as
+// leaves time for the other server.
 func (d *Directory) lateAfter(endpoint *Endpoint, demand Demand, now time.Time) time.Duration {
-	late := endpoint.lateAfter(demand.Work, now) + d.travel(endpoint) + waitingSteps*demand.Delay
-	farTravel := d.farTravel(demand, endpoint, now)
-	stalled := time.Duration(stallFactor*float64(demand.Work.Mean())) + d.travel(endpoint)
-	// While another attempt can be in time, this one is not waited for beyond that, but
-	// until it seems to have stalled.
-	if needed := hedgeTime(demand.Work.Mean(), farTravel); demand.Left >= needed {
+	late := endpoint.lateAfter(demand.Work, now) + d.networkTime(endpoint) + schedulingDelays*demand.Delay
+	alternativeTime := d.alternativeNetworkTime(demand, endpoint, now)
+	stalled := time.Duration(stallFactor*float64(demand.Work.Mean())) + d.networkTime(endpoint)
+	// While another attempt can still be in time, this one is waited for only up to that
+	// point, but at least until it seems to have stalled.
+	if needed := hedgeTime(demand.Work.Mean(), alternativeTime); demand.Left >= needed {
 		late = min(late, max(demand.Left-needed, stalled))
 	}
-	if d.hasNear(demand, endpoint, now) {
+	if d.hasLocalAlternative(demand, endpoint, now) {
 		return late
 	}
-	latest := max(late, demand.Left-hedgeTime(demand.Work.Late(), farTravel))
+	latest := max(late, demand.Left-hedgeTime(demand.Work.Late(), alternativeTime))
 	earliest := min(max(late, stalled), latest)
 	return latest - time.Duration(d.service(demand.Service).extra.Fullness(d.budget, now)*float64(latest-earliest))
 }
 
-// hedgeTime returns what a hedge needs.
-func hedgeTime(work, travel time.Duration) time.Duration {
-	return time.Duration(hedgeReserve*float64(work)) + travel + hedgeMargin
+// hedgeTime returns the time that a hedge needs.
+func hedgeTime(processing, network time.Duration) time.Duration {
+	return time.Duration(hedgeReserve*float64(processing)) + network + hedgeMargin
 }
 
-// farTravel returns the least travel to a server besides the one given and those
-// tried, that of another region with an idle connection if there is no other.
-func (d *Directory) farTravel(demand Demand, except *Endpoint, now time.Time) time.Duration {
+// alternativeNetworkTime returns the least network time to another eligible server, but at
+// least that of another region with an idle connection, which is also the result if there
+// is none.
+func (d *Directory) alternativeNetworkTime(demand Demand, except *Endpoint, now time.Time) time.Duration {
 	least := time.Duration(0)
 	for _, other := range d.service(demand.Service).endpoints {
-		if other == except || !d.takes(other, demand, now) {
+		if other == except || !d.eligible(other, demand, now) {
 			continue
 		}
-		travel := d.travel(other)
-		if travel <= otherRegionRoundTrip {
+		network := d.networkTime(other)
+		if network <= otherRegionRoundTrip {
 			return otherRegionRoundTrip
 		}
-		if least == 0 || travel < least {
-			least = travel
+		if least == 0 || network < least {
+			least = network
 		}
 	}
 	return max(least, otherRegionRoundTrip)
 }
 
-// hasNear reports whether a preferred server is there besides the one given and
+// hasLocalAlternative reports whether there is a preferred server besides the one given and
 // those tried.
-func (d *Directory) hasNear(demand Demand, except *Endpoint, now time.Time) bool {
+func (d *Directory) hasLocalAlternative(demand Demand, except *Endpoint, now time.Time) bool {
 	return slices.ContainsFunc(d.service(demand.Service).endpoints, func(other *Endpoint) bool {
-		return other != except && other.site.near && d.takes(other, demand, now) && !other.backsOff(now) &&
+		return other != except && other.location.local && d.eligible(other, demand, now) && !other.backingOff(now) &&
 			preferred(other, d.expected(other, demand, now), demand.Left, now)
 	})
 }
 
-// maximumLateFactor bounds how much longer a slow server is waited for.
-const maximumLateFactor = 2.0
+// maxLateFactor bounds how much longer an answer of a slow server is waited for.
+const maxLateFactor = 2.0
 
 func (e *Endpoint) lateAfter(estimate *Estimate, now time.Time) time.Duration {
-	factor := min(max(e.currentSlowness(now), 1), maximumLateFactor)
+	factor := min(max(e.currentSlowness(now), 1), maxLateFactor)
 	return time.Duration(float64(estimate.Late()) * factor)
 }
--- a/internal/endpoints/learn_test.go
+++ b/internal/endpoints/learn_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// observation is one answer: when its request was sent, when it ended, and the
-// ratio of its time to the usual one.
+// observation is one answer: when its request was sent and ended, and the ratio of its
+// time to the usual one.
 type observation struct {
 	sent, ended time.Duration
 	ratio       float64
@@ -21,9 +21,9 @@
 		observations []observation
 		low, high    float64
 	}{
-		{"one long answer counts for little", []observation{{0, 100 * ms, 8}}, 2, 4},
-		{"a second slow one counts in full", []observation{{0, 100 * ms, 8}, {110 * ms, 200 * ms, 7}}, 6.9, 7.1},
-		{"answers held up by one pause are one observation",
+		{"one long answer has little weight", []observation{{0, 100 * ms, 8}}, 2, 4},
+		{"a second slow one has full weight", []observation{{0, 100 * ms, 8}, {110 * ms, 200 * ms, 7}}, 6.9, 7.1},
+		{"answers delayed by one pause are one observation",
 			[]observation{{0, 300 * ms, 8}, {50 * ms, 300 * ms, 7}}, 2, 5},
 		{"two quick answers in a row end it",
 			[]observation{{0, 100 * ms, 8}, {110 * ms, 200 * ms, 7}, {210 * ms, 220 * ms, 1}, {230 * ms, 240 * ms, 1}}, 0.9, 1.1},
@@ -54,7 +54,7 @@
 		now = now.Add(100 * time.Millisecond)
 		endpoint.learn(8, sent, now)
 	}
-	is.Equal(endpoint.halfLife, longestHalfLife)
+	is.Equal(endpoint.halfLife, maxSlownessHalfLife)
 	for range 2 {
 		sent := now
 		now = now.Add(10 * time.Millisecond)
@@ -63,8 +63,8 @@
 	is.Equal(endpoint.halfLife, slownessHalfLife)
 }
 
-// A wrong first guess of a route's work is no slowness of its servers.
-func TestRouteThatTakesLongerThanGuessed(t *testing.T) {
+// An initial estimate that is too low does not make the servers look slow.
+func TestLongerProcessingThanEstimatedIsNoSlowness(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"))
 	work := NewEstimate(20 * time.Millisecond)
@@ -78,20 +78,20 @@
 	is.True(work.Mean() > 150*time.Millisecond)
 }
 
-func TestKnownSlowNearServerIsPreferredLess(t *testing.T) {
+func TestSlowLocalServerIsPreferredLess(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := NewEstimate(20 * time.Millisecond)
 	slow := directory.byID["near"]
-	slow.slowness, slow.slownessAt = 4, epoch // 80 ms of 200 that are left
+	slow.slowness, slow.slownessUpdatedAt = 4, epoch // 80 of the 200 ms left
 	is.Equal(choose(t, directory, demand(work), epoch).Server.ID, "far")
 	patient := demand(work)
 	patient.Left = time.Second
 	is.Equal(choose(t, directory, patient, epoch).Server.ID, "near")
 }
 
-// What slow servers take is no time of work: the answers of ordinary ones tell it.
-func TestSlowServersTeachNoTimeOfWork(t *testing.T) {
+// The processing time is learned from the answers of ordinary servers, not of slow ones.
+func TestEstimateIgnoresSlowServers(t *testing.T) {
 	is := is.New(t)
 	work := established(20 * time.Millisecond)
 	for range 30 {
@@ -102,19 +102,19 @@
 	is.True(work.Late() <= 40*time.Millisecond)
 }
 
-// Requests that take longer at all servers are learned.
-func TestWorkThatGrowsAtAllServersIsLearned(t *testing.T) {
+// The estimate follows when requests take longer at all servers.
+func TestEstimateFollowsSlowdownOfAllServers(t *testing.T) {
 	is := is.New(t)
 	work := established(20 * time.Millisecond)
-	for range longestLeft + 100 {
+	for range maxSkipped + 100 {
 		work.observe(200*time.Millisecond, true)
 	}
 	is.True(work.Mean() > 150*time.Millisecond)
 }
 
-// A hedge leaves while its answer can be in time, also where some requests take longer
-// than that.
-func TestHedgeLeavesWhileItCanHelp(t *testing.T) {
+// A hedge is sent while its answer can still be in time, even if the hedge quantile of the
+// processing time is later.
+func TestHedgeIsSentWhileItCanHelp(t *testing.T) {
 	for _, zone := range []string{"near-2", "far-1"} {
 		is := is.New(t)
 		directory := directoryOf(server("near", "near-1"), server("other", zone))
@@ -122,11 +122,11 @@
 		work.quantile = 150 * time.Millisecond
 		choice := choose(t, directory, demand(work), epoch)
 		is.Equal(choice.Server.ID, "near")
-		is.True(choice.LateAfter <= 140*time.Millisecond) // of 200 that are left
+		is.True(choice.LateAfter <= 140*time.Millisecond) // of the 200 ms left
 		is.True(choice.LateAfter >= 50*time.Millisecond)
 		late := demand(work)
 		late.Left = 20 * time.Millisecond
 		directory.Finish(choice, work, ResultUnused, epoch)
-		is.True(choose(t, directory, late, epoch).LateAfter >= 150*time.Millisecond) // as the work tells
+		is.True(choose(t, directory, late, epoch).LateAfter >= 150*time.Millisecond) // the quantile
 	}
 }
--- a/internal/endpoints/listed.go
+++ b/internal/endpoints/listed.go
@@ -2,7 +2,7 @@
 
 import "github.com/driftstage/driftstage/internal/catalog"
 
-// Differences returns the changes that lead from the servers that are listed to others.
+// Differences returns the changes that turn the listed servers into the given ones.
 func (d *Directory) Differences(servers []Server) []catalog.Change[Server] {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -10,7 +10,7 @@
 	listed := make(map[string]bool, len(servers))
 	for _, server := range servers {
 		listed[server.ID] = true
-		if known, found := d.byID[server.ID]; !found || !known.goneAt.IsZero() || known.Server != server {
+		if known, found := d.byID[server.ID]; !found || !known.removeAt.IsZero() || known.Server != server {
 			changes = append(changes, catalog.Change[Server]{Name: server.ID, Value: server})
 		}
 	}
@@ -22,8 +22,8 @@
 	return changes
 }
 
-// ListedServers returns the servers that the list holds: those that were missing in the latest
-// one, and are kept only until it is whole, are left out.
+// ListedServers returns the servers of the latest list, without those that were missing in it
+// and are kept only until it is complete.
 func (d *Directory) ListedServers() []Server {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/endpoints/listed_test.go
+++ b/internal/endpoints/listed_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// A server that is kept only until the list is whole is not told to others as one that
-// is listed: nothing would tell them later that it is gone.
-func TestServersThatRanOutAreNotListed(t *testing.T) {
+// A server that is kept only until the list is complete is not passed on to other nodes as
+// listed: they would never learn that it has ended.
+func TestExpiredServersAreNotListed(t *testing.T) {
 	is := is.New(t)
 	all := someServers(8)
 	directory := directoryOf(all...)
@@ -23,8 +23,8 @@
 	is.Equal(len(directory.ListedServers()), 3)
 }
 
-// What a list changes leads from the servers that are known to those of the list.
-func TestDifferencesLeadToTheList(t *testing.T) {
+// Applying the differences turns the known servers into those of the list.
+func TestDifferencesYieldTheList(t *testing.T) {
 	is := is.New(t)
 	directory, follower := New(testTopology(), nil), New(testTopology(), nil)
 	all := make([]Server, 1000)
--- a/internal/endpoints/prospect.go
+++ b/internal/endpoints/prospect.go
@@ -6,25 +6,24 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// Prospect is what a request has to expect of one service.
+// Prospect is the expected reliability of one service for a request.
 type Prospect struct {
-	// Failing is the share of requests that the most reliable of its servers has failed or
-	// refused lately.
+	// Failing is the share of requests that the most reliable server of the service
+	// failed or refused recently.
 	Failing float64
-	// Extra is how many sends beyond the first the retry budget allows; it may be
+	// Extra is how many sends after the first the retry budget allows; it may be
 	// negative.
 	Extra float64
 }
 
-// Prospect returns what a request of the route that starts now has to expect of the
-// service. Servers of which nothing is known, or nothing was heard for long, are taken
-// to be reliable.
+// Prospect returns the expected reliability of the service for a request of the route that
+// starts now. Servers without recent observations are assumed to be reliable.
 func (d *Directory) Prospect(name string, route *routing.Route, now time.Time) Prospect {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	prospect := Prospect{Failing: 1, Extra: d.service(name).extra.Left(d.budget, now)}
-	for _, endpoint := range d.usable(name) {
-		if endpoint.open() && d.allowed(endpoint, route) {
+	for _, endpoint := range d.currentlyAdmitted(name) {
+		if endpoint.serving() && d.allowed(endpoint, route) {
 			prospect.Failing = min(prospect.Failing, endpoint.failures.recent(now))
 		}
 	}
--- a/internal/endpoints/prospect_test.go
+++ b/internal/endpoints/prospect_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// What a service is expected to fail is the share of its most reliable server, and is
-// forgotten; what was sent beyond the first sends is off its budget.
+// The expected failure share of a service is that of its most reliable server and decays;
+// extra sends reduce its retry budget.
 func TestProspectIsThatOfTheMostReliableServer(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
@@ -16,7 +16,7 @@
 	is.Equal(directory.Prospect("s", nil, epoch), Prospect{Extra: 10})
 	near := choose(t, directory, demand(work), epoch)
 	directory.Finish(near, work, ResultRefused, epoch)
-	is.Equal(directory.Prospect("s", nil, epoch).Failing, 0.0) // the far one has refused nothing
+	is.Equal(directory.Prospect("s", nil, epoch).Failing, 0.0) // the other one has refused nothing
 	second := demand(work, near.Endpoint)
 	second.Extra = true
 	directory.Finish(choose(t, directory, second, epoch), work, ResultRefused, epoch)
@@ -24,7 +24,7 @@
 	is.True(directory.Prospect("s", nil, epoch.Add(10*failureHalfLife)).Failing < 0.01)
 }
 
-// A service without servers fails all requests.
+// A service without servers is expected to fail all requests.
 func TestProspectWithoutServers(t *testing.T) {
 	is.New(t).Equal(directoryOf().Prospect("s", nil, epoch).Failing, 1.0)
 }
--- a/internal/endpoints/reachability.go
+++ b/internal/endpoints/reachability.go
@@ -6,57 +6,58 @@
 )
 
 const (
-	// silentServers is how many servers of a zone have to be silent with no sign of life
-	// from any other there for the zone to be out of reach. Servers pause, hang or crash
-	// one by one; a node asks a dozen of a near zone at a time.
-	silentServers = 3
-	// silenceTime is how long a request has to be under way to show that its server is
-	// silent: longer than servers pause and than this node is busy now and then. Where a
-	// request that was late already (after 40 to 90 ms) passed for silence, zones were
-	// left out for moments, which cost 0.006 of what answers are worth.
-	silenceTime = 250 * time.Millisecond
-	// heardTime is for how long a sign of life shows that there is a way to a zone.
-	heardTime = 500 * time.Millisecond
-	// cutOffTime is how long nothing has to be heard of any other zone for this node to
-	// be cut off. It is several times what a probe takes.
-	cutOffTime = time.Second
+	// minUnresponsive is how many servers of a zone have to be unresponsive, with no
+	// response from any other server there, for the zone to be unreachable. Servers pause,
+	// hang or crash one by one; a node has a dozen requests in flight to a zone of its
+	// region at a time.
+	minUnresponsive = 3
+	// unresponsiveAfter is how long a request has to be in flight to show that its server is
+	// unresponsive: longer than servers pause and than this node is occasionally busy.
+	// When requests that were merely late (40 to 90 ms) counted, zones were briefly left
+	// out, which cost 0.006 of the value of the answers.
+	unresponsiveAfter = 250 * time.Millisecond
+	// probeAfter is how long a response shows that a zone is reachable.
+	probeAfter = 500 * time.Millisecond
+	// isolationTime is how long no other zone has to respond for this node to be
+	// isolated. It is several times the duration of a probe.
+	isolationTime = time.Second
 )
 
-// reach is what is known of the way to one zone.
-type reach struct {
-	// heardAt is when a server of the zone last gave a sign of life.
-	heardAt time.Time
-	// mute are the servers that have been silent since then.
-	mute []string
+// reachability tracks whether servers of one zone respond.
+type reachability struct {
+	// lastResponseAt is when a server of the zone last responded in any way.
+	lastResponseAt time.Time
+	// unresponsive are the IDs of the servers found unresponsive since then.
+	unresponsive []string
 }
 
-// silent reports whether the zone is out of reach.
-func (r *reach) silent() bool { return len(r.mute) >= silentServers }
+// unreachable reports whether the zone is unreachable.
+func (r *reachability) unreachable() bool { return len(r.unresponsive) >= minUnresponsive }
 
-// hear notes a sign of life.
-func (r *reach) hear(now time.Time) {
-	r.heardAt = now
-	r.mute = nil
+// recordResponse records a response from the zone.
+func (r *reachability) recordResponse(now time.Time) {
+	r.lastResponseAt = now
+	r.unresponsive = nil
 }
 
-// noteMute notes that a server is silent.
-func (r *reach) noteMute(id string) {
-	if !r.silent() && !slices.Contains(r.mute, id) {
-		r.mute = append(r.mute, id)
+// addUnresponsive records that a server is unresponsive.
+func (r *reachability) addUnresponsive(id string) {
+	if !r.unreachable() && !slices.Contains(r.unresponsive, id) {
+		r.unresponsive = append(r.unresponsive, id)
 	}
 }
 
-func (d *Directory) reach(zone string) *reach {
-	found := d.reaches[zone]
+func (d *Directory) reachability(zone string) *reachability {
+	found := d.zones[zone]
 	if found == nil {
-		found = &reach{}
-		d.reaches[zone] = found
+		found = &reachability{}
+		d.zones[zone] = found
 	}
 	return found
 }
 
-// heard reports whether the result shows that there is a way to the server.
-func (r Result) heard() bool {
+// responded reports whether the result shows that the server's zone is reachable.
+func (r Result) responded() bool {
 	switch r {
 	case ResultAnswered, ResultErred, ResultRefused, ResultReset, ResultForeign:
 		return true
@@ -64,36 +65,36 @@
 	return false
 }
 
-// NoteHeard notes that there is a way to the zone.
+// NoteHeard records that the zone is reachable.
 func (d *Directory) NoteHeard(zone string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.reach(zone).hear(now)
+	d.reachability(zone).recordResponse(now)
 }
 
-// OutOfReach reports whether there is no way to the zone of a server that a request
-// waits for: its answer is not worth waiting for. A request that was sent before the
-// zone's last sign of life, or only just, says nothing of that.
+// OutOfReach reports whether the zone of a server with a request in flight is unreachable,
+// so that the answer is not worth waiting for. A request that was sent before the
+// zone's last response, or too recently, is no evidence of that.
 func (d *Directory) OutOfReach(endpoint *Endpoint, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	way := d.reach(endpoint.Zone)
-	silent := func(sent time.Time) bool {
-		return sent.After(way.heardAt) && now.Sub(sent) >= silenceTime
+	zone := d.reachability(endpoint.Zone)
+	unresponsive := func(sent time.Time) bool {
+		return sent.After(zone.lastResponseAt) && now.Sub(sent) >= unresponsiveAfter
 	}
-	if slices.ContainsFunc(endpoint.underWay, silent) {
-		way.noteMute(endpoint.ID)
+	if slices.ContainsFunc(endpoint.inFlight, unresponsive) {
+		zone.addUnresponsive(endpoint.ID)
 	}
-	return way.silent()
+	return zone.unreachable()
 }
 
-// SilentZones returns the zones that are out of reach, in order.
+// SilentZones returns the unreachable zones in sorted order.
 func (d *Directory) SilentZones() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var zones []string
-	for zone, way := range d.reaches {
-		if way.silent() {
+	for zone, state := range d.zones {
+		if state.unreachable() {
 			zones = append(zones, zone)
 		}
 	}
@@ -101,27 +102,27 @@
 	return zones
 }
 
-// CutOff reports whether nothing is heard of any other zone than the node's own, as
-// far as one is known to be out of reach.
+// CutOff reports whether this node is isolated: no zone other than its own responds, and
+// at least one is known to be unreachable.
 func (d *Directory) CutOff(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	silent := false
-	for zone, way := range d.reaches {
+	unreachable := false
+	for zone, state := range d.zones {
 		if zone == d.topology.Own.Zone {
 			continue
 		}
-		if now.Sub(way.heardAt) < cutOffTime {
+		if now.Sub(state.lastResponseAt) < isolationTime {
 			return false
 		}
-		silent = silent || way.silent()
+		unreachable = unreachable || state.unreachable()
 	}
-	return silent
+	return unreachable
 }
 
-// Probes returns a server of each zone of which nothing was heard lately, as long as one
-// zone is out of reach: whether there is a way must be known without a request at stake,
-// also to zones that no request happens to go to.
+// Probes returns a server of each zone without recent response while any zone is
+// unreachable. Probes find out whether a zone is reachable without risking a request, also
+// for zones that currently get no requests.
 func (d *Directory) Probes(now time.Time) []Server {
 	if len(d.SilentZones()) == 0 {
 		return nil
@@ -129,9 +130,9 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	byZone := make(map[string]Server)
-	// The order of a map's keys is random: each time another server is asked.
+	// Map iteration order is random, so each call picks another server.
 	for _, endpoint := range d.byID {
-		if now.Sub(d.reach(endpoint.Zone).heardAt) >= heardTime && endpoint.open() {
+		if now.Sub(d.reachability(endpoint.Zone).lastResponseAt) >= probeAfter && endpoint.serving() {
 			byZone[endpoint.Zone] = endpoint.Server
 		}
 	}
--- a/internal/endpoints/restored.go
+++ b/internal/endpoints/restored.go
@@ -6,55 +6,57 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// departure is a server that has gone.
-type departure struct {
+// retiredServer is a server that has ended.
+type retiredServer struct {
 	created catalog.Revision
-	at      time.Time
+	endedAt time.Time
 }
 
-// doubt is an entry of a restored list that tells a server to be ready that is known to leave or to
-// have gone: it may be older than that.
-type doubt struct {
+// unconfirmedEntry is an entry of a restored list that shows a server as ready although it is known
+// to be draining or to have ended: the entry may be from before that.
+type unconfirmedEntry struct {
 	entry Server
-	// until is when the entry counts if it is still there: that of a server that has ended runs
-	// out before.
+	// until is when the entry takes effect if it still exists: that of a server that has ended
+	// expires before.
 	until time.Time
 }
 
-// depart forgets a server that has gone; the mutex is held.
-func (d *Directory) depart(endpoint *Endpoint, now time.Time) {
+// retire removes a server that has ended and remembers it; the mutex is held.
+func (d *Directory) retire(endpoint *Endpoint, now time.Time) {
 	d.remove(endpoint)
-	d.departed[endpoint.incarnation] = departure{created: endpoint.Created, at: now}
+	d.retired[endpoint.incarnation] = retiredServer{created: endpoint.Created, endedAt: now}
 }
 
-// ReplaceRestored takes the list of a registry that has come back from a copy and returns the
-// incarnations that have ended. Servers that the copy lacks have the time to enter themselves
-// again that they have after an outage. Entries that the copy has brought back count once they
-// have been there for as long.
+// ReplaceRestored applies the list of a registry that was restored from a copy and returns the
+// incarnations that have ended. Servers that the copy lacks have as much time to register
+// again as after an outage. Entries that the copy has brought back take effect once they
+// have existed for as long.
 func (d *Directory) ReplaceRestored(servers []Server, now time.Time) []string {
-	ended := d.putAll(d.credible(servers, now), now)
+	ended := d.putAll(d.consistent(servers, now), now)
 	d.markUnlisted(servers, now)
-	d.unsettle(false, now)
+	d.startSettling(false, now)
 	return ended
 }
 
-// credible returns the servers without those that contradict what is known, and keeps these.
-func (d *Directory) credible(servers []Server, now time.Time) []Server {
+// consistent returns the servers that do not contradict the known state and stores the others
+// as unconfirmed.
+func (d *Directory) consistent(servers []Server, now time.Time) []Server {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	clear(d.doubted)
-	var credible []Server
+	clear(d.unconfirmed)
+	var consistent []Server
 	for _, server := range servers {
 		if d.contradicts(server) {
-			d.doubted[server.ID] = doubt{entry: server, until: now.Add(settleTime)}
+			d.unconfirmed[server.ID] = unconfirmedEntry{entry: server, until: now.Add(settleTime)}
 		} else {
-			credible = append(credible, server)
+			consistent = append(consistent, server)
 		}
 	}
-	return credible
+	return consistent
 }
 
-// contradicts reports whether the server tells to be ready and is known to leave or to have gone.
+// contradicts reports whether the entry shows the server as ready although it is known to be
+// draining or to have ended.
 func (d *Directory) contradicts(server Server) bool {
 	if server.Draining {
 		return false
@@ -62,79 +64,79 @@
 	if known, found := d.byID[server.ID]; found {
 		return known.Draining && !server.bornAfter(known.Server)
 	}
-	_, departed := d.departed[server.Incarnation()]
-	return departed
+	_, ended := d.retired[server.Incarnation()]
+	return ended
 }
 
-// doubts reports whether an entry is one that does not count yet. One that has changed shows that
-// its server lives on.
-func (d *Directory) doubts(server Server, now time.Time) bool {
-	doubted, found := d.doubted[server.ID]
+// isUnconfirmed reports whether an entry has no effect yet. A changed entry shows that its server is
+// alive.
+func (d *Directory) isUnconfirmed(server Server, now time.Time) bool {
+	unconfirmed, found := d.unconfirmed[server.ID]
 	if !found {
 		return false
 	}
-	if doubted.entry == server && now.Before(doubted.until) {
+	if unconfirmed.entry == server && now.Before(unconfirmed.until) {
 		return true
 	}
-	delete(d.doubted, server.ID)
+	delete(d.unconfirmed, server.ID)
 	return false
 }
 
-// ContradictionCount returns how many entries don't count because they contradict what is known,
-// and how many servers are missing in the list and kept for a while.
-func (d *Directory) ContradictionCount() (doubted, missing int) {
+// ContradictionCount returns how many entries have no effect yet because they contradict the known
+// state, and how many servers are missing in the list and temporarily kept.
+func (d *Directory) ContradictionCount() (unconfirmed, missing int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, endpoint := range d.byID {
-		if !endpoint.goneAt.IsZero() {
+		if !endpoint.removeAt.IsZero() {
 			missing++
 		}
 	}
-	return len(d.doubted), missing
+	return len(d.unconfirmed), missing
 }
 
-// settleDoubts takes in the entries that have been there for long enough, and forgets servers that
-// have been gone for long.
-func (d *Directory) settleDoubts(now time.Time) {
-	for _, server := range d.trusted(now) {
+// applyConfirmed applies the entries that have existed for long enough, and forgets servers that
+// ended long ago.
+func (d *Directory) applyConfirmed(now time.Time) {
+	for _, server := range d.confirmed(now) {
 		d.Put(server, now)
 	}
-	d.forgetDepartures(now)
+	d.forgetRetired(now)
 }
 
-func (d *Directory) forgetDepartures(now time.Time) {
+func (d *Directory) forgetRetired(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for incarnation, gone := range d.departed {
-		if now.Sub(gone.at) > catalog.OldestCopy {
-			delete(d.departed, incarnation)
+	for incarnation, retired := range d.retired {
+		if now.Sub(retired.endedAt) > catalog.OldestCopy {
+			delete(d.retired, incarnation)
 		}
 	}
 }
 
-// trusted returns the entries that count from now on.
-func (d *Directory) trusted(now time.Time) []Server {
+// confirmed returns the unconfirmed entries that take effect from now on.
+func (d *Directory) confirmed(now time.Time) []Server {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var servers []Server
-	for _, doubted := range d.doubted {
-		if !now.Before(doubted.until) {
-			servers = append(servers, doubted.entry)
+	for _, unconfirmed := range d.unconfirmed {
+		if !now.Before(unconfirmed.until) {
+			servers = append(servers, unconfirmed.entry)
 		}
 	}
 	return servers
 }
 
-// listed returns the entries as the list holds them; the mutex is held.
+// listed returns the entries of the latest list; the mutex is held.
 func (d *Directory) listed() []Server {
-	servers := make([]Server, 0, len(d.byID)+len(d.doubted))
+	servers := make([]Server, 0, len(d.byID)+len(d.unconfirmed))
 	for id, endpoint := range d.byID {
-		if _, doubted := d.doubted[id]; !doubted && endpoint.goneAt.IsZero() {
+		if _, unconfirmed := d.unconfirmed[id]; !unconfirmed && endpoint.removeAt.IsZero() {
 			servers = append(servers, endpoint.Server)
 		}
 	}
-	for _, doubted := range d.doubted {
-		servers = append(servers, doubted.entry)
+	for _, unconfirmed := range d.unconfirmed {
+		servers = append(servers, unconfirmed.entry)
 	}
 	return servers
 }
--- a/internal/endpoints/restored_test.go
+++ b/internal/endpoints/restored_test.go
@@ -10,11 +10,11 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// takers returns the ids of the servers that may get requests.
-func takers(directory *Directory, now time.Time) []string {
+// eligibleIDs returns the IDs of the servers that may get requests.
+func eligibleIDs(directory *Directory, now time.Time) []string {
 	var ids []string
 	for _, endpoint := range directory.service("s").endpoints {
-		if directory.takes(endpoint, demand(NewEstimate(20*time.Millisecond)), now) {
+		if directory.eligible(endpoint, demand(NewEstimate(20*time.Millisecond)), now) {
 			ids = append(ids, endpoint.ID)
 		}
 	}
@@ -22,9 +22,9 @@
 	return ids
 }
 
-// Guards against requests to servers that leave or have ended, which the entries of a restored list
-// tell to be ready again.
-func TestEntriesThatACopyBringsBackAreDoubted(t *testing.T) {
+// Guards against requests to servers that are draining or have ended but are ready again according
+// to a restored list.
+func TestContradictingEntriesOfACopyAreUnconfirmed(t *testing.T) {
 	is := is.New(t)
 	all := someServers(4)
 	directory := directoryOf(all...)
@@ -32,39 +32,39 @@
 	leaving.Draining = true
 	directory.Put(leaving, epoch)
 	directory.Withdraw("i-1", epoch)
-	is.Equal(takers(directory, epoch), []string{"i-2", "i-3"})
+	is.Equal(eligibleIDs(directory, epoch), []string{"i-2", "i-3"})
 	directory.ReplaceRestored(all, epoch.Add(time.Second))
 	now := epoch.Add(time.Second + settleTime - time.Millisecond)
-	is.Equal(takers(directory, now), []string{"i-2", "i-3"})
-	directory.ReplaceAfterOutage(all, now) // once more the same entries
+	is.Equal(eligibleIDs(directory, now), []string{"i-2", "i-3"})
+	directory.ReplaceAfterOutage(all, now) // the same entries again
 	directory.DropUnlisted(now)
-	is.Equal(takers(directory, now), []string{"i-2", "i-3"})
-	is.Equal(len(directory.ListedServers()), 4) // others are told what the list holds
-	directory.Withdraw("i-1", now)              // it runs out
+	is.Equal(eligibleIDs(directory, now), []string{"i-2", "i-3"})
+	is.Equal(len(directory.ListedServers()), 4) // other nodes get the list unchanged
+	directory.Withdraw("i-1", now)              // its entry expires
 	directory.DropUnlisted(now.Add(time.Millisecond))
-	is.Equal(takers(directory, now.Add(time.Millisecond)), []string{"i-0", "i-2", "i-3"})
+	is.Equal(eligibleIDs(directory, now.Add(time.Millisecond)), []string{"i-0", "i-2", "i-3"})
 }
 
-// An entry that its server has written since counts at once.
-func TestServerThatWritesAgainLivesOn(t *testing.T) {
+// An entry that its server has written since takes effect at once.
+func TestChangedEntryIsConfirmedAtOnce(t *testing.T) {
 	is := is.New(t)
 	all := someServers(3)
 	directory := directoryOf(all...)
 	directory.Withdraw("i-0", epoch)
 	directory.ReplaceRestored(all, epoch.Add(time.Second))
-	is.Equal(takers(directory, epoch.Add(time.Second)), []string{"i-1", "i-2"})
+	is.Equal(eligibleIDs(directory, epoch.Add(time.Second)), []string{"i-1", "i-2"})
 	written := all[0]
 	written.ColdRemaining = time.Second
 	directory.Put(written, epoch.Add(1500*time.Millisecond))
-	is.Equal(takers(directory, epoch.Add(1500*time.Millisecond)), []string{"i-0", "i-1", "i-2"})
+	is.Equal(eligibleIDs(directory, epoch.Add(1500*time.Millisecond)), []string{"i-0", "i-1", "i-2"})
 }
 
-// Guards against servers that are forgotten because the copy is from before their start.
+// Guards against the removal of servers that are missing because the copy predates their start.
 func TestServersThatACopyLacksAreKeptForAWhile(t *testing.T) {
 	is := is.New(t)
 	all := someServers(8)
 	directory := directoryOf(all...)
-	is.Equal(len(directory.ReplaceRestored(all[:7], epoch)), 0) // one of eight is no mass lapse
+	is.Equal(len(directory.ReplaceRestored(all[:7], epoch)), 0) // one of eight is no mass expiry
 	is.Equal(directory.Count(), 8)
 	directory.Put(all[7], epoch.Add(time.Second))
 	is.Equal(len(directory.DropUnlisted(epoch.Add(settleTime))), 0)
@@ -72,7 +72,7 @@
 	is.Equal(directory.DropUnlisted(epoch.Add(time.Minute+settleTime)), []string{"i-0"})
 }
 
-// Guards against a live server that is taken out of use by an old entry with its address.
+// Guards against a live server being taken out of use by an old entry with its address.
 func TestOldEntryDoesNotTakeALiveServersAddress(t *testing.T) {
 	is := is.New(t)
 	older, newer := server("i-old", "near-1"), server("i-new", "near-1")
@@ -85,5 +85,5 @@
 	now := epoch.Add(settleTime)
 	directory.Put(newer, now)
 	directory.DropUnlisted(now)
-	is.True(slices.Contains(takers(directory, now), "i-new"))
+	is.True(slices.Contains(eligibleIDs(directory, now), "i-new"))
 }
--- a/internal/endpoints/restored_zones.go
+++ b/internal/endpoints/restored_zones.go
@@ -7,69 +7,70 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// zoneDoubt is what a restored list tells of a zone, against what is known.
-type zoneDoubt struct {
+// unconfirmedZone is the state of a zone in a restored list that contradicts the known state.
+type unconfirmedZone struct {
 	evacuated bool
 	until     time.Time
 }
 
-// ReplaceEvacuatedRestored takes the zones whose servers get nothing new from a registry that has
-// come back from a copy. Until operators have had the time to write again, an evacuation that the copy
-// lacks goes on, and one that has ended stays so.
+// ReplaceEvacuatedRestored applies the evacuated zones of a registry that was restored from a copy.
+// Until operators have had the time to repeat their changes, an evacuation that the copy lacks goes
+// on, and one that has ended does not start again.
 func (d *Directory) ReplaceEvacuatedRestored(zones []string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	clear(d.doubtedZones)
+	clear(d.unconfirmedZones)
 	for zone := range d.evacuated {
 		if !slices.Contains(zones, zone) {
-			d.doubtedZones[zone] = zoneDoubt{evacuated: false, until: now.Add(catalog.RewriteTime)}
+			d.unconfirmedZones[zone] = unconfirmedZone{evacuated: false, until: now.Add(catalog.RewriteTime)}
 		}
 	}
 	for _, zone := range zones {
 		if ended, known := d.readmitted[zone]; known && !d.evacuated[zone] && now.Sub(ended) < catalog.OldestCopy {
-			d.doubtedZones[zone] = zoneDoubt{evacuated: true, until: now.Add(catalog.RewriteTime)}
+			d.unconfirmedZones[zone] = unconfirmedZone{evacuated: true, until: now.Add(catalog.RewriteTime)}
 		} else {
 			d.evacuated[zone] = true
 		}
 	}
 }
 
-// doubtsZone reports whether a list that tells this of the zone does not count yet; the mutex is
-// held.
-func (d *Directory) doubtsZone(zone string, evacuated bool) bool {
-	doubted, found := d.doubtedZones[zone]
-	return found && doubted.evacuated == evacuated
+// isUnconfirmedZone reports whether this state of the zone in a list has no effect yet; the mutex
+// is held.
+func (d *Directory) isUnconfirmedZone(zone string, evacuated bool) bool {
+	unconfirmed, found := d.unconfirmedZones[zone]
+	return found && unconfirmed.evacuated == evacuated
 }
 
-// settleZones takes in what the list still tells once operators have had the time to write again.
-func (d *Directory) settleZones(now time.Time) {
+// applyConfirmedZones applies what the list still contains once operators have had the time to
+// repeat their changes.
+func (d *Directory) applyConfirmedZones(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for zone, doubted := range d.doubtedZones {
+	for zone, unconfirmed := range d.unconfirmedZones {
 		switch {
-		case now.Before(doubted.until):
+		case now.Before(unconfirmed.until):
 			continue
-		case doubted.evacuated:
+		case unconfirmed.evacuated:
 			d.evacuated[zone] = true
 		default:
 			d.readmit(zone, now)
 		}
-		delete(d.doubtedZones, zone)
+		delete(d.unconfirmedZones, zone)
 	}
 }
 
-// ListedEvacuated returns the evacuated zones as the registry holds them, in order.
+// ListedEvacuated returns the evacuated zones of the registry's list in sorted order.
 func (d *Directory) ListedEvacuated() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var zones []string
 	for zone := range d.evacuated {
-		if !d.doubtsZone(zone, false) {
+		if !d.isUnconfirmedZone(zone, false) {
 			zones = append(zones, zone)
 		}
 	}
-	for zone, doubted := range d.doubtedZones {
-		if doubted.evacuated {
+	for zone, unconfirmed := range d.unconfirmedZones {
+		if unconfirmed.evacuated {
 			zones = append(zones, zone)
 		}
 	}
--- a/internal/endpoints/restored_zones_test.go
+++ b/internal/endpoints/restored_zones_test.go
@@ -9,9 +9,9 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// Guards against requests to a zone that is being emptied, and against one that stays empty, because
-// the registry was restored from before the operators' word.
-func TestEvacuationsAreKeptUntilOperatorsHaveWrittenAgain(t *testing.T) {
+// Guards against requests to an evacuated zone, and against a readmitted zone without requests,
+// because the registry was restored from a copy that predates the operators' changes.
+func TestEvacuationsAreKeptUntilOperatorsCanRepeatThem(t *testing.T) {
 	is := is.New(t)
 	directory := New(testTopology(), nil)
 	directory.Evacuate("lost")
@@ -25,5 +25,5 @@
 	is.Equal(directory.Evacuated(), []string{"kept", "lost", "rewritten"})
 	directory.Evacuate("rewritten")
 	directory.DropUnlisted(epoch.Add(time.Second + catalog.RewriteTime))
-	is.Equal(directory.Evacuated(), []string{"ended", "kept", "rewritten"}) // nobody has written the others again
+	is.Equal(directory.Evacuated(), []string{"ended", "kept", "rewritten"}) // nobody has repeated the other changes
 }
--- a/internal/endpoints/retries.go
+++ b/internal/endpoints/retries.go
@@ -7,74 +7,77 @@
 )
 
 const (
-	// firstWant is how many extra sends are asked for when a service lacks one, furtherWant
-	// as long as what was granted does not do.
-	firstWant   = 1
-	furtherWant = 2
-	// wantMemory is how long a want counts as not met by the latest grant.
-	wantMemory = time.Second
-	// leastSuspension is the shortest suspension of the machine by which budgets are cut.
-	leastSuspension = 100 * time.Millisecond
+	// firstGrant is how many extra sends are requested when a service lacks one, furtherGrant
+	// while the granted ones do not suffice.
+	firstGrant   = 1
+	furtherGrant = 2
+	// furtherGrantWindow is how long after a request another one of the same service counts
+	// as a further one.
+	furtherGrantWindow = time.Second
+	// minSuspension is the shortest suspension of the machine that reduces the budgets.
+	minSuspension = 100 * time.Millisecond
 )
 
-// wants are the services that lack an extra send, and since when each has asked.
-type wants struct {
-	services retrybudget.Wants
-	askedAt  map[string]time.Time
-	// raised has an element when there are wants.
-	raised chan struct{}
+// grantRequests are the requests for extra sends of services that lack one.
+type grantRequests struct {
+	pending retrybudget.Wants
+	// takenAt is when the latest request of a service was taken to be sent to the pool.
+	takenAt map[string]time.Time
+	// notify has an element when there are pending requests.
+	notify chan struct{}
 }
 
-func newWants() wants {
-	return wants{services: make(retrybudget.Wants), askedAt: make(map[string]time.Time), raised: make(chan struct{}, 1)}
+func newGrantRequests() grantRequests {
+	return grantRequests{pending: make(retrybudget.Wants), takenAt: make(map[string]time.Time), notify: make(chan struct{}, 1)}
 }
 
-// RetriesWanted tells when services lack extra sends that a pool may grant.
-func (d *Directory) RetriesWanted() <-chan struct{} { return d.wants.raised }
+// RetriesWanted returns a channel that signals when services lack extra sends that a pool may
+// grant.
+func (d *Directory) RetriesWanted() <-chan struct{} { return d.grants.notify }
 
-// want notes that the service lacks an extra send; the lock is held.
-func (d *Directory) want(service string, now time.Time) {
+// requestGrant requests an extra send for the service; the mutex is held.
+func (d *Directory) requestGrant(service string, now time.Time) {
 	if !d.pooled {
 		return
 	}
-	count := firstWant
-	if now.Sub(d.wants.askedAt[service]) < wantMemory {
-		count = furtherWant
+	count := firstGrant
+	if now.Sub(d.grants.takenAt[service]) < furtherGrantWindow {
+		count = furtherGrant
 	}
-	d.wants.services[service] = count
+	d.grants.pending[service] = count
 	select {
-	case d.wants.raised <- struct{}{}:
+	case d.grants.notify <- struct{}{}:
 	default:
 	}
 }
 
-// TakeWants returns the extra sends to ask for, and forgets them.
+// TakeWants returns the extra sends to request from the pool and clears them.
 func (d *Directory) TakeWants(now time.Time) retrybudget.Wants {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	taken := d.wants.services
-	d.wants.services = make(retrybudget.Wants)
+	taken := d.grants.pending
+	d.grants.pending = make(retrybudget.Wants)
 	for service := range taken {
-		d.wants.askedAt[service] = now
+		d.grants.takenAt[service] = now
 	}
 	return taken
 }
 
-// GrantRetries adds extra sends that were granted by an answer to what was asked at the time.
-func (d *Directory) GrantRetries(granted retrybudget.Wants, asked time.Time) {
+// GrantRetries adds extra sends that the pool granted to a request made at the given time.
+func (d *Directory) GrantRetries(granted retrybudget.Wants, requested time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for service, count := range granted {
-		d.service(service).extra.Grant(count, asked)
+		d.service(service).extra.Grant(count, requested)
 	}
 }
 
-// takeExtra takes an extra send off the service's retry budget and reports whether there was one; the lock
-// is held.
+// takeExtra charges an extra send to the service's retry budget and reports whether the budget allowed
+// it; the mutex is held.
 func (d *Directory) takeExtra(name string, now time.Time) bool {
 	if d.suspended != nil {
-		if slept := d.suspended(); slept-d.budgetSlept >= leastSuspension {
-			d.budgetSlept = slept
+		if suspended := d.suspended(); suspended-d.budgetSuspended >= minSuspension {
+			d.budgetSuspended = suspended
 			for _, service := range d.services {
 				service.extra.Suspend()
 			}
@@ -83,16 +86,14 @@
 	return d.service(name).extra.Take(d.budget, now)
 }
 
-// RefundRetry gives back what an extra send has taken off the retry budget: it has
-// not reached a server.
+// RefundRetry returns an extra send that did not reach a server to the retry budget.
 func (d *Directory) RefundRetry(name string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.service(name).extra.Refund(d.budget, now)
 }
 
-// EarnRetries adds the allowance of one request that has arrived to the service's
-// retry budget.
+// EarnRetries adds the allowance of one arrived request to the service's retry budget.
 func (d *Directory) EarnRetries(name string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/endpoints/server.go
+++ b/internal/endpoints/server.go
@@ -1,5 +1,5 @@
-// Package endpoints keeps the servers of each service, what the node has learned
-// of them, and chooses a server for a request.
+// Package endpoints keeps the servers of each service and what this node has learned of them,
+// and chooses a server for each request.
 package endpoints
 
 import (
@@ -10,33 +10,33 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// Birth is when a process of a server started, in Unix milliseconds by the server's clock;
-// zero if it does not tell.
+// Birth is the start time of a server process in Unix milliseconds by the server's clock;
+// zero if the server does not report it.
 type Birth int64
 
-// Server is one process of a server, as its registry entry tells.
+// Server is one process of a server as described by its registry entry.
 type Server struct {
-	// ID is unique among the servers of one time. A server that starts again may keep it, and
-	// has another Birth then.
+	// ID is unique among the servers that run at one time. A restarted server may keep its ID
+	// and then has another Birth.
 	ID      string
 	Born    Birth `json:",omitempty"`
 	Service string
 	// Address is IP:port.
 	Address string
 	Zone    string
-	// Version is that of the server's software.
+	// Version is the version of the server's software.
 	Version rollout.Version
-	// Created is the store's revision at which the entry was made; zero if not known.
+	// Created is the store's revision at which the entry was created; zero if unknown.
 	Created catalog.Revision
-	// Slots is how many requests the server works on at a time.
+	// Slots is how many requests the server processes concurrently.
 	Slots int
-	// Draining servers take no new work.
+	// Draining servers accept no new work.
 	Draining bool
 	// ColdRemaining is how much longer the server is slow after its start.
 	ColdRemaining time.Duration
 }
 
-// Incarnation names the process among all that ever had the id.
+// Incarnation returns a name that is unique among all processes that ever had the ID.
 func (s Server) Incarnation() string {
 	if s.Born == 0 {
 		return s.ID
@@ -44,25 +44,25 @@
 	return s.ID + "@" + strconv.FormatInt(int64(s.Born), 10)
 }
 
-// bornAfter reports whether both tell when they started, and this one did later.
+// bornAfter reports whether both servers report a start time and s started later.
 func (s Server) bornAfter(other Server) bool {
 	return other.Born > 0 && s.Born > other.Born
 }
 
-// Place is where a node or server stands.
+// Place is the locality of a node or server.
 type Place struct {
 	Zone   string
 	Region string
 }
 
-// Times of a round trip between two machines, before any has been measured.
+// Assumed round-trip times between two machines.
 const (
 	sameZoneRoundTrip    = 200 * time.Microsecond
 	sameRegionRoundTrip  = 2 * time.Millisecond
 	otherRegionRoundTrip = 25 * time.Millisecond
 )
 
-// Topology tells how far servers are from this node.
+// Topology maps zones to regions and gives the network distance from this node.
 type Topology struct {
 	// Node is this node's name.
 	Node string
@@ -71,7 +71,7 @@
 	Regions map[string]string
 }
 
-// RoundTrip returns the expected time of a round trip to the zone.
+// RoundTrip returns the expected round-trip time to the zone.
 func (t Topology) RoundTrip(zone string) time.Duration {
 	switch {
 	case zone == t.Own.Zone:
@@ -83,15 +83,16 @@
 	}
 }
 
-// site is where a server stands as seen from a node.
-type site struct {
-	// zone is the one for which the rest holds.
-	zone      string
-	near      bool
+// location is the locality of a server as seen from this node.
+type location struct {
+	// zone is the zone for which the other fields were computed.
+	zone string
+	// local is set for the node's own region.
+	local     bool
 	roundTrip time.Duration
-	// way is what is known of the way to the zone.
-	way *reach
-	// rank is the server's place in the node's own order.
+	// reachability is that of the zone.
+	reachability *reachability
+	// rank is the server's position in the node's own rendezvous order.
 	rank uint64
 }
 
--- a/internal/endpoints/settling.go
+++ b/internal/endpoints/settling.go
@@ -2,62 +2,61 @@
 
 import "time"
 
-// settleTime is how long after an outage of the store the list may lack servers that are
-// alive: entries that ran out meanwhile are back within about two seconds.
+// settleTime is how long after a store outage the list may lack servers that are
+// alive: entries that expired meanwhile are back within about two seconds.
 const settleTime = 2200 * time.Millisecond
 
-// unsettle notes that the list in force was read after an outage of the store; first
-// is set if nothing was known before.
-func (d *Directory) unsettle(first bool, now time.Time) {
+// startSettling records that the current list was read after a store outage; first
+// is set if no servers were known before.
+func (d *Directory) startSettling(first bool, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.settledAt = now.Add(settleTime)
 	d.firstList = first
-	for _, owner := range d.services {
-		owner.growth = growth{listed: len(owner.endpoints)}
+	for _, svc := range d.services {
+		svc.growth = listGrowth{listed: len(svc.endpoints)}
 	}
 }
 
-// Settling reports whether servers that are alive may be missing.
+// Settling reports whether servers that are alive may be missing in the list.
 func (d *Directory) Settling(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return now.Before(d.settledAt)
 }
 
-// Resume notes that changes of the list go on after an outage of the store. A first
-// list that was short still is, if the store fails once more meanwhile.
+// Resume records that the watch of the list goes on after a store outage. An incomplete
+// first list stays marked as such if the store fails again before it has settled.
 func (d *Directory) Resume(now time.Time) {
 	d.mutex.Lock()
 	first := d.firstList && now.Before(d.settledAt)
 	d.mutex.Unlock()
-	d.unsettle(first, now)
+	d.startSettling(first, now)
 }
 
-// lapsedShare is the part of the known servers that has to be missing in a list after
-// an outage for their entries to have run out together: servers do not end in such
-// numbers while the store is away.
-const lapsedShare = 0.25
+// massExpiryShare is the share of the known servers that has to be missing in a list after
+// an outage to conclude that their entries expired together: servers do not end in such
+// numbers while the store is unavailable.
+const massExpiryShare = 0.25
 
-// ReplaceAfterOutage is Replace for a list that was read after an outage of the
-// store. If many of the servers known before are missing, they are kept until the
-// list is whole (see DropUnlisted): they have had no way to stay in it, and none of
-// them has said that it leaves.
+// ReplaceAfterOutage is Replace for a list that was read after a store outage. If many of the
+// known servers are missing, they are kept until the list is complete (see DropUnlisted): they
+// could not renew their entries, and none of them has announced that it leaves.
 func (d *Directory) ReplaceAfterOutage(servers []Server, now time.Time) []string {
 	first := d.Count() == 0
-	if !d.lapsed(servers) {
+	if !d.massExpiry(servers) {
 		removed := d.Replace(servers, now)
-		d.unsettle(first, now)
+		d.startSettling(first, now)
 		return removed
 	}
 	ended := d.putAll(servers, now)
 	d.markUnlisted(servers, now)
-	d.unsettle(first, now)
+	d.startSettling(first, now)
 	return ended
 }
 
-// lapsed reports whether many servers that are known are missing in the list.
-func (d *Directory) lapsed(servers []Server) bool {
+// massExpiry reports whether many known servers are missing in the list.
+func (d *Directory) massExpiry(servers []Server) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	kept := 0
@@ -67,7 +66,7 @@
 		}
 	}
 	missing := len(d.byID) - kept
-	return missing > 0 && float64(missing) >= lapsedShare*float64(len(d.byID))
+	return missing > 0 && float64(missing) >= massExpiryShare*float64(len(d.byID))
 }
 
 func (d *Directory) markUnlisted(servers []Server, now time.Time) {
@@ -79,58 +78,60 @@
 	}
 	for id, endpoint := range d.byID {
 		if !listed[id] {
-			endpoint.missUntil(now.Add(settleTime))
+			endpoint.removeLater(now.Add(settleTime))
 		}
 	}
 }
 
-// Withdraw takes into account that the entry of a server has gone. It returns the incarnation
-// that is forgotten for that, if one is. While the store settles after an outage, entries
-// run out because their servers could not write them: such servers are kept until
-// the list is whole, as in ReplaceAfterOutage. One that has said that it leaves is not.
-func (d *Directory) Withdraw(id string, now time.Time) (forgotten string, known bool) {
+// Withdraw handles the removal of a server's entry. It returns the incarnation that was removed
+// from the directory, if one was. While the list settles after an outage, entries expire because
+// their servers could not renew them: such servers are kept until the list is complete, as in
+// ReplaceAfterOutage. A server that has announced that it leaves is not kept.
+func (d *Directory) Withdraw(id string, now time.Time) (removed string, known bool) {
 	if d.keepUnlisted(id, now) {
 		return "", false
 	}
-	return d.removeGone(id, now)
+	return d.removeEnded(id, now)
 }
 
-// keepUnlisted marks the server as missing if it may only have run out of the list.
+// keepUnlisted marks the server as missing, and returns true, if it may be alive although its
+// entry has expired.
 func (d *Directory) keepUnlisted(id string, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	endpoint, known := d.byID[id]
-	if !known || !endpoint.open() || !now.Before(d.settledAt) {
+	if !known || !endpoint.serving() || !now.Before(d.settledAt) {
 		return false
 	}
-	endpoint.missUntil(d.settledAt)
+	endpoint.removeLater(d.settledAt)
 	return true
 }
 
-// missUntil notes that the server is missing in the list, and from when it is gone if
-// it does not come back. A later outage does not put that off.
-func (e *Endpoint) missUntil(gone time.Time) {
-	if e.goneAt.IsZero() {
-		e.goneAt = gone
+// removeLater marks the server as missing in the list; it is removed at the given time unless
+// it is listed again. A later outage does not postpone that.
+func (e *Endpoint) removeLater(at time.Time) {
+	if e.removeAt.IsZero() {
+		e.removeAt = at
 	}
 }
 
-// missed reports whether the server is gone because it did not come back into the list.
-func (e *Endpoint) missed(now time.Time) bool {
-	return !e.goneAt.IsZero() && !now.Before(e.goneAt)
+// expired reports whether the server has been missing in the list for too long.
+func (e *Endpoint) expired(now time.Time) bool {
+	return !e.removeAt.IsZero() && !now.Before(e.removeAt)
 }
 
-// DropUnlisted forgets the servers that have been missing for too long: a server that
-// is not back once the list is whole is gone. It returns their incarnations.
+// DropUnlisted removes the servers that have been missing for too long: a server that
+// is not listed once the list is complete has ended. It returns their incarnations. It also
+// applies the entries and zones of a restored list that are confirmed by now.
 func (d *Directory) DropUnlisted(now time.Time) []string {
-	d.settleDoubts(now)
-	d.settleZones(now)
+	d.applyConfirmed(now)
+	d.applyConfirmedZones(now)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var missing []string
 	for _, endpoint := range d.byID {
-		if endpoint.missed(now) {
-			d.depart(endpoint, now)
+		if endpoint.expired(now) {
+			d.retire(endpoint, now)
 			missing = append(missing, endpoint.incarnation)
 		}
 	}
--- a/internal/endpoints/settling_test.go
+++ b/internal/endpoints/settling_test.go
@@ -16,9 +16,9 @@
 	return servers
 }
 
-// Entries run out while the store is away; servers that were known before are kept
-// until the list is whole, and are gone if they are missing then.
-func TestLapsedServersAreKeptUntilTheListIsWhole(t *testing.T) {
+// Entries expire while the store is unavailable; servers that were known before are kept
+// until the list is complete, and are removed if they are missing then.
+func TestExpiredServersAreKeptUntilTheListIsComplete(t *testing.T) {
 	is := is.New(t)
 	all := someServers(8)
 	directory := directoryOf(all...)
@@ -33,9 +33,9 @@
 	is.Equal(directory.Count(), 7)
 }
 
-// Entries also run out just after the store's return, one event each; their servers
-// write them again within seconds and serve all the time.
-func TestEntriesThatRunOutWhileTheStoreSettlesAreKept(t *testing.T) {
+// Entries also expire one by one just after the store is back; their servers write them
+// again within seconds and serve all the time.
+func TestEntriesThatExpireWhileSettlingAreKept(t *testing.T) {
 	is := is.New(t)
 	all := someServers(3)
 	directory := directoryOf(all...)
@@ -46,17 +46,17 @@
 	is.True(!withdrawn(directory, "i-2", epoch))
 	is.Equal(directory.Count(), 2)
 	choose(t, directory, demand(work), epoch.Add(time.Second))
-	directory.Put(all[1], epoch.Add(time.Second)) // it is back
+	directory.Put(all[1], epoch.Add(time.Second)) // its entry is back
 	is.True(!directory.Growing([]string{"s"}, epoch.Add(time.Second)))
 	settled := epoch.Add(settleTime)
 	for range 3 {
-		is.Equal(choose(t, directory, demand(work), settled).Server.ID, "i-1") // the other one is gone
+		is.Equal(choose(t, directory, demand(work), settled).Server.ID, "i-1") // the other one has ended
 	}
 	is.Equal(directory.DropUnlisted(settled), []string{"i-2"})
 }
 
-// Where the store is away again and again for this node, a server that is missing is
-// gone as soon as after a single outage.
+// If the store is unavailable repeatedly, a missing server is removed as soon as after a
+// single outage.
 func TestLaterOutageDoesNotKeepAMissingServer(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(someServers(2)...)
@@ -68,7 +68,7 @@
 	is.Equal(directory.DropUnlisted(epoch.Add(settleTime)), []string{"i-0"})
 }
 
-func TestLeavingServerIsNotKeptWhileTheStoreSettles(t *testing.T) {
+func TestLeavingServerIsNotKeptWhileSettling(t *testing.T) {
 	is := is.New(t)
 	all := someServers(2)
 	directory := directoryOf(all...)
@@ -80,8 +80,8 @@
 	is.Equal(directory.Count(), 1)
 }
 
-// A few servers that are missing after an outage have ended or leave: they may get no
-// new requests.
+// If only a few servers are missing after an outage, they have ended or are leaving and must
+// get no new requests.
 func TestFewMissingServersAreRemovedAtOnce(t *testing.T) {
 	is := is.New(t)
 	all := someServers(8)
@@ -97,11 +97,11 @@
 	leaving.Draining = true
 	directory.Put(leaving, epoch)
 	directory.ReplaceAfterOutage(all[1:2], epoch)
-	is.True(!directory.byID["i-0"].open())
+	is.True(!directory.byID["i-0"].serving())
 }
 
-// A server that comes for another service, as when an index is cut anew, tells nothing
-// of a request whose shards have theirs.
+// Servers added to another service, as when an index is sharded anew, do not affect requests
+// whose shards have their servers.
 func TestGrowthOfOtherServicesDoesNotCount(t *testing.T) {
 	is := is.New(t)
 	all := someServers(8)
@@ -117,9 +117,9 @@
 	is.True(directory.Growing([]string{"s", "next"}, now)) // 40 of 48 have just come
 }
 
-// A node that has known servers before the outage keeps them: what comes besides are
-// servers that have just started.
-func TestListOfANodeThatKnewServersIsNotShort(t *testing.T) {
+// A node that knew servers before the outage keeps them: additional servers have just
+// started.
+func TestListIsCompleteIfServersWereKnownBefore(t *testing.T) {
 	is := is.New(t)
 	all := someServers(20)
 	directory := directoryOf(all[:4]...)
@@ -131,8 +131,8 @@
 	is.True(!directory.Growing([]string{"s"}, epoch.Add(time.Second)))
 }
 
-// A node that starts after an outage sees a short list grow.
-func TestShortListGrows(t *testing.T) {
+// A node that starts after an outage sees an incomplete list grow.
+func TestIncompleteListGrows(t *testing.T) {
 	is := is.New(t)
 	all := someServers(20)
 	directory := directoryOf()
@@ -151,7 +151,7 @@
 	is.True(!directory.Settling(late))
 }
 
-func TestShortFirstListStaysShortWhenTheStoreFailsOnceMore(t *testing.T) {
+func TestFirstListStaysIncompleteIfTheStoreFailsAgain(t *testing.T) {
 	is := is.New(t)
 	all := someServers(20)
 	directory := directoryOf()
@@ -162,15 +162,15 @@
 		directory.Put(added, now)
 	}
 	is.True(directory.Growing([]string{"s"}, now))
-	directory.Resume(now.Add(settleTime)) // the list was whole by then
+	directory.Resume(now.Add(settleTime)) // the list was complete by then
 	directory.Put(all[9], now.Add(settleTime))
 	directory.Put(all[10], now.Add(settleTime))
 	directory.Put(all[11], now.Add(settleTime))
 	is.True(!directory.Growing([]string{"s"}, now.Add(settleTime)))
 }
 
-// withdrawn withdraws the server and reports whether it is forgotten.
+// withdrawn withdraws the server and reports whether it was removed.
 func withdrawn(directory *Directory, id string, now time.Time) bool {
-	forgotten, known := directory.Withdraw(id, now)
-	return known && forgotten == id
+	removed, known := directory.Withdraw(id, now)
+	return known && removed == id
 }
--- a/internal/endpoints/share_test.go
+++ b/internal/endpoints/share_test.go
@@ -11,13 +11,13 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// idle is a set of servers to which there are idle connections.
+// idle is the set of servers to which there are idle connections.
 type idle map[string]bool
 
-func (i idle) HasIdle(serverID string) bool { return i[serverID] }
+func (i idle) HasIdle(incarnation string) bool { return i[incarnation] }
 
-// sharedDirectory is the directory of one of many nodes, with servers of the
-// service that accept so many connections.
+// sharedDirectory returns the directory of one of many nodes, with servers that
+// accept the given number of connections.
 func sharedDirectory(t *testing.T, node string, connections int, sharers Sharers, servers []Server) *Directory {
 	t.Helper()
 	topology := testTopology()
@@ -33,34 +33,34 @@
 	return directory
 }
 
-func TestFarConnectionsAreDealtToSubsets(t *testing.T) {
+func TestRemoteConnectionsUseSubsets(t *testing.T) {
 	is := is.New(t)
-	const nodes, connections = 46, 67 // 0.73 of each far server's connections
-	far := []Server{server("f1", "far-1"), server("f2", "far-1")}
+	const nodes, connections = 46, 67 // 0.73 per node and remote server
+	remote := []Server{server("f1", "far-1"), server("f2", "far-1")}
 	kept := make(map[string]int)
 	for number := range nodes {
-		directory := sharedDirectory(t, fmt.Sprint("node-", number), connections, Sharers{Near: 24, Far: nodes}, far)
+		directory := sharedDirectory(t, fmt.Sprint("node-", number), connections, Sharers{Near: 24, Far: nodes}, remote)
 		own := 0
-		for _, server := range far {
+		for _, server := range remote {
 			limit := directory.IdleLimit(server)
 			own += limit
 			kept[server.ID] += limit
 		}
 		is.True(own >= 1) // each node has one to some server
 	}
-	for _, server := range far {
+	for _, server := range remote {
 		is.True(kept[server.ID] >= 27)
-		is.True(kept[server.ID] <= 40) // 33.5 expected, beside 30 of the near ones
+		is.True(kept[server.ID] <= 40) // 33.5 expected, besides 30 of the local nodes
 	}
 }
 
-func TestNearConnectionsOfVeryManyNodes(t *testing.T) {
+func TestLocalConnectionsOfVeryManyNodes(t *testing.T) {
 	is := is.New(t)
 	const nodes, connections = 300, 40
-	near := []Server{server("n1", "near-1")}
+	local := []Server{server("n1", "near-1")}
 	kept := 0
 	for number := range nodes {
-		kept += sharedDirectory(t, fmt.Sprint("node-", number), connections, Sharers{Near: nodes, Far: 1}, near).IdleLimit(near[0])
+		kept += sharedDirectory(t, fmt.Sprint("node-", number), connections, Sharers{Near: nodes, Far: 1}, local).IdleLimit(local[0])
 	}
 	is.True(kept >= 8)
 	is.True(kept <= 30) // 18 expected
@@ -78,18 +78,18 @@
 	is.Equal(first.Server.ID, "b")
 	is.Equal(first.Connecting, time.Duration(0))
 	second := choose(t, directory, demand(work, first.Endpoint), epoch)
-	is.Equal(second.Connecting, otherRegionRoundTrip+connectWork)
+	is.Equal(second.Connecting, otherRegionRoundTrip+acceptTime)
 	is.Equal(second.Expected, first.Expected+second.Connecting)
 }
 
-// What a connection takes to come up says nothing about the server.
+// The time to establish a connection is not attributed to the server.
 func TestNewConnectionsAreNoSlowness(t *testing.T) {
 	is := is.New(t)
 	directory := New(testTopology(), idle{})
 	directory.Put(server("a", "far-1"), epoch)
 	work := NewEstimate(20 * time.Millisecond)
 	choice := choose(t, directory, demand(work), epoch)
-	now := epoch.Add(20*time.Millisecond + 2*otherRegionRoundTrip + connectWork)
+	now := epoch.Add(20*time.Millisecond + 2*otherRegionRoundTrip + acceptTime)
 	directory.Finish(choice, work, ResultAnswered, now)
 	is.Equal(choice.Endpoint.currentSlowness(now), 1.0)
 	is.Equal(work.Mean(), 20*time.Millisecond)
@@ -106,7 +106,7 @@
 		}
 		return choose(t, directory, demand(work), epoch).LateAfter
 	}
-	is.Equal(late(idle{"near": true, "far": true})-late(idle{"near": true}), otherRegionRoundTrip+connectWork)
+	is.Equal(late(idle{"near": true, "far": true})-late(idle{"near": true}), otherRegionRoundTrip+acceptTime)
 }
 
 func TestOpenUntilTheServerLeaves(t *testing.T) {
--- a/internal/endpoints/supersede_test.go
+++ b/internal/endpoints/supersede_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A server that starts at the address of one that has crashed takes its place at once. An
-// entry that is only read late does not.
-func TestServerAtTheSameAddressTakesThePlace(t *testing.T) {
+// A server that starts at the address of a crashed one supersedes it at once. An older entry
+// that is merely read late does not.
+func TestNewerServerSupersedesOneAtTheSameAddress(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	directory := New(Topology{}, nil)
@@ -17,7 +17,7 @@
 	directory.Put(Server{ID: "other", Service: "s", Address: "127.0.0.1:2", Created: 6}, now)
 	directory.Put(Server{ID: "new", Service: "s", Address: "127.0.0.1:1", Created: 7}, now)
 	directory.Put(Server{ID: "older", Service: "s", Address: "127.0.0.1:2", Created: 4}, now)
-	is.True(!directory.byID["old"].open())
-	is.True(directory.byID["other"].open())
-	is.True(directory.byID["new"].open())
+	is.True(!directory.byID["old"].serving())
+	is.True(directory.byID["other"].serving())
+	is.True(directory.byID["new"].serving())
 }
--- a/internal/endpoints/suspended_test.go
+++ b/internal/endpoints/suspended_test.go
@@ -10,21 +10,21 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// While a machine is suspended, its permission to expose a version runs out: it is woken with
-// old knowledge that looks new to the steady clock.
+// While a machine is suspended, its permission to expose a version expires: when it resumes, its
+// old knowledge looks recent to the monotonic clock.
 func TestSuspendedNodeExposesNothing(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageShift, 14*time.Second)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageShift, 14*time.Second)
 	suspended := time.Duration(0)
-	world.directory.CountSuspensions(func() time.Duration { return suspended })
-	is.True(world.ask(50, false, ResultAnswered, true)[newVersion] > 0)
+	fixture.directory.CountSuspensions(func() time.Duration { return suspended })
+	is.True(fixture.send(50, false, ResultAnswered, true)[newVersion] > 0)
 	suspended = 5 * time.Second
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 0)
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0)
 }
 
-// Guards against extra sends of a machine that wakes with budget of before: the requests that earned it are
-// older than the window by then, and its pool has granted the same sends again.
-func TestSuspendedNodeSpendsNoBudgetOfBefore(t *testing.T) {
+// Guards against extra sends from a budget that was earned before the machine was suspended: the requests
+// that earned it are older than the window by then, and its pool has granted the same sends again.
+func TestSuspendedNodeSpendsNoEarlierBudget(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		limits retrybudget.Limits
--- a/internal/endpoints/versions.go
+++ b/internal/endpoints/versions.go
@@ -6,35 +6,35 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// candidate is the server as roll-outs see it.
+// candidate returns the server as rollouts see it.
 func (e *Endpoint) candidate() rollout.Candidate {
 	return rollout.Candidate{ID: rollout.ServerID(e.incarnation), Version: e.Version, Created: e.Created}
 }
 
 func (c Choice) candidate() rollout.Candidate { return c.Endpoint.candidate() }
 
-// noteReach notes whether anybody answers at the server's address.
-func (e *Endpoint) noteReach(result Result) {
+// updateUnreachable records whether anything answers at the server's address.
+func (e *Endpoint) updateUnreachable(result Result) {
 	switch {
 	case result == ResultUnreachable:
 		e.unreachable = true
-	case result.heard():
+	case result.responded():
 		e.unreachable = false
 	}
 }
 
-// admit returns the versions that a send may go to.
+// admit returns the versions to which a request may be sent.
 func (d *Directory) admit(demand Demand, now time.Time) rollout.Admission {
 	if d.versions == nil {
 		return rollout.Admission{}
 	}
 	ask := rollout.Ask{Service: demand.Service, Extra: demand.Extra, Repeatable: demand.Route == nil || demand.Route.Repeatable}
-	return d.versions.Admit(ask, d.awake(now))
+	return d.versions.Admit(ask, d.withSuspension(now))
 }
 
-// usable returns the servers of a service that may get requests by what is known of
-// orders now.
-func (d *Directory) usable(service string) []*Endpoint {
+// currentlyAdmitted returns the servers of a service that may get requests according to
+// the rollout orders known now.
+func (d *Directory) currentlyAdmitted(service string) []*Endpoint {
 	if d.versions == nil {
 		return d.service(service).endpoints
 	}
@@ -47,17 +47,17 @@
 	if d.versions == nil || admission.AllowsAll(sameVersion(all)) {
 		return all
 	}
-	allowed := d.explained(all, admission)
+	allowed := d.allowedByOrders(all, admission)
 	switch {
 	case admission.Dense():
-		return densest(allowed, admission)
-	case admission.MayBypass() && !reachable(allowed):
+		return firstRanked(allowed, admission)
+	case admission.MayBypass() && !anyReachable(allowed):
 		return all
 	}
 	return allowed
 }
 
-// sameVersion returns the version of all servers, and whether it is the same.
+// sameVersion returns the version of the servers, and whether all have the same one.
 func sameVersion(all []*Endpoint) (rollout.Version, bool) {
 	for _, endpoint := range all {
 		if endpoint.Version != all[0].Version {
@@ -70,22 +70,23 @@
 	return all[0].Version, true
 }
 
-// explained returns the servers that the admission allows and that no order may stand
-// behind that is not known yet. What is in use is what the orders are known to be newer
-// than; where nothing is, the version that was there first.
-func (d *Directory) explained(all []*Endpoint, admission rollout.Admission) []*Endpoint {
+// allowedByOrders returns the servers that the admission allows and that cannot belong to
+// an order that is not known yet. A version counts as in use if the orders are known at
+// least up to the creation of one of its servers; if there is none, the version of the oldest
+// server does.
+func (d *Directory) allowedByOrders(all []*Endpoint, admission rollout.Admission) []*Endpoint {
 	inUse := make(map[rollout.Version]bool)
-	var first *Endpoint
+	var oldest *Endpoint
 	for _, endpoint := range all {
 		if !admission.Unexplained(endpoint.candidate()) {
 			inUse[endpoint.Version] = true
 		}
-		if first == nil || endpoint.Created < first.Created {
-			first = endpoint
+		if oldest == nil || endpoint.Created < oldest.Created {
+			oldest = endpoint
 		}
 	}
-	if len(inUse) == 0 && first != nil {
-		inUse[first.Version] = true
+	if len(inUse) == 0 && oldest != nil {
+		inUse[oldest.Version] = true
 	}
 	var allowed []*Endpoint
 	for _, endpoint := range all {
@@ -98,11 +99,12 @@
 	return allowed
 }
 
-// densest returns the open server that comes first in the common order of the turn.
-func densest(allowed []*Endpoint, admission rollout.Admission) []*Endpoint {
+// firstRanked returns the serving server with the lowest rank of the turn, an order that
+// all nodes share.
+func firstRanked(allowed []*Endpoint, admission rollout.Admission) []*Endpoint {
 	var first []*Endpoint
 	for _, endpoint := range allowed {
-		if !endpoint.open() {
+		if !endpoint.serving() {
 			continue
 		}
 		if first == nil || admission.Rank(rollout.ServerID(endpoint.ID)) < admission.Rank(rollout.ServerID(first[0].ID)) {
@@ -112,37 +114,37 @@
 	return first
 }
 
-// reachable reports whether one of the servers takes requests and answers.
-func reachable(servers []*Endpoint) bool {
+// anyReachable reports whether one of the servers accepts requests and answers.
+func anyReachable(servers []*Endpoint) bool {
 	for _, endpoint := range servers {
-		if endpoint.open() && !endpoint.unreachable {
+		if endpoint.serving() && !endpoint.unreachable {
 			return true
 		}
 	}
 	return false
 }
 
-// awake moves a time on by what the machine has been suspended: permissions to send to new
-// versions run out meanwhile.
-func (d *Directory) awake(now time.Time) time.Time {
+// withSuspension adds the total time for which the machine has been suspended: permissions
+// to send to new versions expire meanwhile.
+func (d *Directory) withSuspension(now time.Time) time.Time {
 	if d.suspended == nil {
 		return now
 	}
 	return now.Add(d.suspended())
 }
 
-// observe tells what came of a send, for the comparison of versions. What the server's
-// pace explains is left in: a version that is slow may say so.
-func (d *Directory) observe(choice Choice, estimate *Estimate, result Result, elapsed time.Duration, now time.Time) {
+// recordSample reports the result of a request to the comparison of versions. The elapsed
+// time includes what the server's reported pace explains, as the version itself may be slow.
+func (d *Directory) recordSample(choice Choice, estimate *Estimate, result Result, elapsed time.Duration, now time.Time) {
 	if d.versions == nil {
 		return
 	}
 	sample := rollout.Sample{Result: outcome(result), Cold: choice.Endpoint.cold(now)}
 	sample.Ratio = float64(elapsed) / float64(max(estimate.Mean(), time.Millisecond))
-	d.versions.End(choice.candidate(), choice.Admission, choice.Route, sample, d.awake(now))
+	d.versions.End(choice.candidate(), choice.Admission, choice.Route, sample, d.withSuspension(now))
 }
 
-// outcome tells what a result says of the version of its server.
+// outcome returns what a result means for the version of its server.
 func outcome(result Result) rollout.Outcome {
 	switch result {
 	case ResultAnswered:
@@ -157,18 +159,18 @@
 	return rollout.OutcomeNone
 }
 
-// Fleet counts the open servers of an order's service by version.
+// Fleet counts the serving servers of an order's service by version.
 func (d *Directory) Fleet(order rollout.Order) rollout.Fleet {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var fleet rollout.Fleet
-	owner, found := d.services[order.Service]
+	svc, found := d.services[order.Service]
 	if !found {
 		return fleet
 	}
-	for _, endpoint := range owner.endpoints {
+	for _, endpoint := range svc.endpoints {
 		switch {
-		case !endpoint.open():
+		case !endpoint.serving():
 		case endpoint.Version != order.Target:
 			fleet.Others++
 		case endpoint.Created > order.StartedSince() || endpoint.Created == 0:
--- a/internal/endpoints/versions_test.go
+++ b/internal/endpoints/versions_test.go
@@ -16,7 +16,7 @@
 const (
 	oldVersion = rollout.Version("v1")
 	newVersion = rollout.Version("v2")
-	// revisions of the old servers' entries, the order, and the new servers' entries.
+	// Revisions of the old servers' entries, the order, and the new servers' entries.
 	oldCreated   = catalog.Revision(10)
 	orderCreated = catalog.Revision(20)
 	newCreated   = catalog.Revision(30)
@@ -24,92 +24,93 @@
 
 var testBounds = rollout.Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
 
-// versionWorld is a directory of two old and two new servers of one service.
-type versionWorld struct {
+// versionFixture is a directory of two old and two new servers of one service.
+type versionFixture struct {
 	directory *Directory
 	tracker   *rollout.Tracker
 	now       time.Time
 	estimate  *Estimate
 }
 
-func newVersionWorld() *versionWorld {
-	world := &versionWorld{
+func newVersionFixture() *versionFixture {
+	fixture := &versionFixture{
 		directory: New(Topology{Node: "n", Own: Place{Zone: "z", Region: "r"}, Regions: map[string]string{"z": "r"}}, nil),
 		tracker:   rollout.NewTracker(testBounds),
 		now:       time.Now(),
 		estimate:  NewEstimate(10 * time.Millisecond),
 	}
-	world.directory.FollowRollouts(world.tracker)
-	world.directory.Share(retrybudget.Limits{Ratio: 1, Capacity: 1000}, false, Sharers{Near: 1, Far: 1, Settled: true}, world.now)
+	fixture.directory.FollowRollouts(fixture.tracker)
+	fixture.directory.Share(retrybudget.Limits{Ratio: 1, Capacity: 1000}, false, Sharers{Near: 1, Far: 1, Settled: true}, fixture.now)
 	for index := range 2 {
-		world.put(fmt.Sprintf("old-%d", index), oldVersion, oldCreated)
+		fixture.put(fmt.Sprintf("old-%d", index), oldVersion, oldCreated)
 	}
-	return world
+	return fixture
 }
 
-// newOrderedWorld is such a world with an order that came while the node ran, and with the
-// servers that it started.
-func newOrderedWorld(state rollout.State, stage rollout.Stage, elapsed time.Duration) *versionWorld {
-	world := newVersionWorld()
-	world.reach(orderCreated - 1)
-	world.order(state, stage, elapsed)
-	world.reach(newCreated)
-	world.putNew()
-	return world
+// newRolloutFixture returns a fixture with an order that was made while the node ran, and with
+// the servers that the order started.
+func newRolloutFixture(state rollout.State, stage rollout.Stage, elapsed time.Duration) *versionFixture {
+	fixture := newVersionFixture()
+	fixture.reached(orderCreated - 1)
+	fixture.order(state, stage, elapsed)
+	fixture.reached(newCreated)
+	fixture.putNew()
+	return fixture
 }
 
-func (w *versionWorld) put(id string, version rollout.Version, created catalog.Revision) {
-	w.directory.Put(Server{ID: id, Service: "s", Address: id, Zone: "z", Slots: 1000, Version: version, Created: created}, w.now)
+func (f *versionFixture) put(id string, version rollout.Version, created catalog.Revision) {
+	f.directory.Put(Server{ID: id, Service: "s", Address: id, Zone: "z", Slots: 1000, Version: version, Created: created}, f.now)
 }
 
-func (w *versionWorld) putNew() {
+func (f *versionFixture) putNew() {
 	for index := range 2 {
-		w.put(fmt.Sprintf("new-%d", index), newVersion, newCreated)
+		f.put(fmt.Sprintf("new-%d", index), newVersion, newCreated)
 	}
 }
 
-func (w *versionWorld) order(state rollout.State, stage rollout.Stage, elapsed time.Duration) {
-	w.orderOf(newVersion, rollout.Status{State: state, Stage: stage, Elapsed: elapsed})
+func (f *versionFixture) order(state rollout.State, stage rollout.Stage, elapsed time.Duration) {
+	f.orderOf(newVersion, rollout.Status{State: state, Stage: stage, Elapsed: elapsed})
 }
 
-// orderOf orders a version, with a status about it.
-func (w *versionWorld) orderOf(target rollout.Version, status rollout.Status) {
+// orderOf orders a version with the given status.
+func (f *versionFixture) orderOf(target rollout.Version, status rollout.Status) {
 	status.Target = target
-	w.tracker.Put(rollout.Order{
+	f.tracker.Put(rollout.Order{
 		Service: "s", Target: target, Duration: 20 * time.Second, Created: orderCreated,
 		Revision: 40 + catalog.Revision(status.State)*10 + catalog.Revision(status.Stage), Status: status,
-	}, w.now)
+	}, f.now)
 }
 
-func (w *versionWorld) reach(revision catalog.Revision) { w.tracker.Reached(revision, w.now) }
+func (f *versionFixture) reached(revision catalog.Revision) { f.tracker.Reached(revision, f.now) }
 
-// ask sends so many requests and returns how many went to each version.
-func (w *versionWorld) ask(count int, extra bool, result Result, repeatable bool) map[rollout.Version]int {
-	seen := make(map[rollout.Version]int)
+// send sends count requests and returns how many went to each version.
+func (f *versionFixture) send(count int, extra bool, result Result, repeatable bool) map[rollout.Version]int {
+	sent := make(map[rollout.Version]int)
 	route := &routing.Route{Name: "route", Repeatable: repeatable}
 	for range count {
 		if !extra {
-			w.directory.EarnRetries("s", w.now)
+			f.directory.EarnRetries("s", f.now)
 		}
-		choice, availability := w.directory.Choose(Demand{Service: "s", Route: route, Extra: extra, Work: w.estimate, Left: time.Second}, w.now)
+		choice, availability := f.directory.Choose(Demand{Service: "s", Route: route, Extra: extra, Work: f.estimate, Left: time.Second}, f.now)
 		if availability != Chosen {
-			seen["none"]++
+			sent["none"]++
 			continue
 		}
-		seen[choice.Server.Version]++
-		w.directory.Finish(choice, w.estimate, result, w.now.Add(10*time.Millisecond))
+		sent[choice.Server.Version]++
+		f.directory.Finish(choice, f.estimate, result, f.now.Add(10*time.Millisecond))
 	}
-	return seen
+	return sent
 }
 
-// hold sends so many requests that are not answered, so that they spread over the servers.
-func (w *versionWorld) hold(count int) map[rollout.Version]int {
-	seen := make(map[rollout.Version]int)
+// sendUnanswered sends count requests without answers, so that they spread over the servers,
+// and returns how many went to each version.
+func (f *versionFixture) sendUnanswered(count int) map[rollout.Version]int {
+	sent := make(map[rollout.Version]int)
 	for range count {
-		choice, _ := w.directory.Choose(Demand{Service: "s", Work: w.estimate, Left: time.Second}, w.now)
-		seen[choice.Server.Version]++
+		choice, _ := f.directory.Choose(Demand{Service: "s", Work: f.estimate, Left: time.Second}, f.now)
+		sent[choice.Server.Version]++
 	}
-	return seen
+	return sent
 }
 
 func TestVersionsOfOrders(t *testing.T) {
@@ -118,23 +119,23 @@
 		name  string
 		state rollout.State
 		stage rollout.Stage
-		// elapsed is for how long the order of 20 s has run.
+		// elapsed is how long the order of 20 s has run.
 		elapsed time.Duration
 		extra   bool
-		// least and most that the new version gets of count sends.
-		least, most int
+		// minimum and maximum number of the count sends that the new version gets.
+		minimum, maximum int
 	}{
 		{"not answered yet", rollout.StateNone, rollout.StageWaiting, 0, false, 0, 0},
 		{"waiting", rollout.StateRunning, rollout.StageWaiting, 0, false, 0, 0},
-		// 0.04 of the requests; the order came after the process, which has 16 of the slack, a
-		// quarter of them by now.
+		// 0.04 of the requests. The order was made after the process started, which therefore has
+		// 16 of the slack, a quarter of them by now.
 		{"canary", rollout.StateRunning, rollout.StageCanary, 4 * time.Second, false, 3, 17},
 		{"extra sends in the canary stage", rollout.StateRunning, rollout.StageCanary, 4 * time.Second, true, 0, 0},
 		{"load", rollout.StateRunning, rollout.StageLoad, 10 * time.Second, false, 8, 22},
 		{"shift", rollout.StateRunning, rollout.StageShift, 14 * time.Second, false, 12, 26},
 		{"extra sends in the shift stage", rollout.StateRunning, rollout.StageShift, 14 * time.Second, true, 0, 0},
 		{"whole", rollout.StateRunning, rollout.StageWhole, 16 * time.Second, false, count, count},
-		// The old servers are there until the order is completed.
+		// The old servers stay until the order is completed.
 		{"extra sends in the whole stage", rollout.StateRunning, rollout.StageWhole, 16 * time.Second, true, 0, 0},
 		{"extra sends when completed", rollout.StateCompleted, rollout.StageWhole, 17 * time.Second, true, count, count},
 		{"completed", rollout.StateCompleted, rollout.StageWhole, 17 * time.Second, false, count, count},
@@ -143,11 +144,11 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			world := newOrderedWorld(test.state, test.stage, test.elapsed)
-			seen := world.ask(count, test.extra, ResultAnswered, true)
-			is.Equal(seen["none"], 0)
-			if got := seen[newVersion]; got < test.least || got > test.most {
-				t.Errorf("the new version got %d of %d, want %d to %d", got, count, test.least, test.most)
+			fixture := newRolloutFixture(test.state, test.stage, test.elapsed)
+			sent := fixture.send(count, test.extra, ResultAnswered, true)
+			is.Equal(sent["none"], 0)
+			if got := sent[newVersion]; got < test.minimum || got > test.maximum {
+				t.Errorf("the new version got %d of %d, want %d to %d", got, count, test.minimum, test.maximum)
 			}
 		})
 	}
@@ -155,163 +156,163 @@
 
 func TestVersionWithoutKnownOrderWaits(t *testing.T) {
 	is := is.New(t)
-	world := newVersionWorld()
-	world.reach(orderCreated - 1)
-	world.putNew()
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 0) // an order may stand behind it
-	world.reach(newCreated - 1)
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 0)
-	world.reach(newCreated)
-	is.True(world.hold(4)[newVersion] > 0) // no order: an ordinary replacement
+	fixture := newVersionFixture()
+	fixture.reached(orderCreated - 1)
+	fixture.putNew()
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0) // it may belong to an unknown order
+	fixture.reached(newCreated - 1)
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0)
+	fixture.reached(newCreated)
+	is.True(fixture.sendUnanswered(4)[newVersion] > 0) // no order: an ordinary replacement
 }
 
 func TestNewServerOfTheVersionInUseNeedsNoOrder(t *testing.T) {
 	is := is.New(t)
-	world := newVersionWorld()
-	world.reach(oldCreated)
-	world.put("old-2", oldVersion, newCreated)
-	is.Equal(world.hold(3)[oldVersion], 3)
-	is.Equal(len(world.directory.byID["old-2"].underWay), 1)
+	fixture := newVersionFixture()
+	fixture.reached(oldCreated)
+	fixture.put("old-2", oldVersion, newCreated)
+	is.Equal(fixture.sendUnanswered(3)[oldVersion], 3)
+	is.Equal(len(fixture.directory.byID["old-2"].inFlight), 1)
 }
 
-func TestNodeWithoutWordExposesNothing(t *testing.T) {
+func TestNodeWithStaleOrdersExposesNothing(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageShift, 14*time.Second)
-	world.now = world.now.Add(5 * time.Second)
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 0) // nothing was heard of the store for 5 s
-	world.reach(newCreated)
-	is.True(world.ask(50, false, ResultAnswered, true)[newVersion] > 0)
-	world.now = world.now.Add(3 * time.Second)
-	world.reach(newCreated)
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 0) // what came of it is unreported for 3 s
-	reports, news := world.tracker.Reports(world.now)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageShift, 14*time.Second)
+	fixture.now = fixture.now.Add(5 * time.Second)
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0) // the orders are 5 s old
+	fixture.reached(newCreated)
+	is.True(fixture.send(50, false, ResultAnswered, true)[newVersion] > 0)
+	fixture.now = fixture.now.Add(3 * time.Second)
+	fixture.reached(newCreated)
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0) // its results are unreported for 3 s
+	reports, news := fixture.tracker.Reports(fixture.now)
 	is.True(news)
-	world.tracker.Reported([]rollout.Key{reports[0].Key()}, world.now)
-	is.True(world.ask(50, false, ResultAnswered, true)[newVersion] > 0)
+	fixture.tracker.Reported([]rollout.Key{reports[0].Key()}, fixture.now)
+	is.True(fixture.send(50, false, ResultAnswered, true)[newVersion] > 0)
 }
 
-func TestCutOffNodeGoesOverWhenOldServersAreGone(t *testing.T) {
+func TestIsolatedNodeUsesTheNewVersionWhenOldServersAreGone(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageCanary, 0)
-	world.now = world.now.Add(6 * time.Second)
-	world.ask(2, false, ResultUnreachable, true) // both old ones
-	is.Equal(world.ask(10, false, ResultAnswered, true)[newVersion] > 0, true)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageCanary, 0)
+	fixture.now = fixture.now.Add(6 * time.Second)
+	fixture.send(2, false, ResultUnreachable, true) // both old ones
+	is.Equal(fixture.send(10, false, ResultAnswered, true)[newVersion] > 0, true)
 }
 
 func TestHaltedVersionGetsNothing(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageWhole, 0)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageWhole, 0)
 	route := &routing.Route{Name: "route", Repeatable: true}
-	choice, _ := world.directory.Choose(Demand{Service: "s", Route: route, Work: world.estimate, Left: time.Second}, world.now)
+	choice, _ := fixture.directory.Choose(Demand{Service: "s", Route: route, Work: fixture.estimate, Left: time.Second}, fixture.now)
 	is.Equal(choice.Server.Version, newVersion)
-	is.True(world.directory.Open(choice.Endpoint))
-	reports, _ := world.tracker.Reports(world.now)
-	is.True(world.tracker.Halt(reports[0].Key()))
-	is.True(!world.directory.Open(choice.Endpoint)) // what waits for a connection is not sent
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 0)
-	is.True(!world.tracker.Halt(reports[0].Key())) // known
+	is.True(fixture.directory.Open(choice.Endpoint))
+	reports, _ := fixture.tracker.Reports(fixture.now)
+	is.True(fixture.tracker.Halt(reports[0].Key()))
+	is.True(!fixture.directory.Open(choice.Endpoint)) // requests that wait for a connection are withheld
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0)
+	is.True(!fixture.tracker.Halt(reports[0].Key())) // already halted
 }
 
 func TestUnrepeatableRequestsGoToANewVersionLast(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageCanary, 0)
-	is.Equal(world.ask(100, false, ResultAnswered, false)[newVersion], 0)
-	world.order(rollout.StateRunning, rollout.StageLoad, 9*time.Second)
-	is.True(world.ask(100, false, ResultAnswered, false)[newVersion] > 0) // there are no others
-	is.True(world.ask(1, false, ResultAnswered, true)["none"] == 0)
-	is.Equal(world.ask(100, false, ResultAnswered, false)[newVersion], 0) // others go first
-	world.order(rollout.StateRunning, rollout.StageShift, 14*time.Second)
-	is.True(world.ask(100, false, ResultAnswered, false)[newVersion] > 0)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageCanary, 0)
+	is.Equal(fixture.send(100, false, ResultAnswered, false)[newVersion], 0)
+	fixture.order(rollout.StateRunning, rollout.StageLoad, 9*time.Second)
+	is.True(fixture.send(100, false, ResultAnswered, false)[newVersion] > 0) // there are no repeatable ones
+	is.True(fixture.send(1, false, ResultAnswered, true)["none"] == 0)
+	is.Equal(fixture.send(100, false, ResultAnswered, false)[newVersion], 0) // repeatable ones go first
+	fixture.order(rollout.StateRunning, rollout.StageShift, 14*time.Second)
+	is.True(fixture.send(100, false, ResultAnswered, false)[newVersion] > 0)
 }
 
 func TestWithdrawnVersionGetsNothing(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageCanary, 0)
-	world.tracker.Remove("s")
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 0)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageCanary, 0)
+	fixture.tracker.Remove("s")
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0)
 }
 
-func TestWithdrawnVersionServesWhereNoOtherIsLeft(t *testing.T) {
+func TestWithdrawnVersionServesIfNoOtherIsLeft(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageCanary, 0)
-	world.tracker.Remove("s")
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageCanary, 0)
+	fixture.tracker.Remove("s")
 	for index := range 2 {
-		world.directory.Remove(fmt.Sprintf("old-%d", index))
+		fixture.directory.Remove(fmt.Sprintf("old-%d", index))
 	}
-	is.Equal(world.ask(50, false, ResultAnswered, true)[newVersion], 50)
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 50)
 }
 
-func TestWithdrawnOrderOfTheVersionInUseTakesNothing(t *testing.T) {
+func TestWithdrawnOrderOfTheVersionInUseHasNoEffect(t *testing.T) {
 	is := is.New(t)
-	world := newVersionWorld()
-	world.reach(orderCreated - 1)
-	world.orderOf(oldVersion, rollout.Status{State: rollout.StateRunning})
-	world.tracker.Remove("s")
-	is.Equal(world.ask(50, false, ResultAnswered, true)[oldVersion], 50)
+	fixture := newVersionFixture()
+	fixture.reached(orderCreated - 1)
+	fixture.orderOf(oldVersion, rollout.Status{State: rollout.StateRunning})
+	fixture.tracker.Remove("s")
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[oldVersion], 50)
 }
 
 func TestOrderOfTheVersionInUseIsChanged(t *testing.T) {
 	is := is.New(t)
-	world := newVersionWorld()
-	world.reach(orderCreated - 1)
-	world.orderOf(oldVersion, rollout.Status{State: rollout.StateRunning})
-	world.order(rollout.StateRunning, rollout.StageWaiting, 0)
-	world.reach(newCreated)
-	world.putNew()
-	is.Equal(world.hold(50)[newVersion], 0)
-	world.order(rollout.StateRolledBack, rollout.StageWaiting, 0)
-	is.Equal(world.ask(50, false, ResultAnswered, true)[oldVersion], 50)
+	fixture := newVersionFixture()
+	fixture.reached(orderCreated - 1)
+	fixture.orderOf(oldVersion, rollout.Status{State: rollout.StateRunning})
+	fixture.order(rollout.StateRunning, rollout.StageWaiting, 0)
+	fixture.reached(newCreated)
+	fixture.putNew()
+	is.Equal(fixture.sendUnanswered(50)[newVersion], 0)
+	fixture.order(rollout.StateRolledBack, rollout.StageWaiting, 0)
+	is.Equal(fixture.send(50, false, ResultAnswered, true)[oldVersion], 50)
 }
 
 func TestReplacementAfterACompletedOrderOfTheVersionInUse(t *testing.T) {
 	is := is.New(t)
-	world := newVersionWorld()
-	world.reach(orderCreated - 1)
-	world.orderOf(oldVersion, rollout.Status{State: rollout.StateCompleted})
-	world.put("old-2", oldVersion, 100)
-	world.reach(100)
-	world.hold(30)
+	fixture := newVersionFixture()
+	fixture.reached(orderCreated - 1)
+	fixture.orderOf(oldVersion, rollout.Status{State: rollout.StateCompleted})
+	fixture.put("old-2", oldVersion, 100)
+	fixture.reached(100)
+	fixture.sendUnanswered(30)
 	for index := range 3 {
-		is.True(len(world.directory.byID[fmt.Sprintf("old-%d", index)].underWay) > 0)
+		is.True(len(fixture.directory.byID[fmt.Sprintf("old-%d", index)].inFlight) > 0)
 	}
 }
 
-func TestRepeatedOrderBoundsServersOfTheFirst(t *testing.T) {
+func TestRepeatedOrderRestrictsServersOfTheFirst(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageCanary, 0)
-	world.tracker.Remove("s")
-	world.tracker.Put(rollout.Order{Service: "s", Target: newVersion, Duration: 20 * time.Second, Created: 100, Revision: 100}, world.now)
-	world.reach(100)
-	is.Equal(world.hold(50)[newVersion], 0)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageCanary, 0)
+	fixture.tracker.Remove("s")
+	fixture.tracker.Put(rollout.Order{Service: "s", Target: newVersion, Duration: 20 * time.Second, Created: 100, Revision: 100}, fixture.now)
+	fixture.reached(100)
+	is.Equal(fixture.sendUnanswered(50)[newVersion], 0)
 }
 
-func TestLoadStageTurnsFromServerToServer(t *testing.T) {
+func TestLoadStageRotatesTheServers(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageLoad, 9*time.Second)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageLoad, 9*time.Second)
 	route := &routing.Route{Name: "route", Repeatable: true}
-	turns := make(map[string]bool)
+	used := make(map[string]bool)
 	for range 12 {
-		seen := make(map[string]bool)
+		sent := make(map[string]bool)
 		for range 20 {
-			world.directory.EarnRetries("s", world.now)
-			choice, _ := world.directory.Choose(Demand{Service: "s", Route: route, Work: world.estimate, Left: time.Second}, world.now)
+			fixture.directory.EarnRetries("s", fixture.now)
+			choice, _ := fixture.directory.Choose(Demand{Service: "s", Route: route, Work: fixture.estimate, Left: time.Second}, fixture.now)
 			if choice.Server.Version == newVersion {
-				seen[choice.Server.ID] = true
-				turns[choice.Server.ID] = true
+				sent[choice.Server.ID] = true
+				used[choice.Server.ID] = true
 			}
 		}
-		is.True(len(seen) <= 1) // one server at a time
-		world.now = world.now.Add(800 * time.Millisecond)
-		world.reach(newCreated)
+		is.True(len(sent) <= 1) // one server at a time
+		fixture.now = fixture.now.Add(800 * time.Millisecond)
+		fixture.reached(newCreated)
 	}
-	is.Equal(len(turns), 2)
+	is.Equal(len(used), 2)
 }
 
-func TestEvidenceOfBothVersions(t *testing.T) {
+func TestReportCountsBothVersions(t *testing.T) {
 	is := is.New(t)
-	world := newOrderedWorld(rollout.StateRunning, rollout.StageShift, 14*time.Second)
-	world.ask(100, false, ResultErred, true)
-	reports, _ := world.tracker.Reports(world.now)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageShift, 14*time.Second)
+	fixture.send(100, false, ResultErred, true)
+	reports, _ := fixture.tracker.Reports(fixture.now)
 	is.Equal(len(reports), 1)
 	is.Equal(reports[0].Requests, uint32(100))
 	is.Equal(reports[0].OldUnderWay, 0)
--- a/internal/endpoints/zones_test.go
+++ b/internal/endpoints/zones_test.go
@@ -12,8 +12,8 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// ofRegions is the demand of a route whose requests stay in the regions.
-func ofRegions(regions ...string) Demand {
+// demandIn returns the demand of a route that is restricted to the regions.
+func demandIn(regions ...string) Demand {
 	request := demand(NewEstimate(20 * time.Millisecond))
 	request.Route = &routing.Route{Regions: regions}
 	return request
@@ -26,7 +26,7 @@
 		want    string
 		found   Availability
 	}{
-		{"no regions are all regions", nil, "near", Chosen},
+		{"no restriction", nil, "near", Chosen},
 		{"the own region", []string{"near"}, "near", Chosen},
 		{"another region only", []string{"far"}, "far", Chosen},
 		{"both", []string{"far", "near"}, "near", Chosen},
@@ -35,7 +35,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			directory := directoryOf(server("far", "far-1"), server("near", "near-1"))
-			choice, found := directory.Choose(ofRegions(test.regions...), epoch)
+			choice, found := directory.Choose(demandIn(test.regions...), epoch)
 			is.Equal(found, test.found)
 			is.Equal(choice.Server.ID, test.want)
 			is.Equal(directory.Listed("s", &routing.Route{Regions: test.regions}), test.found == Chosen)
@@ -43,22 +43,22 @@
 	}
 }
 
-// A server whose zone is of no known region gets no requests that are bound to some.
+// A server in a zone of unknown region gets no requests that are restricted to regions.
 func TestServerOfAnUnknownZoneIsInNoRegion(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("lost", "nowhere"))
-	_, found := directory.Choose(ofRegions(""), epoch)
+	_, found := directory.Choose(demandIn(""), epoch)
 	is.Equal(found, NoServer)
-	_, found = directory.Choose(ofRegions(), epoch)
+	_, found = directory.Choose(demandIn(), epoch)
 	is.Equal(found, Chosen)
 }
 
-// A second attempt does not leave the regions either, and none is waited for there.
+// A second attempt stays in the regions as well.
 func TestHedgeStaysInTheRegionsOfTheRoute(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("far", "far-1"), server("near", "near-1"))
-	first := choose(t, directory, ofRegions("near"), epoch)
-	request := ofRegions("near")
+	first := choose(t, directory, demandIn("near"), epoch)
+	request := demandIn("near")
 	request.Tried, request.Extra = []*Endpoint{first.Endpoint}, true
 	_, found := directory.Choose(request, epoch)
 	is.Equal(found, NoServer)
@@ -67,25 +67,25 @@
 func TestEvacuatedZoneGetsNothingNew(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	before := choose(t, directory, ofRegions(), epoch)
+	before := choose(t, directory, demandIn(), epoch)
 	is.Equal(before.Server.ID, "near")
 	directory.Evacuate("near-1")
 	is.Equal(directory.Evacuated(), []string{"near-1"})
-	is.True(!directory.Open(before.Endpoint)) // what has not been written yet is withheld
-	is.Equal(choose(t, directory, ofRegions(), epoch).Server.ID, "far")
-	_, found := directory.Choose(ofRegions("near"), epoch)
+	is.True(!directory.Open(before.Endpoint)) // requests not written yet are withheld
+	is.Equal(choose(t, directory, demandIn(), epoch).Server.ID, "far")
+	_, found := directory.Choose(demandIn("near"), epoch)
 	is.Equal(found, NoServer) // no other server is in the route's region
 	is.True(!directory.Listed("s", &routing.Route{Regions: []string{"near"}}))
 	directory.EndEvacuation("near-1", epoch)
 	is.True(directory.Open(before.Endpoint))
-	is.Equal(choose(t, directory, ofRegions(), epoch).Server.ID, "near")
+	is.Equal(choose(t, directory, demandIn(), epoch).Server.ID, "near")
 }
 
-// Servers of a zone that takes requests again count as cold where their service names a
-// rate for that, and only those.
-func TestZoneThatIsTakenBackIsCold(t *testing.T) {
+// Servers of a readmitted zone, and only those, count as cold if their service has a rate for
+// cold servers.
+func TestReadmittedZoneIsCold(t *testing.T) {
 	is := is.New(t)
-	directory := nodeAmong(t, "a", 60, 12, server("a", "near-1"), server("b", "near-2"))
+	directory := newNode(t, "a", 60, 12, server("a", "near-1"), server("b", "near-2"))
 	directory.SetEvacuated([]string{"near-1"}, epoch)
 	directory.SetEvacuated(nil, epoch.Add(time.Second))
 	is.True(directory.byID["a"].cold(epoch.Add(3900 * time.Millisecond)))
@@ -95,9 +95,9 @@
 	is.True(!directory.byID["b"].cold(epoch.Add(time.Second)))
 }
 
-// TestRequestsGoOnlyWhereTheyMay draws routes, servers that come, drain, end and are
-// found elsewhere, and evacuations, and checks every choice against them.
-func TestRequestsGoOnlyWhereTheyMay(t *testing.T) {
+// TestRequestsGoOnlyToEligibleServers draws routes, evacuations, and servers that start, drain,
+// end and return in another zone, and checks every choice against them.
+func TestRequestsGoOnlyToEligibleServers(t *testing.T) {
 	zones := []string{"near-1", "near-2", "far-1"}
 	regions := []string{"near", "far", "elsewhere"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -124,7 +124,7 @@
 			case 4:
 				directory.EndEvacuation(zone, now)
 			default:
-				request := ofRegions(rapid.SliceOfN(rapid.SampledFrom(regions), 0, 2).Draw(t, "regions")...)
+				request := demandIn(rapid.SliceOfN(rapid.SampledFrom(regions), 0, 2).Draw(t, "regions")...)
 				request.Tried, request.Extra = tried, len(tried) > 0
 				choice, found := directory.Choose(request, now)
 				tried = nil
@@ -135,7 +135,7 @@
 				region := testTopology().Regions[endpoint.Zone]
 				if !request.Route.Allows(region) || endpoint.Draining || directory.evacuated[endpoint.Zone] ||
 					slices.Contains(request.Tried, endpoint) || directory.byID[endpoint.ID] != endpoint {
-					t.Fatalf("a request of regions %v was given to %+v", request.Route.Regions, endpoint.Server)
+					t.Fatalf("a request restricted to regions %v was sent to %+v", request.Route.Regions, endpoint.Server)
 				}
 				tried = []*Endpoint{endpoint}
 				if rapid.Bool().Draw(t, "answered") {
