--- a/internal/exchange/admit.go
+++ b/internal/exchange/admit.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// admit decides, before anything is sent, whether a request may start: what has
-// not been sent can be refused with the promise that it has not run.
+// admit decides, before anything is sent, whether a request may start. A request that has
+// not been sent can be refused with the guarantee that it has not run.
 //
-//   - While the list of its shards' servers is short and grows, the request waits: the
-//     few servers that are known would get the requests of all, and reset connections.
-//   - On a node that has just started, a request that is late already lets those go
-//     before it that can still be in time: after a random part of the time that it can
-//     wait, and for longer while servers refuse work. Where all nodes start at once,
-//     the callers that waited would fill the servers' queues together.
-//   - Where too few shards have a server at all, the request waits if the list may
-//     be incomplete, and is refused otherwise.
-//   - Where servers refuse so much that the retry budgets of its shards are not likely to
-//     make it a success, the request is refused.
+//   - While the list of its shards' servers is short and growing, the request is held:
+//     otherwise the few known servers would get all requests and reset connections.
+//   - On a node that has just started, a request that is already late gives precedence to
+//     those that can still meet their target: it is held for a random part of the time
+//     that it can wait, and for longer while servers shed load. When all nodes start at
+//     once, the callers that have been waiting would otherwise fill the servers' queues
+//     at the same time.
+//   - If too few shards have a server at all, the request is held while the list may be
+//     incomplete, and refused otherwise.
+//   - If servers refuse so many requests that the retry budgets of its shards are
+//     unlikely to make it a success, the request is refused.
 //
-// A request that is only expected to be late is not refused: its caller would come
-// back after its target, so that the refusal itself would make it late.
+// A request that is only expected to be late is not refused: its caller would retry
+// after the target, so that the refusal itself would make it late.
 func (c *Core) admit(now time.Duration, batch *Batch) bool {
 	switch {
 	case c.plan.Gather && now < c.plan.Patience && c.servers.Growing():
-		c.awaitServers(HoldGrowing, now, batch)
+		c.holdForServers(HoldGrowing, now, batch)
 		return false
 	case c.plan.Gather && len(c.shards)-len(c.unlisted()) < c.plan.LeastShards:
-		c.awaitServers(HoldUnlisted, now, batch)
+		c.holdForServers(HoldUnlisted, now, batch)
 		return false
-	case c.waited && !c.released(now, batch):
+	case c.wasHeld && !c.released(now, batch):
 		return false
 	case c.plan.Gather && c.yields(now, batch):
 		return false
-	case c.plan.Gather && !c.affordable():
+	case c.plan.Gather && !c.likelyToSucceed():
 		c.refuse(CauseNoBudget, batch)
 		return false
 	}
@@ -38,19 +39,20 @@
 	return true
 }
 
-// awaitServers puts the request off while servers may be missing in the list.
-func (c *Core) awaitServers(hold Hold, now time.Duration, batch *Batch) {
+// holdForServers holds the request while servers may be missing from the list, and refuses
+// it after that.
+func (c *Core) holdForServers(hold Hold, now time.Duration, batch *Batch) {
 	if !c.servers.Settling() || now >= c.plan.Patience {
 		c.refuse(CauseNoServers, batch)
 		return
 	}
-	c.waited, c.releaseAt = true, 0
+	c.wasHeld, c.releaseAt = true, 0
 	batch.Hold = hold
-	batch.Wake = min(now+retryPause, c.plan.Patience)
+	batch.Wake = min(now+pollInterval, c.plan.Patience)
 }
 
-// released reports whether a request may go on that had to wait. Many wait for the
-// same servers; all at once they would be more than these can take.
+// released reports whether a request that was held may start. Many requests are held for
+// the same servers; released at the same time, they would overload these.
 func (c *Core) released(now time.Duration, batch *Batch) bool {
 	if c.releaseAt == 0 {
 		c.releaseAt = min(now+time.Duration(c.plan.Spread*float64(now)), max(now, c.plan.Patience))
@@ -62,31 +64,32 @@
 	return false
 }
 
-// yields reports whether a late request gives way to others on a node that has just
-// started, and sets its next look.
+// yields reports whether a late request is held back in favor of others on a node that
+// has just started, and schedules its next check.
 func (c *Core) yields(now time.Duration, batch *Batch) bool {
 	if now >= c.plan.Yield || !c.plan.Late && now < c.plan.Target {
 		return false
 	}
-	if now >= c.yieldsUntil {
+	if now >= c.yieldCheckAt {
 		if !c.mustYield() {
 			return false
 		}
-		c.yieldsUntil = now + retryPause + time.Duration(c.plan.Spread*float64(c.plan.Yield-now))
+		c.yieldCheckAt = now + pollInterval + time.Duration(c.plan.Spread*float64(c.plan.Yield-now))
 	}
-	batch.Hold, batch.Wake = HoldYield, min(c.yieldsUntil, c.plan.Yield)
+	batch.Hold, batch.Wake = HoldYield, min(c.yieldCheckAt, c.plan.Yield)
 	return true
 }
 
-// mustYield decides at each look: at the first one for a node that has just started, and
-// by what the servers refuse after that.
+// mustYield decides at each check: the first one holds the request if the node has just
+// started, later ones hold it while servers shed load.
 func (c *Core) mustYield() bool {
-	if c.yieldsUntil == 0 {
+	if c.yieldCheckAt == 0 {
 		return c.servers.Fresh()
 	}
 	return c.servers.Pressed()
 }
 
+// refuse ends the request before anything is sent.
 func (c *Core) refuse(cause Cause, batch *Batch) {
 	c.done = true
 	batch.Outcome = &Outcome{Status: StatusRefused, Cause: cause, Missing: len(c.shards), Unlisted: c.unlisted()}
--- a/internal/exchange/admit_test.go
+++ b/internal/exchange/admit_test.go
@@ -9,21 +9,22 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// Where too few shards have a server, nothing is sent, so that the refusal can be
-// promised: at once if the list is whole, after some patience if it may not be.
+// If too few shards have a server, nothing is sent, so that the request can be refused
+// with the guarantee that it has not run: at once if the list is complete, after a hold if
+// it may be incomplete.
 func TestTooFewShardsWithServersAreRefusedBeforeAnythingIsSent(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		settling bool
 		want     time.Duration
 	}{
-		{"whole list", false, 0},
+		{"complete list", false, 0},
 		{"list just after an outage", true, testPatience},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			plan := gatherPlan("a", "b", "c")
-			core := New(plan, &fleet{servers: map[string]int{"a": 1, "b": 1}, settling: test.settling})
+			core := New(plan, &fakeServers{servers: map[string]int{"a": 1, "b": 1}, settling: test.settling})
 			now := time.Duration(0)
 			batch := core.Start(now)
 			for batch.Outcome == nil {
@@ -42,17 +43,17 @@
 
 func TestServersThatAppearAreAsked(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 1}, settling: true}
+	servers := &fakeServers{servers: map[string]int{"a": 1}, settling: true}
 	core := New(gatherPlan("a", "b"), servers)
 	is.Equal(len(core.Start(0).Sends), 0)
 	servers.servers["b"] = 1
-	is.Equal(ids(core.Tick(retryPause)), []AttemptID{{0, 0}, {1, 0}})
+	is.Equal(ids(core.Tick(pollInterval)), []AttemptID{{0, 0}, {1, 0}})
 }
 
-// A request that waits before anything is sent says why at each step.
-func TestHeldRequestSaysWhy(t *testing.T) {
+// A request that is held before anything is sent reports the cause at each step.
+func TestHeldRequestReportsTheCause(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 1}, settling: true}
+	servers := &fakeServers{servers: map[string]int{"a": 1}, settling: true}
 	plan := gatherPlan("a", "b")
 	plan.Spread = 0.5
 	core := New(plan, servers)
@@ -66,20 +67,20 @@
 	is.Equal(len(batch.Sends), 2)
 }
 
-// A shard without servers does not hold up a request that has enough of the others.
+// A shard without servers does not delay a request that has enough other shards.
 func TestShardWithoutServersIsLeftOut(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a", "b")
 	plan.LeastShards = 1
-	core := New(plan, &fleet{servers: map[string]int{"a": 1}})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}})
 	is.Equal(ids(core.Start(0)), []AttemptID{{0, 0}})
 }
 
-// On a node that has just started, a late request lets others go first, for longer while
-// servers refuse work; one that can be in time does not wait.
-func TestLateRequestYieldsOnAFreshNode(t *testing.T) {
+// On a node that has just started, a late request is held in favor of others, for longer
+// while servers shed load; one that can still meet its target is not held.
+func TestLateRequestYieldsOnANewNode(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 1}, fresh: true, pressed: true}
+	servers := &fakeServers{servers: map[string]int{"a": 1}, fresh: true, pressed: true}
 	plan := gatherPlan("a")
 	plan.Yield, plan.Spread = time.Second, 0.5
 	is.Equal(len(New(plan, servers).Start(0).Sends), 1) // in time
@@ -97,11 +98,11 @@
 	is.Equal(len(core.Tick(batch.Wake).Sends), 1)
 }
 
-func TestLateRequestYieldsForAPartOfItsTime(t *testing.T) {
+func TestLateRequestYieldsForALimitedTime(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a")
 	plan.Late, plan.Yield, plan.Spread = true, time.Second, 0.9
-	core := New(plan, &fleet{servers: map[string]int{"a": 1}, fresh: true, pressed: true})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, fresh: true, pressed: true})
 	batch := core.Start(0)
 	for len(batch.Sends) == 0 {
 		is.True(batch.Wake <= plan.Yield)
@@ -109,41 +110,41 @@
 	}
 }
 
-// Callers that come back late to a node that has served for a while are no wave: held
-// back, they would only prolong an overload.
-func TestLateRequestGoesOnAtOnceOnAnOlderNode(t *testing.T) {
+// On a node that has been running for a while, late callers do not all arrive at the same
+// time; holding them would only prolong an overload.
+func TestLateRequestDoesNotYieldOnAnOlderNode(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a")
 	plan.Late, plan.Yield = true, time.Second
-	core := New(plan, &fleet{servers: map[string]int{"a": 1}, pressed: true})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, pressed: true})
 	is.Equal(len(core.Start(0).Sends), 1)
 }
 
-// Only what reaches a server is extra: an attempt for which no connection came up
-// costs no budget, and neither does the one that takes its place.
+// Only attempts that reach a server are extra: an attempt for which no connection was
+// established costs no budget, and neither does its replacement.
 func TestUnsentAttemptsCostNoBudget(t *testing.T) {
-	for _, reply := range []upstream.Reply{unconnected, crowded} {
+	for _, reply := range []upstream.Reply{unsentUnreachable, unsentReset} {
 		is := is.New(t)
-		servers := &fleet{servers: map[string]int{"a": 3}}
+		servers := &fakeServers{servers: map[string]int{"a": 3}}
 		core := New(gatherPlan("a"), servers)
 		core.Start(0)
 		batch := core.Reply(AttemptID{0, 0}, reply, ms)
 		is.Equal(ids(batch), []AttemptID{{0, 1}}) // without any budget
 		batch = core.Reply(AttemptID{0, 1}, reply, 2*ms)
-		is.Equal(ids(batch), []AttemptID{{0, 2}}) // and beyond the most attempts
+		is.Equal(ids(batch), []AttemptID{{0, 2}}) // and beyond MaximumAttempts
 		is.Equal(core.Reply(AttemptID{0, 2}, answered(200), 3*ms).Outcome.Status, StatusAnswered)
 	}
 }
 
 func TestHedgeThatWasNotSentIsRefunded(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 3}, budget: 1}
+	servers := &fakeServers{servers: map[string]int{"a": 3}, budget: 1}
 	core := New(gatherPlan("a"), servers)
 	core.Start(0)
 	core.Tick(testLateAfter)
 	is.Equal(servers.budget, 0)
-	batch := core.Reply(AttemptID{0, 1}, unconnected, testLateAfter+ms)
-	is.Equal(ids(batch), []AttemptID{{0, 2}}) // with the token of the first hedge
+	batch := core.Reply(AttemptID{0, 1}, unsentUnreachable, testLateAfter+ms)
+	is.Equal(ids(batch), []AttemptID{{0, 2}}) // with the budget of the first hedge
 	is.Equal(servers.budget, 0)
 	is.Equal(servers.extra, 1)
 }
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// retryPause is how long a shard waits for a server or for retry budget
-	// before it looks again.
-	retryPause = 20 * time.Millisecond
-	// reachPause is how long a shard that waits for its last attempts waits before it
-	// looks whether their servers are still in reach.
-	reachPause = 100 * time.Millisecond
-	// maximumUnsent bounds the attempts of a shard for which no connection came up.
-	maximumUnsent = 8
-	// maximumRefused bounds the attempts of a shard that servers may refuse: where they
-	// refuse 0.6 of all, 0.99 of the shards have their answer by then.
-	maximumRefused = 8
-	// refusalShare is the part of the target within which a request that no
-	// server takes is refused: a caller that is told early can come back in time.
-	refusalShare = 0.2
+	// pollInterval is the interval at which a shard checks again for a server or for
+	// retry budget.
+	pollInterval = 20 * time.Millisecond
+	// reachCheckInterval is the interval at which a shard that waits for its last attempts
+	// checks whether their servers are still reachable.
+	reachCheckInterval = 100 * time.Millisecond
+	// maxUnsent bounds the attempts of a shard for which no connection was established.
+	maxUnsent = 8
+	// maxRefused bounds the refused attempts of a shard: if servers refuse 60% of
+	// all attempts, 99% of the shards have an answer by then.
+	maxRefused = 8
+	// earlyRefusalShare is the share of the target after which a request that no server
+	// accepts is refused: the earlier a caller is refused, the more likely its retry
+	// meets the target.
+	earlyRefusalShare = 0.2
 )
 
 // Core is the state of one request. It is not safe for concurrent use.
@@ -34,16 +35,18 @@
 	done    bool
 	// admitted is set once the first attempts may be sent.
 	admitted bool
-	// releaseAt is when a request that had to wait for servers goes on; zero if it
-	// had not to.
+	// releaseAt is when a request that was held for servers is released; zero while it
+	// is held or if it was not.
 	releaseAt time.Duration
-	waited    bool
-	// yieldsUntil is when a late request looks again whether it may go on; zero before
-	// its first look.
-	yieldsUntil time.Duration
-	care        care.State
-	// withoutBudget is set once a shard is lost for want of retry budget.
-	withoutBudget bool
+	// wasHeld is set if the request was held for servers.
+	wasHeld bool
+	// yieldCheckAt is when a late request next checks whether it may start; zero before
+	// its first check.
+	yieldCheckAt time.Duration
+	// guard stops a request that may terminate the servers that run it.
+	guard care.State
+	// budgetExhausted is set once a shard is lost for lack of retry budget.
+	budgetExhausted bool
 }
 
 // New returns the core of a request that has just arrived.
@@ -55,26 +58,26 @@
 	return core
 }
 
-// Start sends the first attempts, or refuses or puts off the request (see admit).
+// Start sends the first attempts, or refuses or holds the request (see admit).
 func (c *Core) Start(now time.Duration) Batch {
 	return c.step(now)
 }
 
-// mostShortened bounds what Shorten takes off, as a part of the target.
-const mostShortened = 0.1
+// maxShortenedShare is the largest share of the target that Shorten subtracts.
+const maxShortenedShare = 0.1
 
-// Shorten brings the target forward by what this node needs to give the answer, as far as that
-// became known only after the start.
+// Shorten moves the target to an earlier time by what this node needs to return the answer,
+// as far as that became known only after the start.
 func (c *Core) Shorten(needed time.Duration) {
-	c.plan.Target -= min(needed, time.Duration(mostShortened*float64(c.plan.Target)))
+	c.plan.Target -= min(needed, time.Duration(maxShortenedShare*float64(c.plan.Target)))
 }
 
-// Tick takes the passing of time into account.
+// Tick handles the passing of time.
 func (c *Core) Tick(now time.Duration) Batch {
 	return c.step(now)
 }
 
-// Reply takes the end of an attempt into account.
+// Reply handles the end of an attempt.
 func (c *Core) Reply(id AttemptID, reply upstream.Reply, now time.Duration) Batch {
 	shard := &c.shards[id.Shard]
 	attempt := &shard.attempts[id.Number]
@@ -83,17 +86,17 @@
 		attempt.unsent = true
 		c.noteUnsent(shard)
 	}
-	c.takeCare(attempt, reply, now)
+	c.updateGuard(attempt, reply, now)
 	if c.done || shard.answer != nil {
 		return c.step(now)
 	}
-	c.judge(shard, attempt, reply, now)
-	shard.nextAt = now
+	c.applyReply(shard, attempt, reply, now)
+	shard.nextCheckAt = now
 	return c.step(now)
 }
 
-// noteUnsent takes into account that an attempt reached no server: only arrivals
-// beyond a shard's first one are extra.
+// noteUnsent counts an attempt that reached no server and refunds its charge: only
+// attempts that reach a server after the shard's first one are extra.
 func (c *Core) noteUnsent(shard *shard) {
 	shard.unsent++
 	if shard.charged > max(shard.arrivals()-1, 0) {
@@ -102,44 +105,45 @@
 	}
 }
 
-// judge records what a reply means for its shard.
-func (c *Core) judge(shard *shard, attempt *attempt, reply upstream.Reply, now time.Duration) {
-	shard.ran = shard.ran.With(reply.Verdict)
+// applyReply applies a reply to its shard.
+func (c *Core) applyReply(shard *shard, attempt *attempt, reply upstream.Reply, now time.Duration) {
+	shard.endedVerdict = shard.endedVerdict.With(reply.Verdict)
 	switch {
 	case reply.Success():
 		shard.answer = &reply
 	case reply.Kind == upstream.Reset && reply.Unsent:
-		// The server has no connection left now; it may have one in a moment.
-		attempt.reopen(now)
+		// The server has no free connection now, but may have one soon.
+		attempt.allowRetry(now)
 	case reply.Kind == upstream.Refused:
 		attempt.refused = true
-		attempt.reopen(now + refusalPause(attempt, reply))
+		attempt.allowRetry(now + refusalBackoff(attempt, reply))
 	case reply.Kind != upstream.Answered:
-	case c.final(&reply):
+	case c.isFinal(&reply):
 		shard.answer = &reply
 	default:
 		shard.fallback = &reply
 	}
 }
 
-// refusalPause returns how long a server that has refused is not asked again: as long as
-// it names, or else what it is expected to take for a request, when a slot has come free.
-func refusalPause(attempt *attempt, reply upstream.Reply) time.Duration {
+// refusalBackoff returns how long a server that refused is not asked again: the time it
+// specified, or else the expected duration of a request, after which a slot should be free.
+func refusalBackoff(attempt *attempt, reply upstream.Reply) time.Duration {
 	if reply.RetryAfter > 0 {
 		return reply.RetryAfter
 	}
 	return attempt.choice.Expected
 }
 
-// final reports whether a server's failure is the answer to the request: the
-// caller's own fault, or one that must not be repeated.
-func (c *Core) final(reply *upstream.Reply) bool {
+// isFinal reports whether a server's failure is the answer to the request: a client
+// error, or a failure of a request that must not be repeated.
+func (c *Core) isFinal(reply *upstream.Reply) bool {
 	if c.plan.Gather {
 		return false
 	}
 	return reply.Status < 500 || !c.plan.Repeatable
 }
 
+// step advances all shards and returns the resulting actions.
 func (c *Core) step(now time.Duration) Batch {
 	batch := Batch{}
 	if c.done {
@@ -165,163 +169,173 @@
 	return batch
 }
 
+// stepShard makes the next attempt of a shard, or schedules its next check.
 func (c *Core) stepShard(index int, now time.Duration, batch *Batch) {
 	shard := &c.shards[index]
 	if shard.resolved() {
 		c.cancelRest(index, batch)
 		return
 	}
-	if now < shard.nextAt {
+	if now < shard.nextCheckAt {
 		return
 	}
-	switch underWay := shard.underWay(); {
-	case c.careful() && (c.underWay() > 0 || c.follows(shard)):
-		shard.nextAt = now + retryPause
+	switch inFlight := shard.inFlight(); {
+	case c.sequential() && (c.inFlight() > 0 || c.waitsForSuspects(shard)):
+		shard.nextCheckAt = now + pollInterval
 	case len(shard.attempts) == 0:
 		c.send(index, ReasonFirst, now, batch)
-	case underWay == 0 && !c.mayRetry(shard, now):
+	case inFlight == 0 && !c.mayRetry(shard, now):
 		shard.lost = true
-	case underWay == 0:
+	case inFlight == 0:
 		c.send(index, ReasonRetry, now, batch)
-	case c.mayHedge(shard, now) && shard.late(now) && !c.straggles(shard, now):
-		shard.nextAt = min(c.lastHedge(shard), now+retryPause)
+	case c.mayHedge(shard, now) && shard.late(now) && !c.hedgeDue(shard, now):
+		shard.nextCheckAt = min(c.hedgeDeadline(shard), now+pollInterval)
 	case c.mayHedge(shard, now) && shard.late(now):
 		c.send(index, ReasonHedge, now, batch)
-	case shard.late(now) && c.cutOff(shard):
+	case shard.late(now) && c.unreachable(shard):
 		shard.lost = true
 	default:
-		shard.nextAt = c.nextLook(shard, now)
+		shard.nextCheckAt = c.nextCheck(shard, now)
 	}
 }
 
-// mayRetry reports whether another attempt is allowed after all have ended.
+// mayRetry reports whether another attempt is allowed after all others have ended.
 func (c *Core) mayRetry(shard *shard, now time.Duration) bool {
 	if !c.mayAttempt(shard, now) {
 		return false
 	}
-	return c.plan.Repeatable || shard.ran == verdict.NotRun
+	return c.plan.Repeatable || shard.endedVerdict == verdict.NotRun
 }
 
-// mayAttempt reports whether the shard has attempts left. Those that reached no
-// server do not count, within reason. Those that were refused do not either, until the
-// target: a caller that is told then can still come back.
+// mayAttempt reports whether the shard has attempts left. Up to maxUnsent attempts
+// that reached no server do not count. Neither do up to maxRefused refused ones
+// before the target: a caller that is refused by then can still retry.
 func (c *Core) mayAttempt(shard *shard, now time.Duration) bool {
-	if shard.unsent > maximumUnsent {
+	if shard.unsent > maxUnsent {
 		return false
 	}
 	refusals := shard.refusals()
-	if refusals == 0 || now >= c.plan.Target || refusals > maximumRefused {
+	if refusals == 0 || now >= c.plan.Target || refusals > maxRefused {
 		return shard.arrivals() < c.plan.MaximumAttempts
 	}
 	return shard.arrivals()-refusals < c.plan.MaximumAttempts
 }
 
-// mayHedge reports whether another attempt is allowed beside those under way.
+// mayHedge reports whether another attempt is allowed in addition to those in flight.
 func (c *Core) mayHedge(shard *shard, now time.Duration) bool {
 	return c.plan.Repeatable && c.mayAttempt(shard, now)
 }
 
 const (
-	// stragglingShare is the part of a gather's shards, fewestStraggling the number, up to
-	// which those that are open count as behind the others.
-	stragglingShare  = 0.25
-	fewestStraggling = 8
+	// The open shards of a gather count as stragglers if they are at most
+	// maxStragglerShare of its shards, or at most maxStragglerCount.
+	maxStragglerShare = 0.25
+	maxStragglerCount = 8
 )
 
-// straggles reports whether a shard that is late may be hedged. While most shards are open
-// they are late together, because this node or its link is busy: hedges to all of them would
-// double the work where it is too much already. At the last moment at which a hedge can be in
-// time there is nothing more to wait for.
-func (c *Core) straggles(shard *shard, now time.Duration) bool {
+// hedgeDue reports whether a late shard is hedged now: if it is a straggler, or at the
+// latest time at which a hedge can still meet the target. While most shards are open, they
+// are all late because this node or its link is busy; hedging all of them would double the
+// load of an overloaded node.
+func (c *Core) hedgeDue(shard *shard, now time.Duration) bool {
 	open := len(c.shards) - c.answered() - c.lost()
-	few := max(int(stragglingShare*float64(len(c.shards))), fewestStraggling)
-	return open <= few || now >= c.lastHedge(shard)
+	limit := max(int(maxStragglerShare*float64(len(c.shards))), maxStragglerCount)
+	return open <= limit || now >= c.hedgeDeadline(shard)
 }
 
-// lastHedge returns when a hedge has to be sent at the latest to be in time.
-func (c *Core) lastHedge(shard *shard) time.Duration {
+// hedgeDeadline returns the latest time at which a hedge can still meet the target.
+func (c *Core) hedgeDeadline(shard *shard) time.Duration {
 	newest := shard.attempts[len(shard.attempts)-1]
 	return c.plan.Target - newest.choice.Expected
 }
 
-func (c *Core) nextLook(shard *shard, now time.Duration) time.Duration {
+// nextCheck returns when a shard with attempts in flight has to be checked again.
+func (c *Core) nextCheck(shard *shard, now time.Duration) time.Duration {
 	if c.mayHedge(shard, now) {
 		return max(shard.lateAt(), now)
 	}
 	if c.plan.Gather {
-		return max(shard.lateAt(), now+reachPause)
+		return max(shard.lateAt(), now+reachCheckInterval)
 	}
 	return c.plan.Deadline
 }
 
-// cutOff reports whether there is no way to any server that a shard waits for: its part
-// is not waited for. A whole request is: its server may be at work on it.
-func (c *Core) cutOff(shard *shard) bool {
+// unreachable reports whether all servers that a shard of a gather waits for are
+// unreachable, so that there is no point in waiting. A request for one server keeps
+// waiting: its server may be running it.
+func (c *Core) unreachable(shard *shard) bool {
 	if !c.plan.Gather {
 		return false
 	}
-	cut := true
+	unreachable := true
 	for index := range shard.attempts {
 		attempt := &shard.attempts[index]
-		// Each server is asked for: its silence tells of the way to its zone.
+		// The loop does not stop at the first reachable server: each call of OutOfReach
+		// also records the silence of that server for the reachability of its zone.
 		if !attempt.finished && !c.servers.OutOfReach(attempt.choice.Endpoint) {
-			cut = false
+			unreachable = false
 		}
 	}
-	return cut
+	return unreachable
 }
 
+// send makes an attempt for a shard, or defers it if no server or budget is available.
 func (c *Core) send(index int, reason Reason, now time.Duration, batch *Batch) {
 	shard := &c.shards[index]
 	extra := shard.arrivals() > 0
-	choice, availability := c.servers.Choose(shard.service, shard.barred(now), c.only(shard), extra)
-	if at, reopens := shard.reopensAt(); availability == endpoints.NoServer && reopens && at > now && at < c.plan.Target {
-		shard.nextAt = at
+	choice, availability := c.servers.Choose(shard.service, shard.excluded(now), c.allowedServers(shard), extra)
+	if at, retryable := shard.nextRetryAt(); availability == endpoints.NoServer && retryable && at > now && at < c.plan.Target {
+		shard.nextCheckAt = at
 		return
 	}
 	if availability != endpoints.Chosen {
-		c.wait(shard, availability, now)
+		c.deferSend(shard, availability, now)
 		return
 	}
 	if extra {
 		shard.charged++
 	}
-	shard.attempts = append(shard.attempts, attempt{choice: choice, sentAt: now, careful: c.careful()})
-	shard.nextAt = c.nextLook(shard, now)
+	shard.attempts = append(shard.attempts, attempt{choice: choice, sentAt: now, sequential: c.sequential()})
+	shard.nextCheckAt = c.nextCheck(shard, now)
 	id := AttemptID{Shard: index, Number: len(shard.attempts) - 1}
 	batch.Sends = append(batch.Sends, Send{ID: id, Reason: reason, Choice: choice})
 }
 
-// only returns the servers to which the shard keeps once it has asked as many as it may;
-// nil as long as it may ask others.
-func (c *Core) only(shard *shard) []*endpoints.Endpoint {
-	reached := shard.reached()
+// allowedServers returns the servers that the shard has reached, once these are as many as
+// it may ask; nil while it may ask others.
+func (c *Core) allowedServers(shard *shard) []*endpoints.Endpoint {
+	reached := shard.reachedServers()
 	if len(reached) < c.plan.MaximumAttempts {
 		return nil
 	}
 	return reached
 }
 
-// wait puts off a send for which there is no server or no budget. A shard with
-// nothing under way, or out of reach alone, that has waited in vain for long enough is
-// lost.
-func (c *Core) wait(shard *shard, availability endpoints.Availability, now time.Duration) {
-	waiting := shard.underWay() > 0 && !(availability == endpoints.NoServer && c.cutOff(shard))
-	if !waiting && now >= c.patience(shard, availability) {
+// deferSend defers a send for which there is no server or no budget. A shard is lost once it
+// has waited long enough and has no attempt in flight, or only ones to unreachable servers.
+func (c *Core) deferSend(shard *shard, availability endpoints.Availability, now time.Duration) {
+	waiting := shard.inFlight() > 0 && !(availability == endpoints.NoServer && c.unreachable(shard))
+	if !waiting && now >= c.waitUntil(shard, availability) {
 		shard.lost = true
-		c.withoutBudget = c.withoutBudget || availability == endpoints.NoBudget
+		c.budgetExhausted = c.budgetExhausted || availability == endpoints.NoBudget
 		return
 	}
-	shard.nextAt = now + retryPause
+	shard.nextCheckAt = now + pollInterval
 }
 
-// patience returns until when a shard waits for a server to take its request. Busy
-// servers will have room. A service whose servers have all been tried has nothing
-// to wait for, nor has one without servers in a list that is whole. With cold servers
-// alone, this node's next turn may be seconds away: a whole request is refused at once. Without retry budget, or a turn, a shard's part is of use until the target,
-// when the answer is given without it; a whole request is answered early, because its
-// caller can ask again, which is no extra send.
-func (c *Core) patience(shard *shard, availability endpoints.Availability) time.Duration {
+// waitUntil returns until when a shard waits for a server to accept its request:
+//
+//   - Busy servers will have free slots: until the deadline.
+//   - If all servers of the service have been tried, or a complete list has none, there
+//     is nothing to wait for.
+//   - If all servers are cold, this node may have to wait seconds for its next send to
+//     them: a request for one server is refused at once.
+//   - Without retry budget, or with cold servers only, a shard's reply is useful until
+//     the target, when the answer is given without it. A request for one server is
+//     answered early, because its caller can retry, which is not an extra send.
+//   - While the list may be incomplete, a shard waits until the target, a request for
+//     one server for as long as a request may be held.
+func (c *Core) waitUntil(shard *shard, availability endpoints.Availability) time.Duration {
 	switch {
 	case availability == endpoints.Busy:
 		return c.plan.Deadline
@@ -336,7 +350,7 @@
 	case c.servers.Settling():
 		return c.plan.Patience
 	}
-	return time.Duration(refusalShare * float64(c.plan.Target))
+	return time.Duration(earlyRefusalShare * float64(c.plan.Target))
 }
 
 // cancelRest cancels the attempts of a shard that has its answer.
@@ -350,7 +364,7 @@
 	}
 }
 
-// wake returns when the core has to be called at the latest.
+// wake returns the latest time at which the core has to be called again.
 func (c *Core) wake() time.Duration {
 	wake := c.plan.Deadline
 	if c.plan.Gather && c.answered() >= c.plan.LeastShards {
@@ -358,7 +372,7 @@
 	}
 	for index := range c.shards {
 		if shard := &c.shards[index]; !shard.resolved() {
-			wake = min(wake, shard.nextAt)
+			wake = min(wake, shard.nextCheckAt)
 		}
 	}
 	return wake
--- a/internal/exchange/core_test.go
+++ b/internal/exchange/core_test.go
@@ -22,7 +22,7 @@
 
 func TestAllShardsAreAskedAtOnceAndMerged(t *testing.T) {
 	is := is.New(t)
-	core := New(gatherPlan("a", "b"), &fleet{servers: map[string]int{"a": 2, "b": 2}})
+	core := New(gatherPlan("a", "b"), &fakeServers{servers: map[string]int{"a": 2, "b": 2}})
 	is.Equal(ids(core.Start(0)), []AttemptID{{0, 0}, {1, 0}})
 	is.True(core.Reply(AttemptID{0, 0}, answered(200), 10*ms).Outcome == nil)
 	outcome := core.Reply(AttemptID{1, 0}, answered(200), 20*ms).Outcome
@@ -34,7 +34,7 @@
 
 func TestLateShardIsHedgedOnce(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 3}, budget: 5}
+	servers := &fakeServers{servers: map[string]int{"a": 3}, budget: 5}
 	core := New(gatherPlan("a"), servers)
 	batch := core.Start(0)
 	is.Equal(batch.Wake, testLateAfter)
@@ -50,7 +50,7 @@
 
 func TestAnsweredShardCancelsItsOtherAttempt(t *testing.T) {
 	is := is.New(t)
-	core := New(gatherPlan("a", "b"), &fleet{servers: map[string]int{"a": 2, "b": 2}, budget: 5})
+	core := New(gatherPlan("a", "b"), &fakeServers{servers: map[string]int{"a": 2, "b": 2}, budget: 5})
 	core.Start(0)
 	core.Tick(testLateAfter)
 	batch := core.Reply(AttemptID{0, 1}, answered(200), 60*ms)
@@ -59,7 +59,7 @@
 
 func TestFailedAttemptIsRetriedWithinTheBudget(t *testing.T) {
 	is := is.New(t)
-	core := New(gatherPlan("a"), &fleet{servers: map[string]int{"a": 2}, budget: 1})
+	core := New(gatherPlan("a"), &fakeServers{servers: map[string]int{"a": 2}, budget: 1})
 	core.Start(0)
 	batch := core.Reply(AttemptID{0, 0}, lost, 5*ms)
 	is.Equal(batch.Sends[0].Reason, ReasonRetry)
@@ -68,24 +68,24 @@
 	is.Equal(outcome.Cause, CauseShardsLost)
 }
 
-func TestSpentBudgetWaitsAndSendsLater(t *testing.T) {
+func TestRetryWaitsForBudget(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 2}}
+	servers := &fakeServers{servers: map[string]int{"a": 2}}
 	core := New(gatherPlan("a"), servers)
 	core.Start(0)
 	batch := core.Reply(AttemptID{0, 0}, lost, 5*ms)
 	is.Equal(len(batch.Sends), 0)
 	is.True(batch.Outcome == nil)
-	is.Equal(batch.Wake, 5*ms+retryPause)
+	is.Equal(batch.Wake, 5*ms+pollInterval)
 	servers.budget = 1
-	is.Equal(ids(core.Tick(5*ms+retryPause)), []AttemptID{{0, 1}})
+	is.Equal(ids(core.Tick(5*ms+pollInterval)), []AttemptID{{0, 1}})
 }
 
 func TestPartialAnswerAtTheTarget(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a", "b", "c")
 	plan.LeastShards = 2
-	core := New(plan, &fleet{servers: map[string]int{"a": 1, "b": 1, "c": 1}})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 1, "b": 1, "c": 1}})
 	core.Start(0)
 	core.Reply(AttemptID{0, 0}, answered(200), 10*ms)
 	is.True(core.Tick(testTarget).Outcome == nil) // one of three is too few
@@ -99,7 +99,7 @@
 	is := is.New(t)
 	plan := gatherPlan("a", "b")
 	plan.LeastShards = 1
-	core := New(plan, &fleet{servers: map[string]int{"a": 1, "b": 1}})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 1, "b": 1}})
 	core.Start(0)
 	batch := core.Reply(AttemptID{0, 0}, answered(200), 10*ms)
 	is.True(batch.Outcome == nil)
@@ -111,7 +111,7 @@
 	for _, test := range []struct {
 		name  string
 		reply upstream.Reply
-		// retried tells whether another attempt is made.
+		// retried is set if another attempt is made.
 		retried bool
 		status  Status
 	}{
@@ -125,7 +125,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			core := New(singlePlan(false), &fleet{servers: map[string]int{"a": 9}, budget: 9})
+			core := New(singlePlan(false), &fakeServers{servers: map[string]int{"a": 9}, budget: 9})
 			core.Start(0)
 			is.Equal(len(core.Tick(10*testLateAfter).Sends), 0) // never hedged
 			batch := core.Reply(AttemptID{0, 0}, test.reply, 510*ms)
@@ -139,9 +139,9 @@
 	}
 }
 
-func TestRefusalIsNeverPromisedOnceSomethingMayHaveRun(t *testing.T) {
+func TestNoRefusalOnceAnAttemptMayHaveRun(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{servers: map[string]int{"a": 2}, budget: 9})
+	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 2}, budget: 9})
 	core.Start(0)
 	core.Tick(testLateAfter)
 	core.Reply(AttemptID{0, 1}, refused, 60*ms)
@@ -158,9 +158,9 @@
 	is.Equal(batch.Outcome.Status, StatusFailed)
 }
 
-func TestRefusalComesEarlyWithoutServers(t *testing.T) {
+func TestRequestWithoutServersIsRefusedEarly(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(false), &fleet{})
+	core := New(singlePlan(false), &fakeServers{})
 	batch := core.Start(0)
 	for batch.Outcome == nil {
 		batch = core.Tick(batch.Wake)
@@ -172,7 +172,7 @@
 
 func TestBusyServersAreWaitedFor(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 1}, busy: map[string]bool{"a": true}}
+	servers := &fakeServers{servers: map[string]int{"a": 1}, busy: map[string]bool{"a": true}}
 	core := New(singlePlan(true), servers)
 	core.Start(0)
 	is.True(core.Tick(testTarget+ms).Outcome == nil)
@@ -180,13 +180,13 @@
 	is.Equal(len(core.Tick(testTarget+100*ms).Sends), 1)
 }
 
-// A refused caller comes back after its target, so that a refusal for being late
-// would make it late: every shard is asked, whatever is expected of it.
-func TestRequestThatWouldBeLateIsCarriedOut(t *testing.T) {
+// A refused caller retries after its target, so that a refusal for being late would
+// itself make it late: every shard is asked, however long its reply is expected to take.
+func TestRequestExpectedToBeLateIsSent(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a", "b", "c")
 	plan.LeastShards = 2
-	servers := &fleet{servers: map[string]int{"a": 1, "b": 1, "c": 1}, lateAfter: 2 * testTarget}
+	servers := &fakeServers{servers: map[string]int{"a": 1, "b": 1, "c": 1}, lateAfter: 2 * testTarget}
 	core := New(plan, servers)
 	is.Equal(len(core.Start(0).Sends), 3)
 	is.True(core.Tick(testTarget).Outcome == nil)
@@ -196,37 +196,37 @@
 
 func TestDeadlineEndsTheRequest(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{servers: map[string]int{"a": 1}})
+	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 1}})
 	core.Start(0)
 	outcome := core.Tick(testDeadline).Outcome
 	is.Equal(outcome.Status, StatusExpired)
 	is.Equal(outcome.Cause, CauseDeadline)
 }
 
-func TestServersOwnFailure(t *testing.T) {
+func TestServerErrorIsRetriedThenForwarded(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{servers: map[string]int{"a": 2}, budget: 9})
+	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 2}, budget: 9})
 	core.Start(0)
 	batch := core.Reply(AttemptID{0, 0}, answered(500), 10*ms)
-	is.Equal(len(batch.Sends), 1) // a repeatable request is tried again
+	is.Equal(len(batch.Sends), 1) // a repeatable request is retried
 	outcome := core.Reply(AttemptID{0, 1}, lost, 20*ms).Outcome
 	is.Equal(outcome.Status, StatusAnswered)
-	is.Equal(outcome.Replies[0].Status, 500) // the failure is handed on unchanged
+	is.Equal(outcome.Replies[0].Status, 500) // the failure is forwarded unchanged
 	is.Equal(outcome.Cause, CauseServerFailed)
 }
 
-func TestCallersOwnFaultIsFinal(t *testing.T) {
+func TestClientErrorIsFinal(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{servers: map[string]int{"a": 2}, budget: 9})
+	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 2}, budget: 9})
 	core.Start(0)
 	outcome := core.Reply(AttemptID{0, 0}, answered(404), 10*ms).Outcome
 	is.Equal(outcome.Replies[0].Status, 404)
 }
 
-func TestFailedPartIsNoPart(t *testing.T) {
+func TestErrorReplyIsNoShardAnswer(t *testing.T) {
 	is := is.New(t)
 	for _, status := range []int{404, 500, 504} {
-		core := New(gatherPlan("a"), &fleet{servers: map[string]int{"a": 1}})
+		core := New(gatherPlan("a"), &fakeServers{servers: map[string]int{"a": 1}})
 		core.Start(0)
 		batch := core.Reply(AttemptID{0, 0}, answered(status), 10*ms)
 		for batch.Outcome == nil {
@@ -238,7 +238,7 @@
 
 func TestNothingIsDoneAfterTheOutcome(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{servers: map[string]int{"a": 2}, budget: 9})
+	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 2}, budget: 9})
 	core.Start(0)
 	core.Tick(testLateAfter)
 	is.True(core.Reply(AttemptID{0, 0}, answered(200), 60*ms).Outcome != nil)
@@ -247,34 +247,34 @@
 	is.Equal(len(late.Sends), 0)
 }
 
-var _ Servers = (*fleet)(nil)
+var _ Servers = (*fakeServers)(nil)
 
-// A request that was withheld has not run, so that even one that must not be
-// repeated goes to another server.
+// A withheld request has not run, so that even one that must not be repeated is sent to
+// another server.
 func TestWithheldRequestGoesToAnotherServer(t *testing.T) {
 	is := is.New(t)
 	withheld := upstream.Reply{Kind: upstream.Withheld, Verdict: verdict.NotRun}
-	core := New(singlePlan(false), &fleet{servers: map[string]int{"a": 2}, budget: 1})
+	core := New(singlePlan(false), &fakeServers{servers: map[string]int{"a": 2}, budget: 1})
 	core.Start(0)
 	is.Equal(ids(core.Reply(AttemptID{0, 0}, withheld, ms)), []AttemptID{{0, 1}})
 }
 
-// A request whose retry is not allowed gets its final answer soon, not at its
-// deadline: the caller may ask again.
-func TestRequestWithoutBudgetIsAnsweredSoon(t *testing.T) {
+// A request whose retry is not allowed gets its final answer early, not at its deadline,
+// because the caller may retry.
+func TestRequestWithoutBudgetIsAnsweredEarly(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		plan    Plan
-		servers *fleet
-		// reply ends the first attempt, if one could be sent.
+		servers *fakeServers
+		// reply ends the first attempt, if one was sent.
 		reply upstream.Reply
-		// limit is when the final answer has to be there.
+		// limit is the latest time for the final answer.
 		limit time.Duration
 		want  Status
 	}{
-		{"refused, no budget", singlePlan(false), &fleet{servers: map[string]int{"a": 2}}, refused, testTarget / 4, StatusRefused},
-		{"lost, no budget", singlePlan(true), &fleet{servers: map[string]int{"a": 2}}, lost, testTarget / 4, StatusFailed},
-		{"shard without budget", gatherPlan("a"), &fleet{servers: map[string]int{"a": 2}}, lost, testTarget + retryPause, StatusFailed},
+		{"refused, no budget", singlePlan(false), &fakeServers{servers: map[string]int{"a": 2}}, refused, testTarget / 4, StatusRefused},
+		{"lost, no budget", singlePlan(true), &fakeServers{servers: map[string]int{"a": 2}}, lost, testTarget / 4, StatusFailed},
+		{"shard without budget", gatherPlan("a"), &fakeServers{servers: map[string]int{"a": 2}}, lost, testTarget + pollInterval, StatusFailed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -295,11 +295,11 @@
 	}
 }
 
-// Cold servers take nothing more of this node for seconds: nobody waits for that. The
-// part of a shard is of use until the target.
+// Cold servers accept nothing more from this node for seconds, too long for a request for
+// one server to wait. The reply of a shard is useful until the target.
 func TestColdServersAreNotWaitedFor(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 1, "b": 1}, cold: map[string]bool{"a": true}}
+	servers := &fakeServers{servers: map[string]int{"a": 1, "b": 1}, cold: map[string]bool{"a": true}}
 	outcome := New(singlePlan(true), servers).Start(0).Outcome
 	is.True(outcome != nil)
 	is.Equal(outcome.Status, StatusRefused)
@@ -313,41 +313,41 @@
 	is.Equal(outcome.Missing, 1)
 }
 
-// A whole list without a server for the request is nothing to wait for.
+// With a complete list that has no server for the request, there is nothing to wait for.
 func TestRequestWithoutServersIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{})
+	core := New(singlePlan(true), &fakeServers{})
 	batch := core.Start(0)
 	is.True(batch.Outcome != nil)
 	is.Equal(batch.Outcome.Status, StatusRefused)
 	is.Equal(batch.Outcome.Cause, CauseNoServers)
-	waiting := New(singlePlan(true), &fleet{settling: true})
+	waiting := New(singlePlan(true), &fakeServers{settling: true})
 	is.True(waiting.Start(0).Outcome == nil)
 }
 
-// What was sent to where there is no way any more is not waited for to the deadline: a
-// gathered request fails, or is answered without it, once that is known. A request for
-// one server is waited for: it may be at work, and must not be sent again.
-func TestShardsThatAreCutOffAreNotWaitedFor(t *testing.T) {
+// A gathered request does not wait until its deadline for servers that have become
+// unreachable: it fails, or is answered without them, once that is detected. A request for
+// one server keeps waiting: its server may be running it, and it must not be sent again.
+func TestUnreachableShardsAreNotWaitedFor(t *testing.T) {
 	for _, attempts := range []int{1, 2} {
 		is := is.New(t)
-		servers := &fleet{servers: map[string]int{"a": 1, "b": 1}, budget: 9}
+		servers := &fakeServers{servers: map[string]int{"a": 1, "b": 1}, budget: 9}
 		plan := gatherPlan("a", "b")
 		plan.MaximumAttempts = attempts
 		core := New(plan, servers)
 		core.Start(0)
 		is.True(core.Reply(AttemptID{Shard: 1}, answered(200), testLateAfter/2).Outcome == nil)
 		is.True(core.Tick(2*testTarget).Outcome == nil)
-		servers.cut = true
-		batch := core.Tick(2*testTarget + reachPause)
+		servers.unreachable = true
+		batch := core.Tick(2*testTarget + reachCheckInterval)
 		is.True(batch.Outcome != nil)
 		is.Equal(batch.Outcome.Status, StatusFailed)
 		is.Equal(batch.Outcome.Cause, CauseShardsLost)
 	}
 	for _, repeatable := range []bool{true, false} {
-		core := New(singlePlan(repeatable), &fleet{servers: map[string]int{"a": 1}, budget: 9, cut: true})
+		core := New(singlePlan(repeatable), &fakeServers{servers: map[string]int{"a": 1}, budget: 9, unreachable: true})
 		core.Start(0)
-		for now := testLateAfter; now < testDeadline; now += reachPause {
+		for now := testLateAfter; now < testDeadline; now += reachCheckInterval {
 			is.New(t).True(core.Tick(now).Outcome == nil)
 		}
 	}
--- a/internal/exchange/decide.go
+++ b/internal/exchange/decide.go
@@ -7,12 +7,12 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// decide returns the outcome once there is nothing worth waiting for.
+// decide returns the outcome once there is nothing left to wait for.
 func (c *Core) decide(now time.Duration) *Outcome {
 	answered, lost := c.answered(), c.lost()
 	total := len(c.shards)
 	switch {
-	case c.stopped() && c.underWay() == 0:
+	case c.stopped() && c.inFlight() == 0:
 		return c.fail(CauseServersEnded)
 	case answered+lost == total && answered >= c.plan.LeastShards:
 		return c.answer(CauseComplete)
@@ -59,9 +59,8 @@
 	return outcome
 }
 
-// fail ends the request without a success. A server's own failure is handed on
-// where the request was for one server; a refusal is promised only if nothing
-// can have run.
+// fail ends the request without a success. For a request for one server, the server's
+// own failure is forwarded. The status is a refusal only if no attempt can have run.
 func (c *Core) fail(cause Cause) *Outcome {
 	if fallback := c.shards[0].fallback; !c.plan.Gather && fallback != nil {
 		return &Outcome{Status: StatusAnswered, Cause: CauseServerFailed, Replies: []upstream.Reply{*fallback}}
@@ -76,7 +75,7 @@
 	switch {
 	case c.Sends() == 0:
 		cause = CauseNoServers
-	case cause == CauseShardsLost && c.withoutBudget:
+	case cause == CauseShardsLost && c.budgetExhausted:
 		cause = CauseNoBudget
 	}
 	return &Outcome{Status: status, Cause: cause, Missing: len(c.shards)}
@@ -90,7 +89,7 @@
 	return joined
 }
 
-// Sends returns how many attempts have been made.
+// Sends returns the number of attempts made.
 func (c *Core) Sends() int {
 	count := 0
 	for index := range c.shards {
--- /dev/null
+++ b/internal/exchange/guard.go
@@ -0,0 +1,64 @@
+package exchange
+
+import (
+	"slices"
+	"time"
+
+	"github.com/driftstage/driftstage/internal/upstream"
+	"github.com/driftstage/driftstage/internal/verdict"
+)
+
+// updateGuard updates the guard with the end of an attempt. An attempt that has not run or
+// that ran into its deadline does not count as a loss.
+func (c *Core) updateGuard(attempt *attempt, reply upstream.Reply, now time.Duration) {
+	switch {
+	case reply.Kind == upstream.Answered:
+		c.noteAnswer(now)
+	case reply.Unsent || reply.Verdict == verdict.NotRun || reply.Kind == upstream.Expired:
+	default:
+		c.guard.Lose(attempt.sequential)
+	}
+}
+
+// noteAnswer records that a server answered, and lets the shards proceed that waited for it.
+func (c *Core) noteAnswer(now time.Duration) {
+	wasSequential := c.sequential()
+	c.guard.Hear()
+	if !wasSequential {
+		return
+	}
+	for index := range c.shards {
+		c.shards[index].nextCheckAt = now
+	}
+}
+
+// sequential reports whether only one attempt of the request may be in flight.
+func (c *Core) sequential() bool {
+	return c.guard.Careful() || c.plan.Trial && !c.guard.Heard()
+}
+
+// waitsForSuspects reports whether a shard of a trial waits because a suspect shard is still
+// open.
+func (c *Core) waitsForSuspects(shard *shard) bool {
+	if !c.plan.Trial || slices.Contains(c.plan.Suspects, shard.service) {
+		return false
+	}
+	for index := range c.shards {
+		if other := &c.shards[index]; !other.resolved() && slices.Contains(c.plan.Suspects, other.service) {
+			return true
+		}
+	}
+	return false
+}
+
+// stopped reports whether no more attempts are made: a sequential attempt was lost.
+func (c *Core) stopped() bool { return c.guard.Stopped() }
+
+// inFlight returns the number of attempts that have not ended.
+func (c *Core) inFlight() int {
+	count := 0
+	for index := range c.shards {
+		count += c.shards[index].inFlight()
+	}
+	return count
+}
--- a/internal/exchange/care_test.go
+++ b/internal/exchange/guard_test.go
@@ -11,14 +11,14 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// A request under which servers may end is sent to one more server after the first ones of
-// its shards, not to the next one of each.
+// A request that may terminate servers is sent to only one more server once its first
+// attempts were lost, not to another server of each shard.
 func TestRequestThatLosesAllItsAttemptsGetsOneMore(t *testing.T) {
 	is := is.New(t)
 	services := []string{"a", "b", "c", "d"}
 	plan := gatherPlan(services...)
 	plan.MaximumAttempts = 3
-	core := New(plan, &fleet{servers: map[string]int{"a": 3, "b": 3, "c": 3, "d": 3}, budget: 99})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 3, "b": 3, "c": 3, "d": 3}, budget: 99})
 	is.Equal(len(core.Start(0).Sends), 4)
 	retries := 0
 	for shard := range services {
@@ -34,10 +34,11 @@
 	is.Equal(core.Sends(), 4+2+1)
 }
 
-// Where many servers are lost together, the first answer shows that it was not the request.
-func TestRetriesGoOnAfterTheFirstAnswer(t *testing.T) {
+// If many servers fail at the same time for another reason, the first answer shows that the
+// request is not the cause.
+func TestRetriesResumeAfterTheFirstAnswer(t *testing.T) {
 	is := is.New(t)
-	servers := &fleet{servers: map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}, budget: 99}
+	servers := &fakeServers{servers: map[string]int{"a": 2, "b": 2, "c": 2, "d": 2}, budget: 99}
 	core := New(gatherPlan("a", "b", "c", "d"), servers)
 	core.Start(0)
 	for shard := range 3 {
@@ -56,14 +57,14 @@
 	is := is.New(t)
 	plan := gatherPlan("a", "b")
 	plan.Trial = true
-	servers := &fleet{servers: map[string]int{"a": 3, "b": 3}, budget: 9}
+	servers := &fakeServers{servers: map[string]int{"a": 3, "b": 3}, budget: 9}
 	core := New(plan, servers)
 	is.Equal(ids(core.Start(0)), []AttemptID{{0, 0}})
-	is.Equal(len(core.Tick(2*testLateAfter).Sends), 0) // nor a hedge
+	is.Equal(len(core.Tick(2*testLateAfter).Sends), 0) // not hedged either
 	batch := core.Reply(AttemptID{0, 0}, answered(200), 60*ms)
 	is.Equal(ids(batch), []AttemptID{{1, 0}})
 
-	failed := New(plan, &fleet{servers: map[string]int{"a": 3, "b": 3}, budget: 9})
+	failed := New(plan, &fakeServers{servers: map[string]int{"a": 3, "b": 3}, budget: 9})
 	failed.Start(0)
 	outcome := failed.Reply(AttemptID{0, 0}, lost, ms).Outcome
 	is.Equal(outcome.Status, StatusFailed)
@@ -71,29 +72,30 @@
 	is.Equal(failed.Sends(), 1)
 }
 
-// A trial that reaches no server goes on to the next one: nothing has run.
-func TestTrialThatReachesNoServerGoesOn(t *testing.T) {
+// A trial whose attempt reaches no server continues at the next one: nothing has run.
+func TestTrialContinuesIfNoServerIsReached(t *testing.T) {
 	is := is.New(t)
 	plan := singlePlan(false)
 	plan.Trial = true
-	core := New(plan, &fleet{servers: map[string]int{"a": 3}, budget: 9})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 3}, budget: 9})
 	core.Start(0)
-	is.Equal(ids(core.Reply(AttemptID{0, 0}, unconnected, ms)), []AttemptID{{0, 1}})
+	is.Equal(ids(core.Reply(AttemptID{0, 0}, unsentUnreachable, ms)), []AttemptID{{0, 1}})
 	is.Equal(core.Reply(AttemptID{0, 1}, answered(200), 2*ms).Outcome.Status, StatusAnswered)
 }
 
-// A trial begins at a shard whose servers ended; the others wait for its answer.
-func TestTrialBeginsWithTheSuspects(t *testing.T) {
+// A trial starts at a suspect shard, whose servers terminated; the others wait for its
+// answer.
+func TestTrialStartsWithTheSuspects(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a", "b", "c")
 	plan.Trial, plan.Suspects = true, []string{"c"}
-	core := New(plan, &fleet{servers: map[string]int{"a": 3, "b": 3, "c": 3}, budget: 9})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 3, "b": 3, "c": 3}, budget: 9})
 	is.Equal(ids(core.Start(0)), []AttemptID{{2, 0}})
 	is.Equal(ids(core.Reply(AttemptID{Shard: 2}, answered(200), ms)), []AttemptID{{0, 0}, {1, 0}})
 
-	// Without a server there, nothing can be learned, and the others are asked.
+	// Without a server there, the suspicion cannot be tested, and the others are asked.
 	plan.LeastShards = 2
-	core = New(plan, &fleet{servers: map[string]int{"a": 3, "b": 3}, budget: 9})
+	core = New(plan, &fakeServers{servers: map[string]int{"a": 3, "b": 3}, budget: 9})
 	batch := core.Start(0)
 	for len(batch.Sends) == 0 {
 		batch = core.Tick(batch.Wake)
@@ -101,14 +103,14 @@
 	is.Equal(ids(batch), []AttemptID{{0, 0}})
 }
 
-// What ran into the end of its time, or never left, says nothing of the request.
-func TestOnlyLossesMakeARequestCareful(t *testing.T) {
+// An attempt that expired, was refused or was never sent does not count as a loss.
+func TestOnlyLossesMakeARequestSequential(t *testing.T) {
 	is := is.New(t)
-	core := New(gatherPlan("a", "b", "c", "d"), &fleet{servers: map[string]int{"a": 9, "b": 9, "c": 9, "d": 9}})
+	core := New(gatherPlan("a", "b", "c", "d"), &fakeServers{servers: map[string]int{"a": 9, "b": 9, "c": 9, "d": 9}})
 	core.Start(0)
 	expired := upstream.Reply{Kind: upstream.Expired, Verdict: verdict.MayHaveRun}
-	for shard, reply := range []upstream.Reply{unconnected, crowded, refused, expired} {
+	for shard, reply := range []upstream.Reply{unsentUnreachable, unsentReset, refused, expired} {
 		core.Reply(AttemptID{Shard: shard}, reply, ms)
 	}
-	is.Equal(core.care, care.State{})
+	is.Equal(core.guard, care.State{})
 }
--- a/internal/exchange/hedge_test.go
+++ b/internal/exchange/hedge_test.go
@@ -11,10 +11,10 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// manyShards returns a plan over so many shards, and a fleet with three servers for each.
-func manyShards(count int) (Plan, *fleet) {
+// manyShards returns a plan over the given number of shards, and three servers for each.
+func manyShards(count int) (Plan, *fakeServers) {
 	plan := Plan{Gather: true, Repeatable: true, MaximumAttempts: 2, LeastShards: count, Target: testTarget, Deadline: testDeadline}
-	servers := &fleet{servers: make(map[string]int), budget: 10 * count}
+	servers := &fakeServers{servers: make(map[string]int), budget: 10 * count}
 	for index := range count {
 		name := fmt.Sprint("s-", index)
 		plan.Services = append(plan.Services, name)
@@ -27,9 +27,9 @@
 	return upstream.Reply{Kind: upstream.Answered, Verdict: verdict.Ran, Status: 200, Seal: "seal"}
 }
 
-// A node that is late itself reads no answer in time: all shards of a gather are late together,
-// and a hedge to each would double its work.
-func TestGatherThatIsLateAsAWholeIsNotHedgedAtOnce(t *testing.T) {
+// A slow node reads no reply in time: all shards of a gather are late at once, and hedging
+// all of them would double its load.
+func TestHedgesWaitWhileMostShardsAreLate(t *testing.T) {
 	is := is.New(t)
 	plan, servers := manyShards(90)
 	core := New(plan, servers)
@@ -37,11 +37,11 @@
 	for now := testLateAfter; now < testTarget-testExpected; now += 5 * time.Millisecond {
 		is.Equal(len(core.Tick(now).Sends), 0)
 	}
-	// Now it is the last moment for a hedge to be in time.
+	// This is the latest time at which a hedge can still meet the target.
 	is.Equal(len(core.Tick(testTarget-testExpected).Sends), 90)
 }
 
-// The last shards of a gather are hedged as soon as they are late.
+// The last open shards of a gather are hedged as soon as they are late.
 func TestLastShardsAreHedgedAtOnce(t *testing.T) {
 	is := is.New(t)
 	plan, servers := manyShards(90)
@@ -57,8 +57,9 @@
 	is.Equal(batch.Sends[0].Reason, ReasonHedge)
 }
 
-// Shards that waited for the others are looked at soon after those have answered.
-func TestShardsThatWereLateTogetherAreHedgedOnceFewAreLeft(t *testing.T) {
+// Late shards whose hedge was deferred are checked again soon, and hedged once most others
+// have answered.
+func TestLateShardsAreHedgedOnceFewAreOpen(t *testing.T) {
 	is := is.New(t)
 	plan, servers := manyShards(90)
 	core := New(plan, servers)
@@ -67,19 +68,19 @@
 	for shard := range 80 {
 		core.Reply(AttemptID{Shard: shard}, success(), testLateAfter+time.Millisecond)
 	}
-	is.Equal(len(core.Tick(testLateAfter+retryPause).Sends), 10)
+	is.Equal(len(core.Tick(testLateAfter+pollInterval).Sends), 10)
 }
 
-// A gather of few shards is no burden: each is hedged when it is late.
+// A gather of few shards adds little load: each is hedged when it is late.
 func TestFewShardsAreHedgedTogether(t *testing.T) {
 	is := is.New(t)
-	plan, servers := manyShards(fewestStraggling)
+	plan, servers := manyShards(maxStragglerCount)
 	core := New(plan, servers)
 	core.Start(0)
-	is.Equal(len(core.Tick(testLateAfter).Sends), fewestStraggling)
+	is.Equal(len(core.Tick(testLateAfter).Sends), maxStragglerCount)
 }
 
-// A slow node gives a partial answer so much earlier that it arrives in time.
+// A slow node returns a partial answer earlier, so that it reaches the caller in time.
 func TestShortenedTargetLeavesTimeForTheAnswer(t *testing.T) {
 	for _, test := range []struct{ needed, earlier time.Duration }{
 		{0, 0},
--- a/internal/exchange/property_test.go
+++ b/internal/exchange/property_test.go
@@ -11,7 +11,7 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// history is what an observer of all sends and replies knows of a request.
+// history records all sends, replies and outcomes of a request.
 type history struct {
 	sends    map[int]int
 	chosen   map[AttemptID]*endpoints.Endpoint
@@ -21,12 +21,12 @@
 	outcomes []*Outcome
 }
 
-// TestRequestsKeepTheirPromises drives the core with random replies at random
-// times and checks what must hold of every request.
-func TestRequestsKeepTheirPromises(t *testing.T) {
+// TestRequestInvariants drives the core with random replies at random
+// times and checks the invariants of every request.
+func TestRequestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := drawPlan(t)
-		servers := &fleet{
+		servers := &fakeServers{
 			servers:   make(map[string]int),
 			prospects: make(map[string]endpoints.Prospect),
 			budget:    rapid.IntRange(0, 6).Draw(t, "budget"),
@@ -42,13 +42,13 @@
 				Extra:   float64(rapid.IntRange(-1, 6).Draw(t, "extra")),
 			}
 		}
-		seen := &history{sends: make(map[int]int), chosen: make(map[AttemptID]*endpoints.Endpoint), started: make(map[AttemptID]bool), ended: make(map[AttemptID]upstream.Reply)}
+		history := &history{sends: make(map[int]int), chosen: make(map[AttemptID]*endpoints.Endpoint), started: make(map[AttemptID]bool), ended: make(map[AttemptID]upstream.Reply)}
 		core := New(plan, servers)
 		now := time.Duration(0)
 		batch := core.Start(now)
-		for step := 0; len(seen.outcomes) == 0; step++ {
-			seen.take(batch)
-			if len(seen.outcomes) > 0 {
+		for step := 0; len(history.outcomes) == 0; step++ {
+			history.record(batch)
+			if len(history.outcomes) > 0 {
 				break
 			}
 			if step > 500 {
@@ -57,9 +57,9 @@
 			if batch.Wake > plan.Deadline {
 				t.Fatalf("wake at %v, after the deadline", batch.Wake)
 			}
-			batch, now = seen.advance(t, core, batch, now)
+			batch, now = history.advance(t, core, batch, now)
 		}
-		seen.check(t, plan, servers, now)
+		history.check(t, plan, servers, now)
 	})
 }
 
@@ -79,7 +79,8 @@
 	return plan
 }
 
-func (h *history) take(batch Batch) {
+// record records the actions of a batch.
+func (h *history) record(batch Batch) {
 	for _, send := range batch.Sends {
 		h.sends[send.ID.Shard]++
 		h.open = append(h.open, send.ID)
@@ -87,14 +88,14 @@
 		h.chosen[send.ID] = send.Choice.Endpoint
 	}
 	for _, id := range batch.Cancels {
-		h.close(id)
+		h.finish(id)
 	}
 	if batch.Outcome != nil {
 		h.outcomes = append(h.outcomes, batch.Outcome)
 	}
 }
 
-func (h *history) close(id AttemptID) {
+func (h *history) finish(id AttemptID) {
 	for index, other := range h.open {
 		if other == id {
 			h.open = append(h.open[:index], h.open[index+1:]...)
@@ -106,9 +107,9 @@
 var replies = []upstream.Reply{answered(200), answered(500), answered(404), refused, lost,
 	{Kind: upstream.Unreachable, Verdict: verdict.NotRun}, {Kind: upstream.Foreign, Verdict: verdict.NotRun},
 	{Kind: upstream.Malformed, Verdict: verdict.MayHaveRun},
-	// What has become of these is not known.
+	// It is unknown whether these have run.
 	{Kind: upstream.Expired, Verdict: verdict.MayHaveRun}, {Kind: upstream.Foreign, Verdict: verdict.MayHaveRun}, {Kind: upstream.Reset, Verdict: verdict.MayHaveRun},
-	unconnected, crowded}
+	unsentUnreachable, unsentReset}
 
 // advance ends a random attempt or lets time pass.
 func (h *history) advance(t *rapid.T, core *Core, batch Batch, now time.Duration) (Batch, time.Duration) {
@@ -116,7 +117,7 @@
 		id := rapid.SampledFrom(h.open).Draw(t, "attempt")
 		reply := rapid.SampledFrom(replies).Draw(t, "reply")
 		now += time.Duration(rapid.IntRange(0, 30).Draw(t, "after")) * ms
-		h.close(id)
+		h.finish(id)
 		h.ended[id] = reply
 		return core.Reply(id, reply, now), now
 	}
@@ -124,31 +125,32 @@
 	return core.Tick(now), now
 }
 
-func (h *history) check(t *rapid.T, plan Plan, servers *fleet, now time.Duration) {
+// check verifies the invariants once the request has its outcome.
+func (h *history) check(t *rapid.T, plan Plan, servers *fakeServers, now time.Duration) {
 	outcome := h.outcomes[0]
 	extra := 0
 	for shard, count := range h.sends {
 		arrivals := h.arrivals(shard)
 		extra += max(arrivals-1, 0)
 		if servers := h.servers(shard); servers > plan.MaximumAttempts {
-			t.Fatalf("shard %d was sent to %d servers", shard, servers)
+			t.Fatalf("shard %d was sent to %d servers, more than allowed", shard, servers)
 		}
 		if ran := arrivals - h.refused(shard); ran > plan.MaximumAttempts {
 			t.Fatalf("shard %d may have run %d times", shard, ran)
 		}
-		if count > plan.MaximumAttempts+maximumUnsent+maximumRefused+1 {
+		if count > plan.MaximumAttempts+maxUnsent+maxRefused+1 {
 			t.Fatalf("%d attempts for shard %d", count, shard)
 		}
 	}
 	if extra > servers.extra {
-		t.Fatalf("%d extra sends, %d taken off the budget", extra, servers.extra)
+		t.Fatalf("%d extra sends, %d charged to the budget", extra, servers.extra)
 	}
-	h.checkPromise(t, outcome)
+	h.checkRefusal(t, outcome)
 	if plan.Gather && outcome.Status == StatusAnswered && len(outcome.Replies) < plan.LeastShards {
-		t.Fatalf("%d of at least %d shards", len(outcome.Replies), plan.LeastShards)
+		t.Fatalf("answered with %d shards, want at least %d", len(outcome.Replies), plan.LeastShards)
 	}
 	if plan.Gather && outcome.Status == StatusAnswered && outcome.Missing+len(outcome.Replies) != len(plan.Services) {
-		t.Fatalf("%d missing and %d in of %d", outcome.Missing, len(outcome.Replies), len(plan.Services))
+		t.Fatalf("%d missing and %d received of %d shards", outcome.Missing, len(outcome.Replies), len(plan.Services))
 	}
 	if !plan.Repeatable {
 		h.checkOnce(t)
@@ -158,7 +160,7 @@
 	}
 }
 
-// arrivals returns how many attempts for a shard reached a server or may have.
+// arrivals returns the number of attempts for a shard that reached a server or may have.
 func (h *history) arrivals(shard int) int {
 	count := 0
 	for id := range h.started {
@@ -169,7 +171,7 @@
 	return count
 }
 
-// servers returns how many servers a shard's attempts reached or may have.
+// servers returns the number of servers that a shard's attempts reached or may have.
 func (h *history) servers(shard int) int {
 	reached := make(map[*endpoints.Endpoint]bool)
 	for id := range h.started {
@@ -180,7 +182,7 @@
 	return len(reached)
 }
 
-// refused returns how many attempts for a shard were refused by their servers.
+// refused returns the number of attempts for a shard that were refused by their servers.
 func (h *history) refused(shard int) int {
 	count := 0
 	for id := range h.started {
@@ -191,8 +193,8 @@
 	return count
 }
 
-// checkPromise: a refusal means that every attempt is known not to have run.
-func (h *history) checkPromise(t *rapid.T, outcome *Outcome) {
+// checkRefusal verifies that a request is refused only if no attempt can have run.
+func (h *history) checkRefusal(t *rapid.T, outcome *Outcome) {
 	if outcome.Status != StatusRefused {
 		return
 	}
@@ -203,7 +205,7 @@
 	}
 }
 
-// checkOnce: all but the last attempt are known not to have run.
+// checkOnce verifies that at most one attempt of an unrepeatable request may have run.
 func (h *history) checkOnce(t *rapid.T) {
 	mayHaveRun := 0
 	for id := range h.started {
--- a/internal/exchange/refusal_test.go
+++ b/internal/exchange/refusal_test.go
@@ -10,12 +10,12 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// A server that has refused has run nothing: it is asked again after a pause, also for
-// a request that must not run twice.
+// A server that refused has run nothing: it is asked again after a backoff, even for a
+// request that must not run twice.
 func TestServerThatRefusedIsAskedAgain(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		is := is.New(t)
-		servers := &fleet{servers: map[string]int{"a": 1}, budget: 9}
+		servers := &fakeServers{servers: map[string]int{"a": 1}, budget: 9}
 		core := New(singlePlan(repeatable), servers)
 		core.Start(0)
 		batch := core.Reply(AttemptID{0, 0}, refused, ms)
@@ -29,10 +29,10 @@
 	}
 }
 
-// The pause that a server names is kept.
-func TestServerIsNotAskedBeforeThePauseItNames(t *testing.T) {
+// The backoff that a server specifies is respected.
+func TestServerIsNotAskedBeforeItsRetryAfter(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{servers: map[string]int{"a": 1}, budget: 9})
+	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 1}, budget: 9})
 	core.Start(0)
 	reply := refused
 	reply.RetryAfter = 70 * ms
@@ -42,10 +42,10 @@
 }
 
 // However often servers refuse, no more of them are asked than the route allows, and
-// none after the target. What was only refused has not run.
+// none after the target. A request that was only refused has not run.
 func TestRefusalsDoNotReachMoreServers(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(false), &fleet{servers: map[string]int{"a": 9}, budget: 99})
+	core := New(singlePlan(false), &fakeServers{servers: map[string]int{"a": 9}, budget: 99})
 	asked := make(map[*endpoints.Endpoint]bool)
 	now := time.Duration(0)
 	batch := core.Start(now)
@@ -67,10 +67,10 @@
 	is.True(now <= testTarget)
 }
 
-// A server that may have run a request that must not run twice is the last one.
-func TestNothingIsAskedAgainAfterWhatMayHaveRun(t *testing.T) {
+// A request that must not run twice is not sent again once a server may have run it.
+func TestNoAttemptAfterOneThatMayHaveRun(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(false), &fleet{servers: map[string]int{"a": 2}, budget: 9})
+	core := New(singlePlan(false), &fakeServers{servers: map[string]int{"a": 2}, budget: 9})
 	core.Start(0)
 	is.Equal(ids(core.Reply(AttemptID{0, 0}, refused, ms)), []AttemptID{{0, 1}})
 	outcome := core.Reply(AttemptID{0, 1}, lost, 2*ms).Outcome
@@ -80,7 +80,7 @@
 // A server that failed is not asked again; the one that refused is.
 func TestOnlyTheServerThatRefusedIsAskedAgain(t *testing.T) {
 	is := is.New(t)
-	core := New(singlePlan(true), &fleet{servers: map[string]int{"a": 3}, budget: 9})
+	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 3}, budget: 9})
 	first := core.Start(0).Sends[0].Choice.Endpoint
 	is.Equal(len(core.Reply(AttemptID{0, 0}, refused, ms).Sends), 1)
 	batch := core.Reply(AttemptID{0, 1}, upstream.Reply{Kind: upstream.Lost, Verdict: lost.Verdict}, 2*ms)
--- a/internal/exchange/shard.go
+++ b/internal/exchange/shard.go
@@ -9,67 +9,68 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// attempt is one send to a server.
+// attempt is one attempt of a shard at one server.
 type attempt struct {
 	choice   endpoints.Choice
 	sentAt   time.Duration
 	finished bool
-	// unsent is set if it ended before anything was written, refused if its server has
-	// run nothing.
+	// unsent is set if it ended before anything was written, refused if its server
+	// refused it without running it.
 	unsent, refused bool
-	// careful is set if it was made alone, to learn whether the request ends servers.
-	careful bool
-	// reopens is set if the server may be asked again, from reopensAt on.
-	reopens   bool
-	reopensAt time.Duration
+	// sequential is set if it was the only attempt in flight, to find out whether the request
+	// terminates servers.
+	sequential bool
+	// retryable is set if the server may be asked again, from retryAt on.
+	retryable bool
+	retryAt   time.Duration
 }
 
-// bars reports whether the attempt keeps its server from being asked at the time.
-func (a *attempt) bars(now time.Duration) bool {
-	return !a.reopens || now < a.reopensAt
+// excludesServer reports whether the server of the attempt must not be asked now.
+func (a *attempt) excludesServer(now time.Duration) bool {
+	return !a.retryable || now < a.retryAt
 }
 
-// reopen lets the server of the attempt be asked again.
-func (a *attempt) reopen(at time.Duration) {
-	a.reopens, a.reopensAt = true, at
+// allowRetry allows the server of the attempt to be asked again from the given time on.
+func (a *attempt) allowRetry(at time.Duration) {
+	a.retryable, a.retryAt = true, at
 }
 
 // shard is the state of one shard of a request.
 type shard struct {
 	service  string
 	attempts []attempt
-	// answer is the reply that counts, once there is one.
+	// answer is the reply used for the answer, once there is one.
 	answer *upstream.Reply
-	// fallback is a server's failure that is handed on if nothing better comes.
+	// fallback is a server's failure that is forwarded if there is no better reply.
 	fallback *upstream.Reply
 	// unsent is how many attempts ended before anything was written, charged how
-	// many were taken off the retry budget.
+	// many were charged to the retry budget.
 	unsent, charged int
-	// lost is set when no attempt is under way and none can be made.
+	// lost is set when the shard can no longer be answered.
 	lost bool
-	// ran is what is known of the attempts that have ended.
-	ran verdict.Verdict
-	// nextAt is when the shard has to be looked at again.
-	nextAt time.Duration
+	// endedVerdict is the joint verdict of the attempts that have ended.
+	endedVerdict verdict.Verdict
+	// nextCheckAt is when the shard has to be checked again.
+	nextCheckAt time.Duration
 }
 
 func newShard(service string) shard {
-	return shard{service: service, ran: verdict.NotRun}
+	return shard{service: service, endedVerdict: verdict.NotRun}
 }
 
-// barred returns the servers that must not be asked at the time.
-func (s *shard) barred(now time.Duration) []*endpoints.Endpoint {
-	var barred []*endpoints.Endpoint
+// excluded returns the servers that must not be asked now.
+func (s *shard) excluded(now time.Duration) []*endpoints.Endpoint {
+	var excluded []*endpoints.Endpoint
 	for index := range s.attempts {
-		if attempt := &s.attempts[index]; attempt.bars(now) {
-			barred = append(barred, attempt.choice.Endpoint)
+		if attempt := &s.attempts[index]; attempt.excludesServer(now) {
+			excluded = append(excluded, attempt.choice.Endpoint)
 		}
 	}
-	return barred
+	return excluded
 }
 
-// reached returns the servers that attempts reached or still may.
-func (s *shard) reached() []*endpoints.Endpoint {
+// reachedServers returns the servers that attempts reached or may still reach.
+func (s *shard) reachedServers() []*endpoints.Endpoint {
 	var reached []*endpoints.Endpoint
 	for index := range s.attempts {
 		attempt := &s.attempts[index]
@@ -91,33 +92,34 @@
 	return count
 }
 
-// reopensAt returns when the next server that has refused may be asked again, and
-// whether there is one.
-func (s *shard) reopensAt() (time.Duration, bool) {
+// nextRetryAt returns when the first server that refused may be asked again, and whether
+// there is one.
+func (s *shard) nextRetryAt() (time.Duration, bool) {
 	next, found := time.Duration(0), false
 	for index := range s.attempts {
 		attempt := &s.attempts[index]
-		if attempt.refused && s.newest(index) && (!found || attempt.reopensAt < next) {
-			next, found = attempt.reopensAt, true
+		if attempt.refused && s.isLatest(index) && (!found || attempt.retryAt < next) {
+			next, found = attempt.retryAt, true
 		}
 	}
 	return next, found
 }
 
-// newest reports whether the attempt is the newest one at its server.
-func (s *shard) newest(index int) bool {
+// isLatest reports whether the attempt is the latest one to its server.
+func (s *shard) isLatest(index int) bool {
 	endpoint := s.attempts[index].choice.Endpoint
 	return !slices.ContainsFunc(s.attempts[index+1:], func(later attempt) bool {
 		return later.choice.Endpoint == endpoint
 	})
 }
 
+// resolved reports whether the shard is answered or lost.
 func (s *shard) resolved() bool {
 	return s.answer != nil || s.lost
 }
 
-// underWay returns how many attempts have not ended.
-func (s *shard) underWay() int {
+// inFlight returns the number of attempts that have not ended.
+func (s *shard) inFlight() int {
 	count := 0
 	for index := range s.attempts {
 		if !s.attempts[index].finished {
@@ -127,18 +129,18 @@
 	return count
 }
 
-// arrivals returns how many attempts reached a server or still may.
+// arrivals returns the number of attempts that reached a server or may still reach one.
 func (s *shard) arrivals() int { return len(s.attempts) - s.unsent }
 
-// verdict joins what is known of ended attempts with those under way.
+// verdict returns the joint verdict of the ended attempts and those in flight.
 func (s *shard) verdict() verdict.Verdict {
-	if s.underWay() > 0 {
-		return s.ran.With(verdict.MayHaveRun)
+	if s.inFlight() > 0 {
+		return s.endedVerdict.With(verdict.MayHaveRun)
 	}
-	return s.ran
+	return s.endedVerdict
 }
 
-// late reports whether the newest attempt under way has taken longer than expected.
+// late reports whether the latest attempt in flight has taken longer than expected.
 func (s *shard) late(now time.Duration) bool {
 	return now >= s.lateAt()
 }
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -1,10 +1,10 @@
 // Package exchange decides how one caller's request is carried out: which server
-// of which shard is asked, when a second one is, and when the answer is given
-// with what has come in.
+// of each shard gets it, when a hedge or a retry is sent, and when the request is
+// answered with the replies received so far.
 //
-// The core does no I/O and reads no clock: events go in together with the time
-// since the request arrived, and a batch of actions comes out. A request for one
-// server is a request with a single shard whose answer is handed on unchanged.
+// The core does no I/O and reads no clock: each event comes with the time since
+// the request arrived and returns a batch of actions. A request for one server is
+// a request with a single shard whose reply is forwarded unchanged.
 package exchange
 
 import (
@@ -14,78 +14,82 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// Plan is what a request asks for.
+// Plan describes one request: its shards, limits and deadlines. All times are
+// counted from the arrival of the request.
 type Plan struct {
 	// Services are the shards; a request for one server has a single one.
 	Services []string
-	// Gather merges the shards' answers; else the one answer is handed on.
+	// Gather merges the shards' answers; without it the single reply is forwarded.
 	Gather bool
 	// Repeatable requests may run more than once.
 	Repeatable bool
-	// MaximumAttempts bounds the servers that are asked for each shard, and the sends that
-	// may run. A server that has refused may be asked again.
+	// MaximumAttempts bounds the number of servers asked for each shard and the number of
+	// attempts that may run. A server that has refused may be asked again.
 	MaximumAttempts int
-	// LeastShards is how many shards make a success.
+	// LeastShards is how many shards have to answer for a success.
 	LeastShards int
 	// Target is when an answer loses most of its value.
 	Target time.Duration
 	// Deadline is when a final answer has to be given.
 	Deadline time.Duration
-	// Patience is until when the request waits, before anything is sent, for servers
-	// that may be missing in the list.
+	// Patience is until when the request is held, before anything is sent, for servers
+	// that may be missing from the list.
 	Patience time.Duration
 	// Late is set if the target had passed for the caller before the request arrived:
-	// it has been waiting, or comes again.
+	// the caller has been waiting or retries.
 	Late bool
-	// Yield is until when a late request gives way to others on a node that has just
-	// started.
+	// Yield is until when a late request may be held back in favor of others on a node
+	// that has just started.
 	Yield time.Duration
-	// Trial is set for a request under which servers have ended before: a single attempt is
-	// made at first, at one of the services in Suspects if there is a server.
+	// Trial is set for a request during which servers have terminated before: it starts
+	// with a single attempt, at one of the services in Suspects if that has a server.
 	Trial    bool
 	Suspects []string
-	// Spread, 0 to 1, sets requests apart that have waited for the same: after its wait,
-	// a request waits for this part of it once more.
+	// Spread is a random number from 0 to 1. It adds jitter to the release of requests
+	// that were held for the same servers: each is held for this share of its wait once
+	// more. Under overload it also draws which requests are admitted.
 	Spread float64
 }
 
-// Servers chooses servers and keeps the retry budget.
+// Servers chooses servers and accounts for the retry budget.
 type Servers interface {
 	// Listed reports whether the service has a server that takes requests.
 	Listed(service string) bool
-	// Settling reports whether servers that are alive may be missing in the list,
-	// Growing whether servers of the request's shards are and come one by one.
+	// Settling reports whether live servers may be missing from the list.
 	Settling() bool
+	// Growing reports whether servers of the request's shards are missing from the list
+	// and are being added one by one.
 	Growing() bool
-	// Pressed reports whether servers refuse work, Fresh whether too little is known
-	// of them to tell.
+	// Pressed reports whether servers shed load.
 	Pressed() bool
+	// Fresh reports whether the node has just started and has too little data on the
+	// servers to tell whether they shed load.
 	Fresh() bool
-	// Prospect tells how often the servers of a service fail and what its retry budget
+	// Prospect returns the failure rate of a service's servers and what its retry budget
 	// allows.
 	Prospect(service string) endpoints.Prospect
-	// Choose reserves a server other than the ones tried, one of only unless that is nil.
-	// An extra send, one beyond the first, is taken off the retry budget of the service.
+	// Choose reserves a server that is not in tried and, unless only is nil, is in only.
+	// An extra send, one beyond the first, is charged to the retry budget of the service.
 	Choose(service string, tried, only []*endpoints.Endpoint, extra bool) (endpoints.Choice, endpoints.Availability)
-	// OutOfReach reports whether there is no way to the zone of a server.
+	// OutOfReach reports whether the zone of a server is unreachable.
 	OutOfReach(endpoint *endpoints.Endpoint) bool
-	// RefundRetry gives back what an extra send took off the retry budget.
+	// RefundRetry returns the charge of an extra send to the retry budget.
 	RefundRetry(service string)
 }
 
-// AttemptID names an attempt within a request.
+// AttemptID identifies an attempt within a request.
 type AttemptID struct {
 	Shard  int
 	Number int
 }
 
-// Reason tells why an attempt is made.
+// Reason is why an attempt is made.
 type Reason uint8
 
 const (
 	// ReasonFirst is the first attempt for a shard.
 	ReasonFirst Reason = iota
-	// ReasonHedge is a second attempt beside one that is late.
+	// ReasonHedge is another attempt while an earlier one is late.
 	ReasonHedge
 	// ReasonRetry is another attempt after one that failed.
 	ReasonRetry
@@ -96,14 +100,14 @@
 // String returns the name used in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Send tells the driver to make an attempt.
+// Send instructs the driver to make an attempt.
 type Send struct {
 	ID     AttemptID
 	Reason Reason
 	Choice endpoints.Choice
 }
 
-// Batch is what the driver has to do after an event.
+// Batch holds the actions for the driver after an event.
 type Batch struct {
 	Sends []Send
 	// Cancels are attempts that are no longer needed.
@@ -112,25 +116,26 @@
 	Outcome *Outcome
 	// Hold is why nothing has been sent yet.
 	Hold Hold
-	// Wake is when Tick has to be called at the latest.
+	// Wake is the latest time for the next call of Tick.
 	Wake time.Duration
 }
 
-// Hold tells why a request waits before anything is sent for it.
+// Hold is why a request waits before anything is sent for it.
 type Hold uint8
 
 const (
-	// HoldNone means that the request does not wait, or waits for what it has sent.
+	// HoldNone means that the request is not held; it may wait for replies.
 	HoldNone Hold = iota
-	// HoldGrowing means that the list of its shards' servers is short and grows.
+	// HoldGrowing means that the list of its shards' servers is short and growing.
 	HoldGrowing
-	// HoldUnlisted means that too few shards have a server in a list that may not
-	// be whole.
+	// HoldUnlisted means that too few shards have a server in a list that may be
+	// incomplete.
 	HoldUnlisted
-	// HoldSpread sets requests apart that have waited for the same servers.
+	// HoldSpread is the jitter after a hold, for requests that were held for the same
+	// servers.
 	HoldSpread
-	// HoldYield lets requests that can still be in time go before late ones on a node
-	// that has just started.
+	// HoldYield gives requests that can still meet their target precedence over late
+	// ones on a node that has just started.
 	HoldYield
 )
 
@@ -139,17 +144,17 @@
 // String returns the name used in logs and metrics.
 func (h Hold) String() string { return holdNames[h] }
 
-// Status tells how a request ended.
+// Status is how a request ended.
 type Status uint8
 
 const (
 	// StatusAnswered is an answer by servers.
 	StatusAnswered Status = iota
-	// StatusRefused is a refusal: nothing has run and nothing will.
+	// StatusRefused is a refusal: no server has run the request and none will.
 	StatusRefused
 	// StatusFailed is a failure after which the request may have run.
 	StatusFailed
-	// StatusExpired is a deadline that passed while the request may have run.
+	// StatusExpired means that the deadline passed and the request may have run.
 	StatusExpired
 )
 
@@ -158,23 +163,24 @@
 // String returns the name used in logs and metrics.
 func (s Status) String() string { return statusNames[s] }
 
-// Outcome is the end of a request.
+// Outcome is the final result of a request.
 type Outcome struct {
 	Status Status
-	// Replies are the answers that count, one a shard.
+	// Replies are the replies that make up the answer, one per shard.
 	Replies []upstream.Reply
-	// Missing is the number of shards that are left out.
+	// Missing is the number of shards missing from the answer.
 	Missing int
-	// Cause says what decided the outcome.
+	// Cause is what decided the outcome.
 	Cause Cause
-	// Unlisted are the services that had no server when nothing was sent for that.
+	// Unlisted are the services without a server if the request was refused before
+	// anything was sent.
 	Unlisted []string
-	// RetryAfter is when a refused caller may come again; zero if that depends on nothing
-	// that is known.
+	// RetryAfter is how long a refused caller should wait before it retries; zero if that
+	// is unknown.
 	RetryAfter time.Duration
 }
 
-// Cause says what decided an outcome.
+// Cause is what decided an outcome.
 type Cause string
 
 // Causes of outcomes.
@@ -185,14 +191,14 @@
 	CauseShardsLost   Cause = "shards_lost"
 	CauseNoServers    Cause = "no_servers"
 	CauseServerFailed Cause = "server_failed"
-	// CauseNoBudget is a retry that was needed and not allowed.
+	// CauseNoBudget means that a retry was needed and the retry budget did not allow it.
 	CauseNoBudget Cause = "no_budget"
-	// CauseQuarantined is a request that is known to end servers, or that is suspected and
-	// has to wait for a trial.
+	// CauseQuarantined means that the request is known to terminate servers, or is
+	// suspected of it and has to wait for a trial.
 	CauseQuarantined Cause = "quarantined"
-	// CauseServersEnded is a request that is not sent on because servers may have ended under
-	// it.
+	// CauseServersEnded means that no more attempts are made because the request may have
+	// terminated the servers that ran it.
 	CauseServersEnded Cause = "servers_ended"
-	// CauseNodeOverloaded is a lack of processor time on this node.
+	// CauseNodeOverloaded means that this node lacks processor time.
 	CauseNodeOverloaded Cause = "node_overloaded"
 )
