--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -13,24 +13,24 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// attempt is one attempt of a run, and what its trace tells of it.
+// attempt is one attempt of a run and its record for the trace.
 type attempt struct {
 	cancel context.CancelFunc
 	record attemptRecord
 }
 
-// attemptRecord is what a trace tells of an attempt. It holds no more than that, as it waits
-// for its turn to be written.
+// attemptRecord holds the values that a trace logs of an attempt, and nothing else: it stays
+// in memory until the trace is written.
 type attemptRecord struct {
 	service             string
 	number              int
 	reason              exchange.Reason
 	server, zone        string
-	underWay            int
+	inFlight            int
 	expected, lateAfter time.Duration
 	budget              float64
 	sentAt              time.Time
-	// canceledAt and endedAt are zero unless that has happened.
+	// canceledAt and endedAt are zero until the attempt is canceled or ends.
 	canceledAt, endedAt time.Time
 	result              upstream.Kind
 	verdict             verdict.Verdict
@@ -40,18 +40,18 @@
 }
 
 func (r *run) noteSent(send exchange.Send, cancel context.CancelFunc) {
-	made := &attempt{cancel: cancel}
-	r.attempts[send.ID.Shard] = append(r.attempts[send.ID.Shard], made)
+	started := &attempt{cancel: cancel}
+	r.attempts[send.ID.Shard] = append(r.attempts[send.ID.Shard], started)
 	if r.trace == nil {
 		return
 	}
-	made.record = attemptRecord{
+	started.record = attemptRecord{
 		service:   r.plan.Services[send.ID.Shard],
 		number:    send.ID.Number,
 		reason:    send.Reason,
 		server:    send.Choice.Server.ID,
 		zone:      send.Choice.Server.Zone,
-		underWay:  send.Choice.UnderWay,
+		inFlight:  send.Choice.UnderWay,
 		expected:  send.Choice.Expected,
 		lateAfter: send.Choice.LateAfter,
 		budget:    send.Choice.BudgetLeft,
@@ -59,7 +59,7 @@
 	}
 }
 
-func (r *run) noteEnded(end ended) {
+func (r *run) noteEnded(end attemptEnd) {
 	r.dispatcher.observer.AttemptEnded(end.reason, end.reply.Kind)
 	record := &r.attempts[end.id.Shard][end.id.Number].record
 	record.endedAt = time.Now()
@@ -73,60 +73,60 @@
 	canceled.record.canceledAt = time.Now()
 }
 
-// addAttempts lets the trace tell of the attempts.
-func (r *run) addAttempts() {
+// traceAttempts adds the attempts to the trace.
+func (r *run) traceAttempts() {
 	if r.trace == nil {
 		return
 	}
 	count := 0
-	for _, made := range r.attempts {
-		count += len(made)
+	for _, attempts := range r.attempts {
+		count += len(attempts)
 	}
 	attempts, gather := r.attempts, r.plan.Gather
 	r.trace.AddLater(count, func() []trace.Step { return attemptSteps(attempts, gather) })
 }
 
-// attemptSteps returns the steps of the attempts for each shard. The shards of a gathered
-// request whose only attempt went well are summed up.
+// attemptSteps returns the trace steps of the attempts of all shards. The shards of a
+// gathered request whose only attempt succeeded are summarized in one step.
 func attemptSteps(shards [][]*attempt, gather bool) []trace.Step {
 	var steps []trace.Step
-	var well []*attemptRecord
-	for _, made := range shards {
-		if gather && len(made) == 1 && made[0].record.wentWell() {
-			well = append(well, &made[0].record)
+	var succeeded []*attemptRecord
+	for _, attempts := range shards {
+		if gather && len(attempts) == 1 && attempts[0].record.succeeded() {
+			succeeded = append(succeeded, &attempts[0].record)
 			continue
 		}
-		for _, one := range made {
-			steps = one.record.appendSteps(steps)
+		for _, attempt := range attempts {
+			steps = attempt.record.appendSteps(steps)
 		}
 	}
-	if len(well) > 0 {
-		steps = append(steps, summary(well))
+	if len(succeeded) > 0 {
+		steps = append(steps, summary(succeeded))
 	}
 	return steps
 }
 
-// wentWell reports whether the attempt was answered with success.
-func (a *attemptRecord) wentWell() bool {
+// succeeded reports whether the attempt got a successful reply.
+func (a *attemptRecord) succeeded() bool {
 	return !a.endedAt.IsZero() && a.result == upstream.Answered && a.status < http.StatusMultipleChoices
 }
 
-func (a *attemptRecord) took() time.Duration { return a.endedAt.Sub(a.sentAt) }
+func (a *attemptRecord) duration() time.Duration { return a.endedAt.Sub(a.sentAt) }
 
-// summary returns one step for attempts that went well, the slowest of them by name.
-func summary(well []*attemptRecord) trace.Step {
-	slices.SortFunc(well, func(a, b *attemptRecord) int { return int(a.took() - b.took()) })
-	slowest := well[len(well)-1]
+// summary returns one step for successful attempts, with the details of the slowest one.
+func summary(succeeded []*attemptRecord) trace.Step {
+	slices.SortFunc(succeeded, func(a, b *attemptRecord) int { return int(a.duration() - b.duration()) })
+	slowest := succeeded[len(succeeded)-1]
 	latest := slowest.endedAt
-	for _, one := range well {
-		if one.endedAt.After(latest) {
-			latest = one.endedAt
+	for _, record := range succeeded {
+		if record.endedAt.After(latest) {
+			latest = record.endedAt
 		}
 	}
 	return trace.Step{Event: trace.EventAnswered, Time: latest, Attrs: []slog.Attr{
-		slog.Int("count", len(well)),
-		slog.Float64("median_ms", trace.Milliseconds(well[len(well)/2].took())),
-		slog.Float64("slowest_ms", trace.Milliseconds(slowest.took())),
+		slog.Int("count", len(succeeded)),
+		slog.Float64("median_ms", trace.Milliseconds(succeeded[len(succeeded)/2].duration())),
+		slog.Float64("slowest_ms", trace.Milliseconds(slowest.duration())),
 		slog.String("slowest_service", slowest.service),
 		slog.String("slowest_server", slowest.server),
 		slog.String("slowest_zone", slowest.zone),
@@ -140,7 +140,7 @@
 		slog.String("reason", a.reason.String()),
 		slog.String("server", a.server),
 		slog.String("zone", a.zone),
-		slog.Int("under_way", a.underWay),
+		slog.Int("under_way", a.inFlight),
 		slog.Float64("expected_ms", trace.Milliseconds(a.expected)),
 		slog.Float64("late_after_ms", trace.Milliseconds(a.lateAfter)),
 		slog.Float64("budget", a.budget),
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
 // Package dispatch carries out requests: it drives the core of package exchange
-// with real attempts, real time and the node's directory of servers.
+// with the clock, the node's directory of servers and attempts over the network.
 package dispatch
 
 import (
@@ -21,34 +21,37 @@
 )
 
 const (
-	// firstWork is the time of work expected of a route without observations, in
-	// parts of its target.
-	firstWork = 0.12
-	// answerMargin is what an answer needs to get to the caller, and what a new
-	// connection took before the request arrived: it is kept from the target.
+	// initialServiceShare is the service time assumed for a route without observations, as a
+	// share of its target.
+	initialServiceShare = 0.12
+	// answerMargin is subtracted from the target for the transfer of the answer to the
+	// caller and for the setup of a new connection before the request arrived.
 	answerMargin = 9 * time.Millisecond
-	// answerShare is kept from the target besides, for the work of this node.
-	answerShare = 0.03
-	// negligibleDelay is a wait for the processor as it comes now and then.
+	// answerMarginShare is the share of the target that is subtracted as well, for the
+	// processing on this node.
+	answerMarginShare = 0.03
+	// negligibleDelay is the scheduling delay up to which a node is not slow: such delays
+	// occur occasionally without load.
 	negligibleDelay = 60 * time.Millisecond
-	// deadlineMargin is kept from the caller's deadline.
+	// deadlineMargin is subtracted from the caller's deadline.
 	deadlineMargin = 15 * time.Millisecond
-	// shortestSuspension is from which on a machine counts as suspended: what was to be sent
-	// before is looked at anew.
-	shortestSuspension = 20 * time.Millisecond
+	// minSuspension is the shortest suspension of the machine that withholds attempts
+	// not yet sent; their requests are then evaluated again.
+	minSuspension = 20 * time.Millisecond
 )
 
 // Request is one caller's request.
 type Request struct {
 	Route   *routing.Route
 	Message *upstream.Request
-	// Version is the configuration by which the request was accepted.
+	// Version is the version of the configuration by which the request was accepted.
 	Version uint64
-	// Allowed is how long the caller waits; zero if it does not say.
+	// Allowed is how long the caller waits; zero if unspecified.
 	Allowed time.Duration
 	// Arrived is when the request was read.
 	Arrived time.Time
-	// Identity tells whether the request has come before; nil if nobody asks.
+	// Identity identifies repetitions of the request for the quarantine; nil if that is
+	// not in use.
 	Identity *quarantine.Identity
 }
 
@@ -60,7 +63,7 @@
 	observer  Observer
 	load      Load
 	keeper    *quarantine.Keeper
-	// suspended returns for how long the machine has been suspended.
+	// suspended returns the total time for which the machine has been suspended.
 	suspended func() time.Duration
 
 	mutex     sync.Mutex
@@ -68,14 +71,14 @@
 	turns     map[string]uint64
 }
 
-// Load tells how busy this node is.
+// Load measures how busy this node is.
 type Load interface {
-	// Delay returns how long a goroutine that can run waits for its turn.
+	// Delay returns the scheduling delay: how long a runnable goroutine waits.
 	Delay() time.Duration
 }
 
-// Quarantine lets the keeper learn under which requests servers end. It is called before
-// the dispatcher is used.
+// Quarantine sets the keeper that learns during which requests servers terminate. It has
+// to be called before the dispatcher is used.
 func (d *Dispatcher) Quarantine(keeper *quarantine.Keeper) { d.keeper = keeper }
 
 // New returns a dispatcher over the directory and the client. A nil recorder
@@ -93,16 +96,16 @@
 	}
 }
 
-// Causes for which a request is given up before it has an answer.
+// Causes for which a request is abandoned before it has an answer.
 var (
 	// ErrCallerGone means that the caller has hung up.
 	ErrCallerGone = errors.New("caller_hung_up")
-	// ErrStopping means that the node stops and can wait no longer.
+	// ErrStopping means that the node is stopping and its stop timeout has passed.
 	ErrStopping = errors.New("node_stopped")
 )
 
-// Do carries out the request. It returns at the deadline, or soon after ctx
-// ends, at the latest; the outcome is nil if ctx ended first, whose cause is then
+// Do carries out the request. It returns at the deadline or soon after ctx is done
+// at the latest. If ctx is done first, the outcome is nil and the cause of ctx is
 // recorded.
 func (d *Dispatcher) Do(ctx context.Context, request Request) *exchange.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
@@ -122,8 +125,8 @@
 	return run.loop()
 }
 
-// delay returns how long this node's steps wait, as far as it matters for a
-// comparison with the times of servers.
+// delay returns the scheduling delay of this node, or zero if it is negligible compared
+// with the response times of servers.
 func (d *Dispatcher) delay() time.Duration {
 	if delay := d.load.Delay(); delay > negligibleDelay {
 		return delay
@@ -132,11 +135,12 @@
 }
 
 // overloaded decides whether this node refuses a request because it would be late
-// for want of processor time here.
+// for lack of processor time here.
 func (d *Dispatcher) overloaded(request Request) bool {
-	return rand.Float64() < overload.Refused(d.load.Delay(), returning(request))
+	return rand.Float64() < overload.Refused(d.load.Delay(), isClientRetry(request))
 }
 
+// plan returns the limits and deadlines of a request.
 func (d *Dispatcher) plan(request Request) exchange.Plan {
 	route := request.Route
 	plan := exchange.Plan{
@@ -147,7 +151,7 @@
 		LeastShards:     1,
 		Target:          target(route),
 		Deadline:        deadline(request),
-		Patience:        patience(request),
+		Patience:        holdTimeFor(request),
 		Late:            late(request),
 		Spread:          rand.Float64(),
 	}
@@ -160,11 +164,13 @@
 	return plan
 }
 
+// target returns the route's target less the time to return an answer.
 func target(route *routing.Route) time.Duration {
-	kept := answerMargin + time.Duration(answerShare*float64(route.Target))
-	return max(route.Target-kept, route.Target/2)
+	margin := answerMargin + time.Duration(answerMarginShare*float64(route.Target))
+	return max(route.Target-margin, route.Target/2)
 }
 
+// deadline returns the time by which the caller or the route wants an answer, less a margin.
 func deadline(request Request) time.Duration {
 	allowed := request.Route.Timeout
 	if request.Allowed > 0 {
@@ -174,56 +180,57 @@
 }
 
 const (
-	// patienceShare is the part of a caller's time for which a request waits for
-	// what this node does not know yet. What is left lets the caller come back once
-	// to be served by a node that knows more.
-	patienceShare = 0.48
-	// presumedAllowed is the time of callers that do not tell theirs.
-	presumedAllowed = time.Second
+	// holdShare is the share of a caller's timeout for which a request is held for
+	// data that this node lacks. The rest is enough for the caller to retry once, at a
+	// node that has the data.
+	holdShare = 0.48
+	// defaultCallerTimeout is the timeout assumed for callers that specify none.
+	defaultCallerTimeout = time.Second
 )
 
-// yieldShare is the part of a late request's time for which it gives way to others: what
-// is left is several times what an answer takes under load.
+// yieldShare is the share of a late request's deadline for which it is held in favor of
+// others: the rest is several times the response time under load.
 const yieldShare = 0.6
 
 // late reports whether the route's target had passed for the caller before the request
-// arrived, by the time that it still waits.
+// arrived, judging by its remaining timeout.
 func late(request Request) bool {
 	return request.Allowed > 0 && request.Route.Timeout-request.Allowed > request.Route.Target
 }
 
-// lastShare takes the place of patienceShare for callers that have come back: they
-// are not likely to come once more.
-const lastShare = 0.7
+// retryHoldShare replaces holdShare for callers that retry: they are unlikely to retry
+// once more.
+const retryHoldShare = 0.7
 
-// patience returns how long the request waits for servers that may be missing.
-func patience(request Request) time.Duration {
-	if returning(request) {
-		return time.Duration(lastShare * float64(request.Allowed))
+// holdTimeFor returns how long the request is held for servers that may be missing.
+func holdTimeFor(request Request) time.Duration {
+	if isClientRetry(request) {
+		return time.Duration(retryHoldShare * float64(request.Allowed))
 	}
 	return Patience(request.Allowed)
 }
 
-// Patience returns how long a request waits, before anything is sent for it, for
-// what the node does not know yet: the configuration, or servers that may be missing
-// in the list.
+// Patience returns how long a request is held, before anything is sent for it, for
+// data that the node lacks: the configuration, or servers that may be missing from
+// the list.
 func Patience(allowed time.Duration) time.Duration {
 	if allowed <= 0 {
-		allowed = presumedAllowed
+		allowed = defaultCallerTimeout
 	}
-	return time.Duration(patienceShare * float64(allowed))
+	return time.Duration(holdShare * float64(allowed))
 }
 
-// returningShare is the part of the route's timeout below which a caller's
-// deadline shows that it has been waiting before.
-const returningShare = 0.97
+// retryTimeoutShare is the share of the route's timeout below which a caller's timeout
+// shows that it has been waiting before.
+const retryTimeoutShare = 0.97
 
-// returning reports whether the caller has probably been refused before: it
-// waits for less than requests of the route usually do.
-func returning(request Request) bool {
-	return request.Allowed > 0 && request.Allowed < time.Duration(returningShare*float64(request.Route.Timeout))
+// isClientRetry reports whether the request is probably a caller's retry after a refusal: its
+// timeout is shorter than the route's.
+func isClientRetry(request Request) bool {
+	return request.Allowed > 0 && request.Allowed < time.Duration(retryTimeoutShare*float64(request.Route.Timeout))
 }
 
+// turn returns the number of the route's next request.
 func (d *Dispatcher) turn(route string) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -231,13 +238,13 @@
 	return d.turns[route]
 }
 
-// estimate returns the learned time of work of the route's requests.
+// estimate returns the estimated service time of the route's requests.
 func (d *Dispatcher) estimate(route *routing.Route) *endpoints.Estimate {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	estimate, found := d.estimates[route.Name]
 	if !found {
-		estimate = endpoints.NewEstimate(time.Duration(firstWork * float64(route.Target)))
+		estimate = endpoints.NewEstimate(time.Duration(initialServiceShare * float64(route.Target)))
 		d.estimates[route.Name] = estimate
 	}
 	return estimate
--- a/internal/dispatch/observer.go
+++ b/internal/dispatch/observer.go
@@ -8,22 +8,22 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// Observer counts what happens to requests. Its methods do not block.
+// Observer counts events of requests, for example as metrics. Its methods must not block.
 type Observer interface {
-	// RequestFinished is told each final answer. Gather is set for requests to
+	// RequestFinished is called for each final answer. Gather is set for requests to
 	// all shards.
 	RequestFinished(gather bool, outcome *exchange.Outcome, elapsed time.Duration)
-	// RequestAbandoned is told that a caller hung up before its answer.
+	// RequestAbandoned is called for a request that is given up before its answer.
 	RequestAbandoned(gather bool)
-	// AttemptEnded is told each end of an attempt that was still wanted.
+	// AttemptEnded is called for each attempt that ends before its request does.
 	AttemptEnded(reason exchange.Reason, kind upstream.Kind)
-	// RequestHeld is told that a request waits before anything is sent for it.
+	// RequestHeld is called when a request is held before anything is sent for it.
 	RequestHeld(hold exchange.Hold)
-	// SendDeferred is told that a send had to wait.
+	// SendDeferred is called when a send is deferred.
 	SendDeferred(cause endpoints.Availability)
 }
 
-// NoObserver counts nothing.
+// NoObserver ignores all events.
 type NoObserver struct{}
 
 // RequestFinished implements Observer.
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -10,12 +10,13 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// silentAfter is how long an attempt that is given up must have been under way for its
-// server's silence to be remembered: a server that ends may say nothing at all.
-const silentAfter = time.Second
+// minSilence is how long an abandoned attempt must have been in flight to count as lost:
+// a server that terminates may not reply at all.
+const minSilence = time.Second
 
-// tellKeeper tells what the end of an attempt says of its server and of the request.
-func (r *run) tellKeeper(ctx context.Context, send exchange.Send, reply upstream.Reply, now time.Time) {
+// reportToKeeper reports the end of an attempt to the keeper: whether its server is alive, and
+// whether the server was lost during the request.
+func (r *run) reportToKeeper(ctx context.Context, send exchange.Send, reply upstream.Reply, now time.Time) {
 	keeper, server := r.dispatcher.keeper, quarantine.ServerID(send.Choice.Incarnation)
 	switch {
 	case reply.Kind == upstream.Foreign, reply.NobodyListens():
@@ -40,22 +41,22 @@
 	}
 }
 
-// silent reports whether an attempt was given up because its server said nothing for long,
-// rather than because another one had answered.
+// silent reports whether an attempt was abandoned because its server did not reply for
+// long, rather than because another attempt had answered.
 func (r *run) silent(ctx context.Context, send exchange.Send, now time.Time) bool {
-	outdone := ctx.Err() != nil && r.context.Err() == nil
-	return !outdone && now.Sub(send.Choice.Reserved) >= silentAfter
+	superseded := ctx.Err() != nil && r.context.Err() == nil
+	return !superseded && now.Sub(send.Choice.Reserved) >= minSilence
 }
 
-// admit asks the keeper whether the request may be sent. It returns the outcome of one that
-// may not.
+// admit asks the keeper whether the request may be sent. It returns an outcome if the
+// request is refused, and otherwise nil.
 func (r *run) admit(ctx context.Context) *exchange.Outcome {
 	r.admission = r.dispatcher.keeper.Admit(ctx, r.request.Identity, r.plan.Patience, r.usable)
 	switch {
 	case r.admission.Unusable:
 		return r.refuse(exchange.CauseNoServers)
 	case r.admission.Action == quarantine.Refuse:
-		return r.refuseFor(exchange.CauseQuarantined, r.admission.RetryAfter)
+		return r.refuseWithRetryAfter(exchange.CauseQuarantined, r.admission.RetryAfter)
 	}
 	if r.admission.Tries() {
 		r.plan.Trial, r.plan.Suspects = true, r.admission.Suspects
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// usable reports whether one of the services has a server that may be reached.
+// usable reports whether at least one of the services has a server that may be reachable.
 func (r *run) usable(services []string) bool {
 	return slices.ContainsFunc(services, func(service string) bool {
 		return r.dispatcher.directory.Usable(service, r.request.Route, time.Now())
--- a/internal/dispatch/record.go
+++ b/internal/dispatch/record.go
@@ -12,7 +12,8 @@
 	"github.com/driftstage/driftstage/internal/trace"
 )
 
-// lazyDigest is the digest of a request in a log line, computed only if the line is written.
+// lazyDigest logs the digest of a request. The digest is computed only if the line is
+// written.
 type lazyDigest struct{ identity *quarantine.Identity }
 
 // LogValue implements slog.LogValuer.
@@ -44,7 +45,7 @@
 		slog.String("cause", availability.String()))
 }
 
-// recordHold records why the request begins to wait before anything is sent.
+// recordHold records why the request is held before anything is sent.
 func (r *run) recordHold(hold exchange.Hold) {
 	if hold == exchange.HoldNone {
 		return
@@ -65,17 +66,17 @@
 		attrs = append(attrs, slog.String("unlisted", strings.Join(outcome.Unlisted, ",")))
 	}
 	r.trace.Add(trace.EventFinished, now, attrs...)
-	r.addAttempts()
+	r.traceAttempts()
 	late := now.Sub(r.request.Arrived) > r.plan.Target
 	extra := r.core.Sends() > len(r.plan.Services)
 	r.trace.End(outcome.Status != exchange.StatusAnswered || outcome.Missing > 0 || late || extra)
 }
 
-func (r *run) recordGivenUp() {
+func (r *run) recordAbandoned() {
 	r.dispatcher.observer.RequestAbandoned(r.plan.Gather)
 	r.trace.Add(trace.EventFinished, time.Now(),
 		slog.String("status", "abandoned"),
 		slog.String("cause", context.Cause(r.context).Error()))
-	r.addAttempts()
+	r.traceAttempts()
 	r.trace.End(true)
 }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -12,53 +12,54 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// ended is an attempt that has ended.
-type ended struct {
+// attemptEnd is the end of an attempt, as sent to the run's loop.
+type attemptEnd struct {
 	id     exchange.AttemptID
 	reason exchange.Reason
 	reply  upstream.Reply
 }
 
-// repliesAhead is how many attempts may end before the run looks at their replies.
-const repliesAhead = 16
+// replyBuffer is the number of attempts that may end before the loop handles the first one.
+const replyBuffer = 16
 
-// run is the execution of one request.
+// run is the execution of one request. It implements exchange.Servers.
 type run struct {
 	dispatcher *Dispatcher
 	request    Request
 	estimate   *endpoints.Estimate
 	core       *exchange.Core
 	context    context.Context
-	replies    chan ended
-	// attempts are those of each shard.
+	replies    chan attemptEnd
+	// attempts holds the attempts of each shard.
 	attempts [][]*attempt
 	deadline time.Time
 	trace    *trace.Trace
-	// deferred is why a send of each service was put off last; it is recorded
-	// once, not at each look.
+	// deferred is why a send to each service was last deferred. A cause is recorded when
+	// it changes, not at each check.
 	deferred map[string]endpoints.Availability
 	plan     exchange.Plan
-	// hold is why the request waits before anything is sent; each cause is recorded
-	// once, not at each look.
+	// hold is why the request is held before anything is sent. A cause is recorded when
+	// it changes, not at each check.
 	hold exchange.Hold
-	// admission permits the sends of a request under which servers may end.
+	// admission permits the sends of a request that may terminate servers.
 	admission quarantine.Admission
-	// suspended is for how long the machine had been suspended when the run began.
-	suspended time.Duration
+	// suspendedBefore is the total time for which the machine had been suspended when the run
+	// began.
+	suspendedBefore time.Duration
 }
 
 func newRun(ctx context.Context, dispatcher *Dispatcher, request Request, plan exchange.Plan) *run {
 	run := &run{
-		dispatcher: dispatcher,
-		request:    request,
-		estimate:   dispatcher.estimate(request.Route),
-		context:    ctx,
-		replies:    make(chan ended, repliesAhead),
-		attempts:   make([][]*attempt, len(plan.Services)),
-		deadline:   request.Arrived.Add(plan.Deadline),
-		trace:      dispatcher.recorder.Begin(request.Message.ID, request.Arrived),
-		plan:       plan,
-		suspended:  dispatcher.suspended(),
+		dispatcher:      dispatcher,
+		request:         request,
+		estimate:        dispatcher.estimate(request.Route),
+		context:         ctx,
+		replies:         make(chan attemptEnd, replyBuffer),
+		attempts:        make([][]*attempt, len(plan.Services)),
+		deadline:        request.Arrived.Add(plan.Deadline),
+		trace:           dispatcher.recorder.Begin(request.Message.ID, request.Arrived),
+		plan:            plan,
+		suspendedBefore: dispatcher.suspended(),
 	}
 	run.core = exchange.New(plan, run)
 	return run
@@ -94,7 +95,7 @@
 	demand := r.demand(service, now)
 	demand.Tried, demand.Only, demand.Extra = tried, only, extra
 	choice, availability := r.dispatcher.directory.Choose(demand, now)
-	if known, waits := r.deferred[service]; availability != endpoints.Chosen && (!waits || known != availability) {
+	if last, deferred := r.deferred[service]; availability != endpoints.Chosen && (!deferred || last != availability) {
 		r.noteDeferred(service, availability)
 		r.recordDeferred(service, extra, availability)
 	}
@@ -127,61 +128,64 @@
 }
 
 // refuse ends the request before anything is sent.
-func (r *run) refuse(cause exchange.Cause) *exchange.Outcome { return r.refuseFor(cause, 0) }
+func (r *run) refuse(cause exchange.Cause) *exchange.Outcome { return r.refuseWithRetryAfter(cause, 0) }
 
-// refuseFor ends the request before anything is sent, and says when it may come again.
-func (r *run) refuseFor(cause exchange.Cause, retryAfter time.Duration) *exchange.Outcome {
+// refuseWithRetryAfter ends the request before anything is sent, and sets when the caller
+// may retry.
+func (r *run) refuseWithRetryAfter(cause exchange.Cause, retryAfter time.Duration) *exchange.Outcome {
 	outcome := &exchange.Outcome{Status: exchange.StatusRefused, Cause: cause, Missing: len(r.plan.Services), RetryAfter: retryAfter}
 	r.recordAccepted()
 	r.recordFinished(outcome)
 	return outcome
 }
 
-// since returns how long ago the request arrived, suspensions of the machine included: its
-// caller has waited through them.
-func (r *run) since() time.Duration {
-	return time.Since(r.request.Arrived) + r.slept()
+// elapsed returns the time since the request arrived. It includes suspensions of the machine,
+// because the caller has been waiting during these.
+func (r *run) elapsed() time.Duration {
+	return time.Since(r.request.Arrived) + r.suspendedFor()
 }
 
-// slept returns for how long the machine has been suspended since the run began.
-func (r *run) slept() time.Duration { return r.dispatcher.suspended() - r.suspended }
+// suspendedFor returns for how long the machine has been suspended since the run began.
+func (r *run) suspendedFor() time.Duration { return r.dispatcher.suspended() - r.suspendedBefore }
 
+// loop drives the core until the request has its outcome; nil if the context ends first.
 func (r *run) loop() *exchange.Outcome {
 	r.recordAccepted()
-	begun := time.Now()
-	batch := r.core.Start(r.since())
+	started := time.Now()
+	batch := r.core.Start(r.elapsed())
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	slept := r.slept()
+	suspended := r.suspendedFor()
 	for first := true; ; first = false {
-		r.apply(batch, slept)
+		r.apply(batch, suspended)
 		if first {
-			// A node that takes long to send the parts of a gather takes about as long to put
-			// their answers together: one that is given at the target would be late by that.
-			r.core.Shorten(time.Since(begun))
+			// A node that takes long to send the requests of a gather takes about as long to
+			// merge the replies: an answer begun at the target would be late by that time.
+			r.core.Shorten(time.Since(started))
 		}
 		if batch.Outcome != nil {
 			r.recordFinished(batch.Outcome)
 			return batch.Outcome
 		}
-		timer.Reset(max(batch.Wake-time.Since(r.request.Arrived)-slept, 0))
+		timer.Reset(max(batch.Wake-time.Since(r.request.Arrived)-suspended, 0))
 		select {
 		case end := <-r.replies:
 			r.noteEnded(end)
-			slept = r.slept()
-			batch = r.core.Reply(end.id, end.reply, time.Since(r.request.Arrived)+slept)
+			suspended = r.suspendedFor()
+			batch = r.core.Reply(end.id, end.reply, time.Since(r.request.Arrived)+suspended)
 		case <-timer.C:
-			slept = r.slept()
-			batch = r.core.Tick(time.Since(r.request.Arrived) + slept)
+			suspended = r.suspendedFor()
+			batch = r.core.Tick(time.Since(r.request.Arrived) + suspended)
 		case <-r.context.Done():
-			r.recordGivenUp()
+			r.recordAbandoned()
 			return nil
 		}
 	}
 }
 
-// apply carries out a batch. The machine had been suspended for slept since the run began.
-func (r *run) apply(batch exchange.Batch, slept time.Duration) {
+// apply carries out a batch. suspended is how long the machine had been suspended since the run
+// began when the batch was computed.
+func (r *run) apply(batch exchange.Batch, suspended time.Duration) {
 	if batch.Hold != r.hold {
 		r.hold = batch.Hold
 		r.recordHold(batch.Hold)
@@ -192,50 +196,51 @@
 	for _, send := range batch.Sends {
 		ctx, cancel := context.WithCancel(r.context)
 		r.noteSent(send, cancel)
-		go r.attempt(ctx, send, slept)
+		go r.attempt(ctx, send, suspended)
 	}
 }
 
-// attempt makes one attempt and reports its end. The attempt is withheld if the machine is
-// suspended before it is sent.
-func (r *run) attempt(ctx context.Context, send exchange.Send, slept time.Duration) {
+// attempt makes one attempt and reports its end to the loop. The attempt is withheld if the
+// machine is suspended before it is sent.
+func (r *run) attempt(ctx context.Context, send exchange.Send, suspended time.Duration) {
 	choice := send.Choice
 	reply := r.dispatcher.client.Do(ctx, upstream.Call{
 		Request:     r.request.Message,
 		ServerID:    send.Choice.Server.ID,
 		Incarnation: send.Choice.Incarnation,
 		Address:     send.Choice.Server.Address,
-		Deadline:    r.deadline.Add(-slept),
+		Deadline:    r.deadline.Add(-suspended),
 		IdleLimit:   r.dispatcher.directory.IdleLimit(send.Choice.Server),
 		BodyOnly:    r.plan.Gather,
 		Permitted: func() bool {
-			awake := r.slept()-slept < shortestSuspension
+			awake := r.suspendedFor()-suspended < minSuspension
 			return awake && r.dispatcher.directory.Open(choice.Endpoint) && r.admission.Permits()
 		},
 	})
-	r.tellKeeper(ctx, send, reply, time.Now())
+	r.reportToKeeper(ctx, send, reply, time.Now())
 	choice.Delay = max(choice.Delay, r.dispatcher.delay())
 	r.dispatcher.directory.NoteLoad(choice, reply.Load, time.Now())
 	r.dispatcher.directory.Finish(choice, r.estimate, result(reply), time.Now())
 	select {
-	case r.replies <- ended{id: send.ID, reason: send.Reason, reply: reply}:
+	case r.replies <- attemptEnd{id: send.ID, reason: send.Reason, reply: reply}:
 	case <-r.context.Done():
 	}
 }
 
-// answered tells an error of the server from other answers. A server that stops at the
-// deadline that it was given has not erred.
-func answered(status int) endpoints.Result {
+// answeredResult distinguishes server errors from other answers. A server that stops at the
+// deadline that it was given has not failed.
+func answeredResult(status int) endpoints.Result {
 	if status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout {
 		return endpoints.ResultErred
 	}
 	return endpoints.ResultAnswered
 }
 
+// result classifies a reply for the directory.
 func result(reply upstream.Reply) endpoints.Result {
 	switch reply.Kind {
 	case upstream.Answered:
-		return answered(reply.Status)
+		return answeredResult(reply.Status)
 	case upstream.Refused:
 		return endpoints.ResultRefused
 	case upstream.Withheld:
--- a/internal/dispatch/run_test.go
+++ b/internal/dispatch/run_test.go
@@ -16,14 +16,14 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// A request that waits for a server looks again and again; its trace must not
-// grow with each look.
+// A request that waits for a server checks repeatedly; its trace must not grow with
+// each check.
 func TestWaitingIsRecordedOnce(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	recorder := trace.NewRecorder(slog.NewJSONHandler(&output, nil), trace.Options{LinesPerSecond: 1000})
 	directory := endpoints.New(endpoints.Topology{}, nil)
-	// A list that may not be whole yet is worth waiting for.
+	// The list may be incomplete, so the request waits for servers.
 	directory.ReplaceAfterOutage(nil, time.Now())
 	dispatcher := New(directory, upstream.NewClient(upstream.Headers{}), recorder, NoObserver{}, overload.NewMeter(100))
 	route := &routing.Route{Name: "r", Timeout: time.Second, Target: 500 * time.Millisecond, Split: []routing.WeightedService{{Service: "s", Weight: 1}}}
--- a/internal/dispatch/suspension_test.go
+++ b/internal/dispatch/suspension_test.go
@@ -14,9 +14,9 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// A request whose machine was suspended beyond its caller's time is given up after waking up;
-// nothing of it is sent any more.
-func TestRequestEndsWithItsTimeOnASuspendedMachine(t *testing.T) {
+// A request whose deadline passed while the machine was suspended ends after the resume, and
+// nothing more is sent for it.
+func TestRequestExpiresDuringSuspension(t *testing.T) {
 	is := is.New(t)
 	directory := endpoints.New(endpoints.Topology{}, nil)
 	directory.ReplaceAfterOutage(nil, time.Now()) // the request waits for servers
@@ -35,6 +35,6 @@
 	case outcome := <-ended:
 		is.Equal(outcome.Status, exchange.StatusRefused) // nothing has run
 	case <-time.After(5 * time.Second):
-		t.Fatal("the request goes on")
+		t.Fatal("request still running 5s after its deadline")
 	}
 }
