--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -1,17 +1,17 @@
 package admission
 
-// ejectAfter is how many failures in a row eject a server.
+// ejectAfter is the number of consecutive failures that eject a server.
 const ejectAfter = 5
 
-// health ejects a server that fails time after time. An ejected server gets one
-// attempt at a time as a probe and lets nothing queue; it is never cut off
-// wholly, and gateways pass over at most half of a shard's replicas.
+// health ejects a server that fails repeatedly. An ejected server gets one attempt
+// at a time as a probe and queues nothing. It is never excluded entirely, and
+// gateways skip at most half of a shard's replicas.
 type health struct {
 	failures int
 	ejected  bool
 }
 
-// observe counts an outcome and tells whether the server has just come back.
+// observe counts an outcome and reports whether it ends the ejection of the server.
 func (health *health) observe(outcome Outcome) bool {
 	switch outcome {
 	case Failed:
@@ -20,10 +20,10 @@
 			health.ejected = true
 		}
 	case Succeeded, Refused, Shed:
-		back := health.ejected
+		recovered := health.ejected
 		health.failures = 0
 		health.ejected = false
-		return back
+		return recovered
 	case Canceled:
 	}
 	return false
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -42,15 +42,16 @@
 	return true
 }
 
-// queues orders the two classes: interactive first, but batch gets one start in
-// batchShare when both wait.
+// queues orders the two classes: interactive attempts go first, but while both
+// wait, batch gets one of batchShare starts.
 type queues struct {
 	interactive queue
 	batch       queue
-	// sinceBatch counts interactive starts while batch attempts waited.
-	sinceBatch int
+	// startsSinceBatch counts interactive starts while batch attempts waited.
+	startsSinceBatch int
 }
 
+// of returns the queue of a class.
 func (queues *queues) of(class v1.Class) *queue {
 	if class == v1.ClassBatch {
 		return &queues.batch
@@ -62,13 +63,13 @@
 	return len(queues.interactive.entries) + len(queues.batch.entries)
 }
 
-// next names the queue from which to start, or nil. Batch attempts are passed
-// over while batchFull, unless their floor is due.
+// next returns the queue from which to start an attempt, or nil. Batch attempts are
+// skipped while batchFull, unless their minimum share is due.
 func (queues *queues) next(batchFull bool) *queue {
 	interactive := len(queues.interactive.entries) > 0
 	batch := len(queues.batch.entries) > 0
 	switch {
-	case batch && interactive && queues.sinceBatch >= batchShare-1:
+	case batch && interactive && queues.startsSinceBatch >= batchShare-1:
 		return &queues.batch
 	case interactive:
 		return &queues.interactive
@@ -79,11 +80,11 @@
 	}
 }
 
-// started notes a start for the floor of the batch class.
-func (queues *queues) started(class v1.Class) {
+// noteStart counts a start for the minimum share of the batch class.
+func (queues *queues) noteStart(class v1.Class) {
 	if class == v1.ClassBatch || len(queues.batch.entries) == 0 {
-		queues.sinceBatch = 0
+		queues.startsSinceBatch = 0
 		return
 	}
-	queues.sinceBatch++
+	queues.startsSinceBatch++
 }
--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// batchShare: one start in batchShare is the floor of the batch class.
+	// batchShare sets the minimum share of the batch class: one of batchShare starts.
 	batchShare = 10
-	// minimumRetryAfter is the least advice given with a refusal.
-	minimumRetryAfter = 10 * time.Millisecond
+	// minRetryAfter is the shortest retry delay returned with a refusal.
+	minRetryAfter = 10 * time.Millisecond
 )
 
 // Server is the admission state of one back-end server. It is not safe for
@@ -28,15 +28,15 @@
 	actions      []Action
 }
 
-// attempt is one that was started and whose server may still work for it.
+// attempt is an attempt that was started and may still occupy a slot of its server.
 type attempt struct {
 	class   v1.Class
 	started time.Time
-	// judged is set once its outcome was counted.
-	judged bool
+	// outcomeRecorded is set once its outcome was counted.
+	outcomeRecorded bool
 }
 
-// NewServer returns the state of a server of which nothing is known: cold.
+// NewServer returns the state of an unknown server, which is treated as cold.
 func NewServer(limits Limits) *Server {
 	server := &Server{running: make(map[ID]*attempt)}
 	server.window = newWindow()
@@ -44,39 +44,40 @@
 	return server
 }
 
+// setLimits sets the limits; a server has at least one slot and a window of one.
 func (server *Server) setLimits(limits Limits) {
 	limits.Slots = max(limits.Slots, 1)
 	limits.Window = max(limits.Window, 1)
 	server.limits = limits
 }
 
-// SetLimits takes over changed bounds.
+// SetLimits applies changed limits.
 func (server *Server) SetLimits(now time.Time, limits Limits) []Action {
 	server.setLimits(limits)
 	return server.admit(now)
 }
 
-// Offer asks for admission of an attempt. It is started, refused or left waiting.
+// Offer asks for admission of an attempt, which is started, refused or queued.
 func (server *Server) Offer(now time.Time, request Request) []Action {
-	if failure := server.judge(now, request); failure != nil {
+	if failure := server.checkOffer(now, request); failure != nil {
 		server.refuse(request.ID, failure)
-		return server.take()
+		return server.takeActions()
 	}
 	if server.waiting.len() >= server.limits.Queue && !server.hasRoom(request.Class) {
 		if request.Class == v1.ClassBatch || len(server.waiting.batch.entries) == 0 {
-			server.refuse(request.ID, server.overloaded("queue is full"))
-			return server.take()
+			server.refuse(request.ID, server.overloadedError("queue is full"))
+			return server.takeActions()
 		}
-		server.refuse(server.waiting.batch.popLast().ID, server.overloaded("gave way to interactive work"))
+		server.refuse(server.waiting.batch.popLast().ID, server.overloadedError("gave way to interactive work"))
 	}
 	server.waiting.of(request.Class).push(request)
 	return server.admit(now)
 }
 
-// judge returns why a new attempt is refused at once, or nil.
-func (server *Server) judge(now time.Time, request Request) *verdict.Error {
+// checkOffer returns why a new attempt is refused at once, or nil if it may be queued.
+func (server *Server) checkOffer(now time.Time, request Request) *verdict.Error {
 	if server.draining {
-		return server.drained()
+		return server.drainingError()
 	}
 	if server.health.ejected && len(server.running) > 0 {
 		failure := verdict.New(verdict.NotRun, verdict.CodeUnreachable, "server is ejected; a probe is under way")
@@ -84,7 +85,7 @@
 		return failure
 	}
 	wait := server.predictedWait(request.Class)
-	if now.Add(wait + server.window.floor()).After(request.Deadline) {
+	if now.Add(wait + server.window.minLatency()).After(request.Deadline) {
 		failure := verdict.New(verdict.NotRun, verdict.CodeDeadline, "cannot finish in time")
 		if wait > 0 {
 			failure.Code = verdict.CodeOverloaded
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// predictedWait estimates the time in the queue of an attempt that comes now.
+// predictedWait estimates the time in the queue of an attempt that arrives now.
 func (server *Server) predictedWait(class v1.Class) time.Duration {
 	size := server.size()
 	if len(server.running) < size && server.waiting.len() == 0 {
@@ -105,11 +106,11 @@
 	if class == v1.ClassBatch {
 		ahead += len(server.waiting.batch.entries)
 	}
-	return server.window.typical() * time.Duration(ahead) / time.Duration(size)
+	return server.window.typicalLatency() * time.Duration(ahead) / time.Duration(size)
 }
 
-// Withdraw takes back an attempt given up by its sender. A waiting one is
-// refused as NotRun, for certain; a running one goes on to fill its slot.
+// Withdraw cancels an attempt that its sender gave up. A queued one is refused
+// with the guarantee NotRun; a running one keeps its slot until End.
 func (server *Server) Withdraw(now time.Time, id ID) []Action {
 	if server.waiting.interactive.remove(id) || server.waiting.batch.remove(id) {
 		server.refuse(id, verdict.New(verdict.NotRun, verdict.CodeCanceled, "given up while queued"))
@@ -117,15 +118,15 @@
 	return server.admit(now)
 }
 
-// Judge counts what an attempt showed, while its slot may still be filled.
+// Judge records the outcome of an attempt, whose slot may still be occupied.
 func (server *Server) Judge(now time.Time, id ID, outcome Outcome) []Action {
 	attempt, ok := server.running[id]
-	if !ok || attempt.judged {
+	if !ok || attempt.outcomeRecorded {
 		return nil
 	}
-	attempt.judged = true
+	attempt.outcomeRecorded = true
 	took := now.Sub(attempt.started)
-	if outcome == Canceled && took > suspiciousFactor*server.window.typical() && server.window.measured() {
+	if outcome == Canceled && took > lateCancelFactor*server.window.typicalLatency() && server.window.measured() {
 		outcome = Failed
 	}
 	server.window.observe(outcome, took, attempt, server.limits)
@@ -135,7 +136,7 @@
 	return server.admit(now)
 }
 
-// End frees the slot of an attempt: its server has stopped working for it.
+// End frees the slot of an attempt, which its server no longer runs.
 func (server *Server) End(now time.Time, id ID) []Action {
 	attempt, ok := server.running[id]
 	if !ok {
@@ -148,10 +149,10 @@
 	return server.admit(now)
 }
 
-// Tick refuses the waiting attempts whose deadline passed and admits others.
+// Tick refuses queued attempts that can no longer finish and admits others.
 func (server *Server) Tick(now time.Time) []Action { return server.admit(now) }
 
-// Drain stops all new work for good or, with draining false, allows it again.
+// Drain starts or ends draining. A draining server refuses all new and queued attempts.
 func (server *Server) Drain(now time.Time, draining bool) []Action {
 	if draining == server.draining {
 		return nil
@@ -163,13 +164,13 @@
 	}
 	for _, waiting := range []*queue{&server.waiting.interactive, &server.waiting.batch} {
 		for len(waiting.entries) > 0 {
-			server.refuse(waiting.popFirst().ID, server.drained())
+			server.refuse(waiting.popFirst().ID, server.drainingError())
 		}
 	}
-	return server.take()
+	return server.takeActions()
 }
 
-// admit starts what the window allows, in order.
+// admit starts queued attempts in order, as far as the window allows.
 func (server *Server) admit(now time.Time) []Action {
 	server.expire(now)
 	for len(server.running) < server.size() {
@@ -179,11 +180,11 @@
 		}
 		server.start(now, waiting.popFirst())
 	}
-	return server.take()
+	return server.takeActions()
 }
 
 func (server *Server) start(now time.Time, request Request) {
-	server.waiting.started(request.Class)
+	server.waiting.noteStart(request.Class)
 	if request.Class == v1.ClassBatch {
 		server.batchRunning++
 	}
@@ -195,10 +196,10 @@
 	server.actions = append(server.actions, Action{ID: request.ID})
 }
 
-// expire refuses waiting attempts that can no longer finish. After a pause of
-// the process this is what keeps old work from being sent.
+// expire refuses queued attempts that can no longer finish. It also keeps expired
+// attempts from being sent after a pause of the process.
 func (server *Server) expire(now time.Time) {
-	latest := now.Add(server.window.floor())
+	latest := now.Add(server.window.minLatency())
 	for _, waiting := range []*queue{&server.waiting.interactive, &server.waiting.batch} {
 		for len(waiting.entries) > 0 && !latest.Before(waiting.entries[0].Deadline) {
 			failure := verdict.New(verdict.NotRun, verdict.CodeDeadline, "deadline passed while queued")
@@ -208,7 +209,7 @@
 	}
 }
 
-// size is the number of attempts that may run now.
+// size returns the number of attempts that may run now.
 func (server *Server) size() int {
 	if server.health.ejected {
 		return 1
@@ -216,13 +217,13 @@
 	return max(min(int(server.window.size), server.limits.Window), 1)
 }
 
-// batchFull tells whether batch attempts fill their part of the window. The
-// rest of a window larger than one is kept free for interactive work.
+// batchFull reports whether batch attempts fill their part of the window, three
+// quarters. The rest of a window larger than one is reserved for interactive work.
 func (server *Server) batchFull() bool {
 	return server.batchRunning >= max(server.size()*3/4, 1)
 }
 
-// hasRoom tells whether an attempt of the class could start at once.
+// hasRoom reports whether an attempt of the class could start at once.
 func (server *Server) hasRoom(class v1.Class) bool {
 	if class == v1.ClassBatch && server.batchFull() {
 		return false
@@ -230,33 +231,34 @@
 	return len(server.running) < server.size()
 }
 
-func (server *Server) drained() *verdict.Error {
+func (server *Server) drainingError() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeDraining, "server is draining")
 }
 
-func (server *Server) overloaded(message string) *verdict.Error {
+func (server *Server) overloadedError(message string) *verdict.Error {
 	failure := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%s", message)
 	failure.RetryAfter = server.retryAfter()
 	return failure
 }
 
-// retryAfter is the time in which the present queue drains.
+// retryAfter estimates the time in which the current queue drains.
 func (server *Server) retryAfter() time.Duration {
-	wait := server.window.typical() * time.Duration(server.waiting.len()+1) / time.Duration(server.size())
-	return max(wait, minimumRetryAfter)
+	wait := server.window.typicalLatency() * time.Duration(server.waiting.len()+1) / time.Duration(server.size())
+	return max(wait, minRetryAfter)
 }
 
 func (server *Server) refuse(id ID, failure *verdict.Error) {
 	server.actions = append(server.actions, Action{ID: id, Failure: failure})
 }
 
-func (server *Server) take() []Action {
+// takeActions returns the pending actions and clears them.
+func (server *Server) takeActions() []Action {
 	actions := server.actions
 	server.actions = nil
 	return actions
 }
 
-// View reports the present state.
+// View returns the current state.
 func (server *Server) View() View {
 	return View{
 		Queued:   server.waiting.len(),
--- a/internal/admission/server_test.go
+++ b/internal/admission/server_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-var begin = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// world plays the senders and the back-end server, and checks every action.
-type world struct {
+// simulation simulates the senders and the back-end server, and checks every action.
+type simulation struct {
 	t      *rapid.T
 	now    time.Time
 	server *Server
@@ -22,112 +22,113 @@
 
 	waiting  map[ID]Request
 	running  map[ID]Request
-	judged   map[ID]bool
+	recorded map[ID]bool
 	draining bool
-	// passed counts interactive starts in a row while batch attempts waited.
-	passed int
+	// overtakes counts consecutive interactive starts while batch attempts waited.
+	overtakes int
 }
 
-func newWorld(t *rapid.T) *world {
+func newSimulation(t *rapid.T) *simulation {
 	limits := Limits{
 		Slots:  rapid.IntRange(1, 4).Draw(t, "slots"),
 		Window: rapid.IntRange(1, 8).Draw(t, "window"),
 		Queue:  rapid.IntRange(0, 12).Draw(t, "queue"),
 	}
-	return &world{
-		t:       t,
-		now:     begin,
-		server:  NewServer(limits),
-		limits:  limits,
-		waiting: make(map[ID]Request),
-		running: make(map[ID]Request),
-		judged:  make(map[ID]bool),
+	return &simulation{
+		t:        t,
+		now:      startTime,
+		server:   NewServer(limits),
+		limits:   limits,
+		waiting:  make(map[ID]Request),
+		running:  make(map[ID]Request),
+		recorded: make(map[ID]bool),
 	}
 }
 
-func (world *world) offer() {
-	world.lastID++
+func (sim *simulation) offer() {
+	sim.lastID++
 	request := Request{
-		ID:       world.lastID,
-		Class:    rapid.SampledFrom([]v1.Class{v1.ClassInteractive, v1.ClassBatch}).Draw(world.t, "class"),
-		Deadline: world.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(world.t, "deadline")) * time.Millisecond),
+		ID:       sim.lastID,
+		Class:    rapid.SampledFrom([]v1.Class{v1.ClassInteractive, v1.ClassBatch}).Draw(sim.t, "class"),
+		Deadline: sim.now.Add(time.Duration(rapid.IntRange(1, 400).Draw(sim.t, "deadline")) * time.Millisecond),
 	}
-	world.waiting[request.ID] = request
-	world.apply(world.server.Offer(world.now, request))
+	sim.waiting[request.ID] = request
+	sim.apply(sim.server.Offer(sim.now, request))
 }
 
-// apply checks decisions: each attempt gets one, and a refused one never runs.
-func (world *world) apply(actions []Action) {
+// apply checks that each attempt gets exactly one decision, and that a refused one
+// never runs.
+func (sim *simulation) apply(actions []Action) {
 	for _, action := range actions {
-		request, ok := world.waiting[action.ID]
+		request, ok := sim.waiting[action.ID]
 		if !ok {
-			world.t.Fatalf("second decision on attempt %d: %+v", action.ID, action)
+			sim.t.Fatalf("second decision on attempt %d: %+v", action.ID, action)
 		}
-		delete(world.waiting, action.ID)
+		delete(sim.waiting, action.ID)
 		if action.Failure == nil {
-			world.checkStart(request)
-			world.running[request.ID] = request
+			sim.checkStart(request)
+			sim.running[request.ID] = request
 			continue
 		}
 		if action.Failure.Verdict != verdict.NotRun {
-			world.t.Fatalf("refusal with verdict %v", action.Failure.Verdict)
+			sim.t.Fatalf("refusal with verdict %v", action.Failure.Verdict)
 		}
 	}
-	world.checkState()
+	sim.checkState()
 }
 
-func (world *world) checkStart(request Request) {
-	if world.draining {
-		world.t.Fatalf("started while draining")
+func (sim *simulation) checkStart(request Request) {
+	if sim.draining {
+		sim.t.Fatalf("started while draining")
 	}
-	if !world.now.Before(request.Deadline) {
-		world.t.Fatalf("started after its deadline")
+	if !sim.now.Before(request.Deadline) {
+		sim.t.Fatalf("started after its deadline")
 	}
-	if window := world.server.View().Window; len(world.running) >= window {
-		world.t.Fatalf("%d under way, window %d", len(world.running)+1, window)
+	if window := sim.server.View().Window; len(sim.running) >= window {
+		sim.t.Fatalf("%d in flight, window %d", len(sim.running)+1, window)
 	}
 	otherWaits := false
-	for _, waiting := range world.waiting {
+	for _, waiting := range sim.waiting {
 		if waiting.Class == request.Class && waiting.Deadline.Before(request.Deadline) {
-			world.t.Fatalf("%+v started before %+v", request, waiting)
+			sim.t.Fatalf("%+v started before %+v", request, waiting)
 		}
 		otherWaits = otherWaits || waiting.Class != request.Class
 	}
-	world.checkClasses(request, otherWaits)
+	sim.checkClasses(request, otherWaits)
 }
 
-// checkClasses: interactive attempts go first, but at most batchShare-1 of them
-// in a row pass a waiting batch attempt.
-func (world *world) checkClasses(request Request, otherWaits bool) {
+// checkClasses verifies that interactive attempts go first, but at most batchShare-1
+// consecutive ones overtake a waiting batch attempt.
+func (sim *simulation) checkClasses(request Request, otherWaits bool) {
 	switch {
 	case request.Class == v1.ClassInteractive && otherWaits:
-		world.passed++
-	case request.Class == v1.ClassBatch && otherWaits && world.passed < batchShare-1:
-		world.t.Fatalf("batch attempt started after %d interactive ones, others wait", world.passed)
+		sim.overtakes++
+	case request.Class == v1.ClassBatch && otherWaits && sim.overtakes < batchShare-1:
+		sim.t.Fatalf("batch attempt started after %d interactive ones while others wait", sim.overtakes)
 	default:
-		world.passed = 0
+		sim.overtakes = 0
 	}
-	if world.passed >= batchShare {
-		world.t.Fatalf("%d interactive attempts passed a batch attempt", world.passed)
+	if sim.overtakes >= batchShare {
+		sim.t.Fatalf("%d interactive attempts overtook a batch attempt", sim.overtakes)
 	}
 }
 
-func (world *world) checkState() {
-	view := world.server.View()
-	if view.InFlight != len(world.running) || view.Queued != len(world.waiting) {
-		world.t.Fatalf("view %+v, running %d, waiting %d", view, len(world.running), len(world.waiting))
+func (sim *simulation) checkState() {
+	view := sim.server.View()
+	if view.InFlight != len(sim.running) || view.Queued != len(sim.waiting) {
+		sim.t.Fatalf("view %+v, running %d, waiting %d", view, len(sim.running), len(sim.waiting))
 	}
-	if view.Queued > world.limits.Queue+1 || view.Window > world.limits.Window || view.Window < 1 {
-		world.t.Fatalf("view %+v, limits %+v", view, world.limits)
+	if view.Queued > sim.limits.Queue+1 || view.Window > sim.limits.Window || view.Window < 1 {
+		sim.t.Fatalf("view %+v, limits %+v", view, sim.limits)
 	}
 	if view.Ejected && view.Window != 1 {
-		world.t.Fatalf("ejected with a window of %d", view.Window)
+		sim.t.Fatalf("ejected with a window of %d", view.Window)
 	}
 }
 
-func pick(world *world, from map[ID]Request) (ID, bool) {
+func pick(sim *simulation, from map[ID]Request) (ID, bool) {
 	var ids []ID
-	for id := ID(1); id <= world.lastID; id++ {
+	for id := ID(1); id <= sim.lastID; id++ {
 		if _, ok := from[id]; ok {
 			ids = append(ids, id)
 		}
@@ -135,55 +136,55 @@
 	if len(ids) == 0 {
 		return 0, false
 	}
-	return rapid.SampledFrom(ids).Draw(world.t, "attempt"), true
+	return rapid.SampledFrom(ids).Draw(sim.t, "attempt"), true
 }
 
-func (world *world) step() {
-	switch rapid.SampledFrom([]string{"offer", "offer", "offer", "withdraw", "judge", "judge", "end", "end", "drain", "pause"}).Draw(world.t, "event") {
+func (sim *simulation) step() {
+	switch rapid.SampledFrom([]string{"offer", "offer", "offer", "withdraw", "judge", "judge", "end", "end", "drain", "pause"}).Draw(sim.t, "event") {
 	case "offer":
-		world.offer()
+		sim.offer()
 	case "withdraw":
-		// Also of running attempts: they go on to fill their slots.
-		id := ID(rapid.Uint64Range(1, uint64(world.lastID)+1).Draw(world.t, "attempt"))
-		world.apply(world.server.Withdraw(world.now, id))
+		// Includes running attempts, which keep their slots.
+		id := ID(rapid.Uint64Range(1, uint64(sim.lastID)+1).Draw(sim.t, "attempt"))
+		sim.apply(sim.server.Withdraw(sim.now, id))
 	case "judge":
-		if id, ok := pick(world, world.running); ok {
-			outcome := Outcome(rapid.IntRange(int(Succeeded), int(Canceled)).Draw(world.t, "outcome"))
-			world.apply(world.server.Judge(world.now, id, outcome))
+		if id, ok := pick(sim, sim.running); ok {
+			outcome := Outcome(rapid.IntRange(int(Succeeded), int(Canceled)).Draw(sim.t, "outcome"))
+			sim.apply(sim.server.Judge(sim.now, id, outcome))
 		}
 	case "end":
-		if id, ok := pick(world, world.running); ok {
-			delete(world.running, id)
-			world.apply(world.server.End(world.now, id))
+		if id, ok := pick(sim, sim.running); ok {
+			delete(sim.running, id)
+			sim.apply(sim.server.End(sim.now, id))
 		}
 	case "drain":
-		world.draining = !world.draining
-		world.apply(world.server.Drain(world.now, world.draining))
+		sim.draining = !sim.draining
+		sim.apply(sim.server.Drain(sim.now, sim.draining))
 	case "pause":
-		pause := rapid.SampledFrom([]int{0, 1, 5, 30, 1000}).Draw(world.t, "pause")
-		world.now = world.now.Add(time.Duration(pause) * time.Millisecond)
-		world.apply(world.server.Tick(world.now))
+		pause := rapid.SampledFrom([]int{0, 1, 5, 30, 1000}).Draw(sim.t, "pause")
+		sim.now = sim.now.Add(time.Duration(pause) * time.Millisecond)
+		sim.apply(sim.server.Tick(sim.now))
 	}
 }
 
-// TestAdmissionUnderFailure drives one server through load, refusals, failures,
+// TestAdmissionUnderFailure drives one server with random load, refusals, failures,
 // draining, cancellation and pauses of the process.
 func TestAdmissionUnderFailure(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		world := newWorld(t)
+		sim := newSimulation(t)
 		for range rapid.IntRange(0, 150).Draw(t, "steps") {
-			world.step()
+			sim.step()
 		}
-		// In the end every attempt has had its decision.
-		world.now = world.now.Add(time.Hour)
-		world.apply(world.server.Tick(world.now))
-		if len(world.waiting) > 0 {
-			t.Fatalf("%d attempts wait for ever", len(world.waiting))
+		// Finally, every attempt must have had its decision.
+		sim.now = sim.now.Add(time.Hour)
+		sim.apply(sim.server.Tick(sim.now))
+		if len(sim.waiting) > 0 {
+			t.Fatalf("%d attempts without a decision after an hour", len(sim.waiting))
 		}
 	})
 }
 
-// driver offers attempts one after another by hand.
+// driver offers attempts to a server and ends them.
 type driver struct {
 	server *Server
 	now    time.Time
@@ -195,7 +196,7 @@
 	return driver.lastID, driver.server.Offer(driver.now, Request{ID: driver.lastID, Class: class, Deadline: driver.now.Add(within)})
 }
 
-// run offers attempts until one has to wait, and ends all that started after the time.
+// run fills the window with attempts, and ends them after the given time.
 func (driver *driver) run(took time.Duration, outcome Outcome) {
 	first := driver.lastID + 1
 	for range driver.server.View().Window - driver.server.View().InFlight {
@@ -209,7 +210,7 @@
 }
 
 func newDriver(limits Limits) *driver {
-	return &driver{server: NewServer(limits), now: begin}
+	return &driver{server: NewServer(limits), now: startTime}
 }
 
 func TestWindowStartsColdAndGrowsToSlots(t *testing.T) {
@@ -224,16 +225,16 @@
 		driver.run(time.Millisecond, Succeeded)
 	}
 	grown := driver.server.View().Window
-	is.True(grown > 5) // latency does not rise: the round trip hides the service time
+	is.True(grown > 5) // the latency, dominated by the round trip, does not rise
 	driver.run(time.Millisecond, Shed)
-	is.Equal(driver.server.View().Window, int(float64(grown)*shedFactor)) // once, however many of one flight
+	is.Equal(driver.server.View().Window, int(float64(grown)*shedFactor)) // once for all attempts of one window
 }
 
 func TestWindowStopsGrowingWhenServerQueues(t *testing.T) {
 	is := is.New(t)
 	driver := newDriver(Limits{Slots: 2, Window: 70, Queue: 10})
 	for range 300 {
-		// Latency in proportion to the window: the server only queues.
+		// The latency is proportional to the window: the server queues.
 		driver.run(time.Duration(max(driver.server.View().Window, 2))*time.Millisecond, Succeeded)
 	}
 	is.True(driver.server.View().Window <= 6)
@@ -257,11 +258,11 @@
 	driver.server.Judge(driver.now, probe, Succeeded)
 	driver.server.End(driver.now, probe)
 	is.True(!driver.server.View().Ejected)
-	is.Equal(driver.server.View().Window, 1) // comes back cold
+	is.Equal(driver.server.View().Window, 1) // starts cold again
 }
 
-// Batch work goes last, but not never.
-func TestBatchKeepsItsFloor(t *testing.T) {
+// Batch attempts are not starved by interactive ones.
+func TestBatchKeepsItsMinimumShare(t *testing.T) {
 	is := is.New(t)
 	driver := newDriver(Limits{Slots: 1, Window: 1, Queue: 100})
 	running, _ := driver.offer(v1.ClassInteractive, time.Hour)
@@ -277,8 +278,8 @@
 	is.Equal(starts, batchShare)
 }
 
-// An attempt that was given up fills its slot until its server ended it.
-func TestGivenUpAttemptFillsItsSlot(t *testing.T) {
+// A canceled attempt keeps its slot until its server has ended it.
+func TestCanceledAttemptKeepsItsSlot(t *testing.T) {
 	is := is.New(t)
 	driver := newDriver(Limits{Slots: 1, Window: 1, Queue: 1})
 	first, _ := driver.offer(v1.ClassInteractive, time.Second)
@@ -292,7 +293,7 @@
 func TestRefusesAtOnceWhatCannotFinish(t *testing.T) {
 	is := is.New(t)
 	driver := newDriver(Limits{Slots: 1, Window: 1, Queue: 100})
-	for range 2 * minimumSamples {
+	for range 2 * minSamples {
 		driver.run(20*time.Millisecond, Succeeded)
 	}
 	driver.offer(v1.ClassInteractive, time.Second)
--- a/internal/admission/types.go
+++ b/internal/admission/types.go
@@ -7,16 +7,16 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// ID names an attempt within one Server; it is never used again.
+// ID identifies an attempt within one Server and is never reused.
 type ID uint64
 
-// Limits are the bounds that the resource sets for a server.
+// Limits are the limits that the resource sets for a server.
 type Limits struct {
-	// Slots is how many attempts the server runs at a time.
+	// Slots is the number of attempts that the server runs at a time.
 	Slots int
-	// Window is the largest window; the connections that attempts may use.
+	// Window is the largest window: the number of connections for attempts.
 	Window int
-	// Queue is how many attempts may wait.
+	// Queue is the largest number of queued attempts.
 	Queue int
 }
 
@@ -27,28 +27,28 @@
 	Deadline time.Time
 }
 
-// Outcome is what an attempt showed of its server.
+// Outcome is the result of an attempt as far as it concerns its server.
 type Outcome uint8
 
 const (
-	// Succeeded: all parts came.
+	// Succeeded means that all parts were received.
 	Succeeded Outcome = iota
-	// Refused: the server answered that it did not run the attempt, for a reason
-	// other than load. The server is alive.
+	// Refused means that the server replied that it did not run the attempt, for a
+	// reason other than load. The server is alive.
 	Refused
-	// Shed: the server refused for load.
+	// Shed means that the server refused the attempt because of its load.
 	Shed
-	// Failed: no connection, a lost connection, a bad reply or none in time.
+	// Failed means no connection, a lost connection, or an invalid or missing reply.
 	Failed
-	// Canceled: the sender gave the attempt up.
+	// Canceled means that the sender gave up the attempt.
 	Canceled
 )
 
 // Action is a decision about one attempt: start it now, or refuse it.
 type Action struct {
 	ID ID
-	// Failure is nil when the attempt is to be sent now; otherwise it is always
-	// NotRun, for the attempt was never sent.
+	// Failure is nil if the attempt has to be sent now. Otherwise its verdict is
+	// NotRun, because the attempt was never sent.
 	Failure *verdict.Error
 }
 
@@ -58,7 +58,7 @@
 	InFlight int
 	Window   int
 	// Wait is the predicted time in the queue of an interactive attempt that
-	// comes now.
+	// arrives now.
 	Wait     time.Duration
 	Draining bool
 	Ejected  bool
