--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// busyDelay is the delay from which the node has more work than it can do, if
-	// that lasts for busyAfter.
+	// A delay of at least busyDelay for busyAfter means that the node is overloaded.
 	busyDelay = 150 * time.Millisecond
 	busyAfter = 500 * time.Millisecond
-	// calmDelay is the delay below which it has caught up, if that lasts for calmAfter.
+	// A delay of at most calmDelay for calmAfter means that it has recovered.
 	calmDelay = 40 * time.Millisecond
 	calmAfter = 3 * time.Second
-	// longestBusy ends the state all the same: if other nodes had been able to help,
-	// they would have. It does not begin again within restAfter.
-	longestBusy = 6 * time.Second
-	restAfter   = 12 * time.Second
+	// maxBusy ends the overloaded state even without a recovery: if other nodes
+	// could take over load, they would have done so by then. The state does not begin
+	// again within cooldown.
+	maxBusy  = 6 * time.Second
+	cooldown = 12 * time.Second
 )
 
-// Switch tells lasting overload from the short waits of a busy node. The zero
-// value is calm. It reads no clock and is not safe for concurrent use.
+// Switch distinguishes lasting overload from the short delays of a busy node. The
+// zero value is not overloaded. It reads no clock and is not safe for concurrent use.
 type Switch struct {
 	busy bool
-	// turned is when the state began, and since when the delay went beyond the
-	// bound that ends it; zero while it is within.
-	turned, since time.Time
-	// resting is set while the state may not begin again.
-	resting bool
+	// changedAt is when the current state began. crossedAt is when the delay crossed the
+	// bound that ends it; zero while the delay has not crossed it.
+	changedAt, crossedAt time.Time
+	// coolingDown is set after a state of overload that ended without a recovery.
+	coolingDown bool
 }
 
-// Observe takes a delay into account and reports whether the node is overloaded.
+// Observe processes a delay and reports whether the node is overloaded.
 func (s *Switch) Observe(delay time.Duration, now time.Time) bool {
 	if s.busy {
 		s.observeBusy(delay, now)
@@ -38,29 +38,29 @@
 }
 
 func (s *Switch) observeBusy(delay time.Duration, now time.Time) {
-	calm := s.lasts(delay <= calmDelay, calmAfter, now)
-	if expired := now.Sub(s.turned) >= longestBusy; calm || expired {
-		*s = Switch{turned: now, resting: !calm}
+	calm := s.heldFor(delay <= calmDelay, calmAfter, now)
+	if expired := now.Sub(s.changedAt) >= maxBusy; calm || expired {
+		*s = Switch{changedAt: now, coolingDown: !calm}
 	}
 }
 
 func (s *Switch) observeCalm(delay time.Duration, now time.Time) {
-	if s.resting && now.Sub(s.turned) < restAfter {
+	if s.coolingDown && now.Sub(s.changedAt) < cooldown {
 		return
 	}
-	if s.lasts(delay >= busyDelay, busyAfter, now) {
-		*s = Switch{busy: true, turned: now}
+	if s.heldFor(delay >= busyDelay, busyAfter, now) {
+		*s = Switch{busy: true, changedAt: now}
 	}
 }
 
-// lasts reports whether a condition has held for a time.
-func (s *Switch) lasts(holds bool, length time.Duration, now time.Time) bool {
+// heldFor reports whether a condition has held for the given duration.
+func (s *Switch) heldFor(holds bool, length time.Duration, now time.Time) bool {
 	switch {
 	case !holds:
-		s.since = time.Time{}
+		s.crossedAt = time.Time{}
 		return false
-	case s.since.IsZero():
-		s.since = now
+	case s.crossedAt.IsZero():
+		s.crossedAt = now
 	}
-	return now.Sub(s.since) >= length
+	return now.Sub(s.crossedAt) >= length
 }
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -1,8 +1,9 @@
-// Package overload tells when this node has more work than its processor can do,
-// and how much of it to refuse.
+// Package overload detects when this node has more work than its processor can do,
+// and determines how much of it to refuse.
 //
-// The measure is how long a goroutine that could run waits for its turn: it is
-// what every step of a request waits, whatever the machine's share of a core is.
+// The measure is the scheduling delay: how long a runnable goroutine waits for a
+// processor. Every step of a request waits for that long, whatever the machine's
+// share of a core is.
 package overload
 
 import (
@@ -18,29 +19,31 @@
 const (
 	// interval is the pause between two measurements.
 	interval = 50 * time.Millisecond
-	// fallShare is the weight of a measurement that is below the delay known: the
-	// delay rises at once and falls over some measurements.
-	fallShare = 0.4
+	// decayWeight is the weight of a measurement below the current delay: the delay
+	// rises at once and falls over several measurements.
+	decayWeight = 0.4
 	// busyGCPercent is the garbage collection percentage of an overloaded node.
 	busyGCPercent = 150
 )
 
-// Meter measures the delay of goroutines on this node. The zero value has
-// measured none. It is safe for concurrent use.
+// Meter measures the scheduling delay of goroutines on this node. The zero value has
+// no measurement. It is safe for concurrent use.
 type Meter struct {
-	// begun is when the measurement under way began, in nanoseconds of the steady
+	// startedAt is when the current measurement began, in nanoseconds of the monotonic
 	// clock since base; 0 for none.
-	begun atomic.Int64
+	startedAt atomic.Int64
+	// delay is the smoothed delay in nanoseconds.
 	delay atomic.Int64
 	base  time.Time
-	// busy is when lasting overload began, in nanoseconds since base; 0 for none.
-	busy      atomic.Int64
+	// busySince is when lasting overload began, in nanoseconds since base; 0 for none.
+	busySince atomic.Int64
 	gcPercent int
-	toggle    Switch
+	detector  Switch
 }
 
-// NewMeter returns a meter that does not run yet. While the node is overloaded,
-// garbage is collected less often than the percentage says.
+// NewMeter returns a meter that does not run yet. gcPercent is the garbage collection
+// percentage while the node is not overloaded; during overload, garbage is collected
+// less often.
 func NewMeter(gcPercent int) *Meter { return &Meter{base: time.Now(), gcPercent: gcPercent} }
 
 // Run measures until ctx ends.
@@ -57,46 +60,47 @@
 	}
 }
 
-// measure takes one measurement: a goroutine that yields goes on when all others
-// that could run have had their turn.
+// measure takes one measurement: a goroutine that yields continues after all other
+// runnable goroutines have run.
 func (m *Meter) measure() {
-	begun := m.now()
-	m.begun.Store(int64(begun))
+	start := m.now()
+	m.startedAt.Store(int64(start))
 	runtime.Gosched()
-	m.begun.Store(0)
-	m.observe(m.now() - begun)
-	m.judge()
+	m.startedAt.Store(0)
+	m.observe(m.now() - start)
+	m.updateBusy()
 }
 
-// judge notes whether the node is overloaded.
-func (m *Meter) judge() {
+// updateBusy updates whether the node is overloaded, and logs changes.
+func (m *Meter) updateBusy() {
 	now := time.Now()
-	busy, was := m.toggle.Observe(m.Delay(), now), m.busy.Load() > 0
+	busy, wasBusy := m.detector.Observe(m.Delay(), now), m.busySince.Load() > 0
 	switch {
-	case busy == was:
+	case busy == wasBusy:
 		return
 	case busy:
-		m.busy.Store(int64(max(now.Sub(m.base), 1)))
+		m.busySince.Store(int64(max(now.Sub(m.base), 1)))
 		debug.SetGCPercent(busyGCPercent)
 	default:
-		m.busy.Store(0)
+		m.busySince.Store(0)
 		debug.SetGCPercent(m.gcPercent)
 	}
 	klog.InfoS("overload", "busy", busy, "delay_ms", m.Delay().Milliseconds())
 }
 
-// Busy returns for how long the node has been overloaded; zero if it is not.
+// Busy returns how long the node has been overloaded; zero if it is not.
 func (m *Meter) Busy() time.Duration {
-	if begun := m.busy.Load(); begun > 0 {
-		return m.now() - time.Duration(begun)
+	if start := m.busySince.Load(); start > 0 {
+		return m.now() - time.Duration(start)
 	}
 	return 0
 }
 
+// observe updates the delay with a measurement.
 func (m *Meter) observe(measured time.Duration) {
-	known := time.Duration(m.delay.Load())
-	if measured < known {
-		measured = known + time.Duration(fallShare*float64(measured-known))
+	current := time.Duration(m.delay.Load())
+	if measured < current {
+		measured = current + time.Duration(decayWeight*float64(measured-current))
 	}
 	m.delay.Store(int64(measured))
 }
@@ -104,12 +108,12 @@
 // now returns the time since base.
 func (m *Meter) now() time.Duration { return time.Since(m.base) }
 
-// Delay returns how long a goroutine that can run waits for its turn. A
-// measurement that has not ended counts by the time that it has taken.
+// Delay returns how long a runnable goroutine waits for a processor. A measurement that
+// is still running counts with its duration so far.
 func (m *Meter) Delay() time.Duration {
 	delay := time.Duration(m.delay.Load())
-	if begun := m.begun.Load(); begun > 0 {
-		delay = max(delay, m.now()-time.Duration(begun))
+	if start := m.startedAt.Load(); start > 0 {
+		delay = max(delay, m.now()-time.Duration(start))
 	}
 	return delay
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -13,17 +13,17 @@
 
 func TestRefused(t *testing.T) {
 	for _, test := range []struct {
-		delay     time.Duration
-		returning bool
-		want      float64
+		delay       time.Duration
+		clientRetry bool
+		want        float64
 	}{
 		{0, false, 0},
 		{toleratedDelay, false, 0},
 		{time.Second, false, 0.5},
 		{time.Second, true, 0.25},
-		{time.Minute, false, mostRefused},
+		{time.Minute, false, maxRefusalRatio},
 	} {
-		got := Refused(test.delay, test.returning)
+		got := Refused(test.delay, test.clientRetry)
 		is.New(t).True(got > test.want-0.01 && got < test.want+0.01)
 	}
 }
@@ -33,11 +33,11 @@
 		first := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "delay"))
 		more := first + time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "more"))
 		low, high := Refused(first, false), Refused(more, false)
-		if low > high || low < 0 || high > mostRefused {
+		if low > high || low < 0 || high > maxRefusalRatio {
 			t.Fatalf("%v at %v, %v at %v", low, first, high, more)
 		}
 		if Refused(more, true) > high {
-			t.Fatal("returning requests are refused more")
+			t.Fatal("retries are refused more often than first requests")
 		}
 	})
 }
@@ -59,39 +59,39 @@
 	is := is.New(t)
 	meter := NewMeter(100)
 	meter.base = time.Now().Add(-time.Second)
-	meter.begun.Store(int64(100 * time.Millisecond))
+	meter.startedAt.Store(int64(100 * time.Millisecond))
 	is.True(meter.Delay() >= 900*time.Millisecond)
 }
 
 func TestSwitch(t *testing.T) {
 	const ms = time.Millisecond
 	type step struct {
-		delay, lasts time.Duration
-		want         bool
+		delay, duration time.Duration
+		want            bool
 	}
 	for _, test := range []struct {
 		name  string
 		steps []step
 	}{
-		{"short waits are no overload", []step{{busyDelay, busyAfter / 2, false}, {0, ms, false}, {busyDelay, busyAfter / 2, false}}},
-		{"long ones are", []step{{busyDelay, busyAfter, true}}},
-		{"it ends where other nodes cannot help", []step{{time.Second, busyAfter, true}, {time.Second, longestBusy - ms, true}, {time.Second, ms, false}, {time.Second, restAfter - ms, false}, {time.Second, 2 * ms, false}, {time.Second, busyAfter, true}}},
-		{"it ends after some calm", []step{{time.Second, busyAfter, true}, {calmDelay, calmAfter / 2, true}, {2 * calmDelay, ms, true}, {0, calmAfter / 2, true}, {0, calmAfter, false}}},
+		{"short delays are no overload", []step{{busyDelay, busyAfter / 2, false}, {0, ms, false}, {busyDelay, busyAfter / 2, false}}},
+		{"a lasting delay is overload", []step{{busyDelay, busyAfter, true}}},
+		{"overload without recovery ends after maxBusy, and begins again only after cooldown", []step{{time.Second, busyAfter, true}, {time.Second, maxBusy - ms, true}, {time.Second, ms, false}, {time.Second, cooldown - ms, false}, {time.Second, 2 * ms, false}, {time.Second, busyAfter, true}}},
+		{"overload ends after calmAfter without delay", []step{{time.Second, busyAfter, true}, {calmDelay, calmAfter / 2, true}, {2 * calmDelay, ms, true}, {0, calmAfter / 2, true}, {0, calmAfter, false}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var toggle Switch
 			now := time.Unix(1, 0)
 			for _, step := range test.steps {
 				toggle.Observe(step.delay, now)
-				now = now.Add(step.lasts)
+				now = now.Add(step.duration)
 				is.New(t).Equal(toggle.Observe(step.delay, now), step.want)
 			}
 		})
 	}
 }
 
-// keepBusy makes the only processor work on goroutines that take a millisecond of its
-// time each turn, until the test ends.
+// keepBusy limits the test to one processor and runs goroutines on it that each take a
+// millisecond before they yield, until the test ends.
 func keepBusy(t *testing.T, goroutines int) {
 	before := runtime.GOMAXPROCS(1)
 	stop := make(chan struct{})
@@ -113,26 +113,26 @@
 			return
 		default:
 		}
-		for begun := time.Now(); time.Since(begun) < time.Millisecond; {
+		for start := time.Now(); time.Since(start) < time.Millisecond; {
 		}
 		runtime.Gosched()
 	}
 }
 
-// busyFloor is less than what 50 goroutines of a millisecond each make another one
-// wait. The test machine may be busy too, which only makes that longer.
+// busyFloor is less than the delay caused by 50 goroutines of a millisecond each. Other
+// load on the test machine only adds to that delay.
 const busyFloor = 20 * time.Millisecond
 
-func TestMeterSeesABusyProcessor(t *testing.T) {
+func TestMeterDetectsBusyProcessor(t *testing.T) {
 	keepBusy(t, 50)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	meter := NewMeter(100)
 	go meter.Run(ctx)
-	most := time.Duration(0)
-	for end := time.Now().Add(10 * time.Second); most <= busyFloor && time.Now().Before(end); {
+	longest := time.Duration(0)
+	for end := time.Now().Add(10 * time.Second); longest <= busyFloor && time.Now().Before(end); {
 		runtime.Gosched()
-		most = max(most, meter.Delay())
+		longest = max(longest, meter.Delay())
 	}
-	is.New(t).True(most > busyFloor)
+	is.New(t).True(longest > busyFloor)
 }
--- a/internal/overload/refusal.go
+++ b/internal/overload/refusal.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// toleratedDelay is the delay up to which nothing is refused: requests are late
+	// toleratedDelay is the delay up to which no request is refused: requests are late
 	// by then, but the node keeps up.
 	toleratedDelay = 400 * time.Millisecond
-	// hopelessDelay is the delay from which nearly all requests are refused: the
-	// node would soon be too late for changes of the configuration as well.
-	hopelessDelay = 1600 * time.Millisecond
-	// mostRefused is the greatest part of the requests that is refused: those that
-	// are let through show when the node has recovered.
-	mostRefused = 0.95
-	// returningFactor lowers the part for requests that were refused before.
-	returningFactor = 0.5
+	// maxRefusalDelay is the delay from which nearly all requests are refused: beyond it,
+	// the node would soon fall behind with changes of the configuration as well.
+	maxRefusalDelay = 1600 * time.Millisecond
+	// maxRefusalRatio is the largest share of requests that is refused: the admitted ones
+	// show when the node has recovered.
+	maxRefusalRatio = 0.95
+	// clientRetryFactor reduces the share for requests that were refused before.
+	clientRetryFactor = 0.5
 )
 
-// Refused returns the part of the requests to refuse, 0 to 1, at a delay of the
-// node's goroutines: none while the delay is tolerable, more the longer it is.
-// Requests that have been refused before are refused less.
-func Refused(delay time.Duration, returning bool) float64 {
-	part := float64(delay-toleratedDelay) / float64(hopelessDelay-toleratedDelay)
-	part = min(max(part, 0), mostRefused)
-	if returning {
-		part *= returningFactor
+// Refused returns the share of requests to refuse, 0 to 1, at a scheduling delay of
+// the node: none up to the tolerated delay, and then growing with the delay. Requests
+// that have been refused before are refused less often.
+func Refused(delay time.Duration, clientRetry bool) float64 {
+	share := float64(delay-toleratedDelay) / float64(maxRefusalDelay-toleratedDelay)
+	share = min(max(share, 0), maxRefusalRatio)
+	if clientRetry {
+		share *= clientRetryFactor
 	}
-	return part
+	return share
 }
