--- a/internal/retrybudget/pool.go
+++ b/internal/retrybudget/pool.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Wants are extra sends by service: what a node asks a pool for, or what is granted.
+// Wants are counts of extra sends by service, as requested from a pool or granted by it.
 type Wants map[string]int
 
-// Pool grants the extra sends that it has to the nodes that share it. In any window, longer by
-// GrantLife than that of the limits, it grants at most the capacity for each service: what is
-// granted may be sent a little later. The zero value grants nothing. It is safe for
+// Pool grants extra sends to the nodes that share it. It grants at most the capacity for
+// each service in any window that is longer by GrantLife than that of the limits, because
+// grants may be used up to GrantLife later. The zero value grants nothing. It is safe for
 // concurrent use.
 //
-// A pool starts without its capacity: where it takes the place of another one, that one may
-// have granted all of its own just before.
+// A pool starts without its capacity: the pool that it replaces may just have granted all
+// of its own.
 type Pool struct {
 	mutex    sync.Mutex
 	limits   Limits
@@ -29,7 +29,8 @@
 	p.limits.Capacity, p.limits.Window = capacity, window+GrantLife
 }
 
-// Grant returns what the pool grants of the wants. A node that wants nothing opens the pool.
+// Grant returns the extra sends granted of those wanted. The first call, even one that wants
+// nothing, opens the pool.
 func (p *Pool) Grant(wants Wants, now time.Time) Wants {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -40,23 +41,23 @@
 	}
 	granted := make(Wants, len(wants))
 	for service, count := range wants {
-		if given := p.take(service, count, now); given > 0 {
-			granted[service] = given
+		if taken := p.take(service, count, now); taken > 0 {
+			granted[service] = taken
 		}
 	}
 	return granted
 }
 
-// take takes up to so many sends off a service's budget.
+// take charges up to the given number of sends to a service's budget and returns how many.
 func (p *Pool) take(service string, count int, now time.Time) int {
 	budget := p.budgets[service]
 	if budget == nil {
 		budget = &Budget{}
 		p.budgets[service] = budget
 	}
-	given := 0
-	for given < count && budget.Take(p.limits, now) {
-		given++
+	taken := 0
+	for taken < count && budget.Take(p.limits, now) {
+		taken++
 	}
-	return given
+	return taken
 }
--- a/internal/retrybudget/pool_test.go
+++ b/internal/retrybudget/pool_test.go
@@ -8,53 +8,53 @@
 	"pgregory.net/rapid"
 )
 
-var poolEpoch = time.Unix(1000, 0)
+var poolTestTime = time.Unix(1000, 0)
 
-// openPool returns a pool that was opened a window ago.
+// openPool returns a pool that was opened long enough ago to grant its capacity.
 func openPool(capacity float64) *Pool {
 	pool := &Pool{}
 	pool.SetLimits(capacity, defaultWindow)
-	pool.Grant(nil, poolEpoch.Add(-defaultWindow-GrantLife))
+	pool.Grant(nil, poolTestTime.Add(-defaultWindow-GrantLife))
 	return pool
 }
 
-func TestPoolGrantsItsCapacityToWhoeverNeedsIt(t *testing.T) {
+func TestPoolGrantsCapacityToAnyNode(t *testing.T) {
 	is := is.New(t)
 	pool := openPool(5)
-	is.Equal(pool.Grant(Wants{"s": 3}, poolEpoch), Wants{"s": 3})
-	is.Equal(pool.Grant(Wants{"s": 3, "t": 1}, poolEpoch), Wants{"s": 2, "t": 1})
-	is.Equal(pool.Grant(Wants{"s": 1}, poolEpoch.Add(defaultWindow)), Wants{})
-	is.Equal(pool.Grant(Wants{"s": 9}, poolEpoch.Add(defaultWindow+2*GrantLife)), Wants{"s": 5})
+	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime), Wants{"s": 3})
+	is.Equal(pool.Grant(Wants{"s": 3, "t": 1}, poolTestTime), Wants{"s": 2, "t": 1})
+	is.Equal(pool.Grant(Wants{"s": 1}, poolTestTime.Add(defaultWindow)), Wants{})
+	is.Equal(pool.Grant(Wants{"s": 9}, poolTestTime.Add(defaultWindow+2*GrantLife)), Wants{"s": 5})
 }
 
-// A pool that takes the place of another one does not grant what that one may have granted.
+// A new pool does not grant what the pool that it replaces may have granted.
 func TestNewPoolGrantsNothingForAWindow(t *testing.T) {
 	is := is.New(t)
 	pool := &Pool{}
 	pool.SetLimits(5, defaultWindow)
-	is.Equal(pool.Grant(Wants{"s": 3}, poolEpoch), Wants{})
-	is.Equal(pool.Grant(Wants{"s": 3}, poolEpoch.Add(defaultWindow)), Wants{})
-	is.Equal(pool.Grant(Wants{"s": 3}, poolEpoch.Add(defaultWindow+GrantLife)), Wants{"s": 3})
+	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime), Wants{})
+	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime.Add(defaultWindow)), Wants{})
+	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime.Add(defaultWindow+GrantLife)), Wants{"s": 3})
 }
 
-func TestGrantsAreUsedInTime(t *testing.T) {
+func TestGrantsExpire(t *testing.T) {
 	is := is.New(t)
 	limits := Limits{}
 	var budget Budget
-	is.True(!budget.Take(limits, poolEpoch))
-	budget.Grant(3, poolEpoch)
-	is.Equal(budget.Left(limits, poolEpoch), 3.0)
-	is.True(budget.Take(limits, poolEpoch.Add(GrantLife/2)))
-	budget.Grant(1, poolEpoch.Add(GrantLife/2)) // makes the earlier ones last no longer
-	is.True(budget.Take(limits, poolEpoch.Add(GrantLife-1)))
-	is.True(!budget.Take(limits, poolEpoch.Add(GrantLife)))
-	budget.Grant(1, poolEpoch.Add(2*GrantLife))
-	is.True(budget.Take(limits, poolEpoch.Add(2*GrantLife)))
-	is.True(!budget.Take(limits, poolEpoch.Add(2*GrantLife)))
+	is.True(!budget.Take(limits, poolTestTime))
+	budget.Grant(3, poolTestTime)
+	is.Equal(budget.Left(limits, poolTestTime), 3.0)
+	is.True(budget.Take(limits, poolTestTime.Add(GrantLife/2)))
+	budget.Grant(1, poolTestTime.Add(GrantLife/2)) // does not extend the earlier ones
+	is.True(budget.Take(limits, poolTestTime.Add(GrantLife-1)))
+	is.True(!budget.Take(limits, poolTestTime.Add(GrantLife)))
+	budget.Grant(1, poolTestTime.Add(2*GrantLife))
+	is.True(budget.Take(limits, poolTestTime.Add(2*GrantLife)))
+	is.True(!budget.Take(limits, poolTestTime.Add(2*GrantLife)))
 }
 
-// Whatever nodes ask of their pools, and however late they use it, all extra sends in any
-// window are at most what the pools have together; pools that end are replaced by new ones.
+// All extra sends in any window are at most the joint capacity of the pools, whatever the
+// nodes request and however late they use it, even if pools are replaced by new ones.
 func TestPoolsTogetherAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 7
@@ -65,7 +65,7 @@
 		}
 		budgets := make([]Budget, nodes)
 		var sent []time.Time
-		now := poolEpoch
+		now := poolTestTime
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond)
 			node := rapid.IntRange(0, nodes-1).Draw(t, "node")
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,39 +1,40 @@
-// Package retrybudget bounds the requests that are sent beyond the first one
-// (hedges and retries) of each service.
+// Package retrybudget bounds the extra sends (hedges and retries beyond the first
+// attempt) of each service.
 //
 // Within any window, a node makes at most capacity + ratio x requests of the window
-// extra sends. With a capacity of slack / nodes, that holds for all nodes together
-// too. A bucket that is refilled by requests bounds them as well, but it gives its
-// capacity once, and again only as fast as requests refill it: a node with two
-// requests a second to a service had one extra send for each five of them in the
-// trouble for which the slack is meant.
+// extra sends. With a capacity of slack / nodes, the same bound holds for all nodes
+// together. A token bucket refilled by requests bounds them as well, but its capacity
+// is available only once and then again only as fast as requests refill it: during
+// the failures for which the slack is meant, a node with two requests per second to a
+// service had one extra send for every five requests.
 //
-// Where there are more nodes than slack, a node's part of it is less than one send, and what one
-// of them needs lies idle at all others. Then the slack is kept in pools (Pool), each shared by
-// a part of the nodes, and a node asks its pool for what it needs.
+// With more nodes than slack, the share of a node is less than one send, while the
+// shares that it could use are idle at other nodes. The slack is then kept in pools
+// (Pool), each shared by a part of the nodes, and a node requests extra sends from its
+// pool.
 //
 // A budget starts without its capacity, so that a restarted node does not spend it a
-// second time; it gets it once the process is older than the window.
+// second time. The capacity becomes available once the process is older than the window.
 package retrybudget
 
 import "time"
 
-// Limits are the figures of all budgets of a node.
+// Limits are the limits of all budgets of a node.
 type Limits struct {
-	// Ratio is the number of extra sends allowed for each request.
+	// Ratio is the number of extra sends allowed per request.
 	Ratio float64
-	// Capacity is how many extra sends are allowed in any window besides.
+	// Capacity is the number of extra sends allowed in any window in addition.
 	Capacity float64
 	// Window is the time over which sends are counted; zero for defaultWindow.
 	Window time.Duration
-	// Started is when the process began to count; zero for long ago. Its capacity is
-	// there a window later.
+	// Started is when the process began to count; zero for long ago. The capacity
+	// becomes available a window later.
 	Started time.Time
 }
 
 const (
 	defaultWindow = 10 * time.Second
-	// slotsPerWindow is the resolution of the counts: extra sends count for up to one
+	// slotsPerWindow is the resolution of the counts. Extra sends count for up to one
 	// slot longer than the window, requests for up to two slots less.
 	slotsPerWindow = 50
 	slotCount      = slotsPerWindow + 1
@@ -46,8 +47,8 @@
 	return l.Window
 }
 
-// age returns how long the process has counted. It does not follow the time of day,
-// which may step.
+// age returns how long the process has been counting. With Started set, it uses the
+// monotonic clock, as the wall clock may step.
 func (l Limits) age(now time.Time) time.Duration {
 	if l.Started.IsZero() {
 		return now.Sub(time.Unix(0, 0))
@@ -66,7 +67,7 @@
 	return l.Capacity
 }
 
-// slot counts what happened in one part of the window.
+// slot holds the counts of one part of the window.
 type slot struct {
 	requests, extra uint32
 }
@@ -77,21 +78,21 @@
 	slots [slotCount]slot
 	// latest is the number of the newest slot.
 	latest int64
-	// granted are sends that a pool has granted, until grantedUntil.
+	// granted is the number of sends granted by a pool that are left until grantedUntil.
 	granted      int
 	grantedUntil time.Time
 }
 
-// GrantLife is how long a grant of a pool may be used.
+// GrantLife is how long a grant of a pool is valid.
 const GrantLife = 2 * time.Second
 
-// Grant adds sends that a pool has granted by an answer to what was asked at the given time.
+// Grant adds sends that a pool granted. They expire GrantLife after they were requested.
 func (b *Budget) Grant(count int, asked time.Time) {
 	until := asked.Add(GrantLife)
 	if asked.After(b.grantedUntil) {
 		b.granted = 0
 	} else if b.grantedUntil.Before(until) {
-		// Earlier grants do not last longer for a later one.
+		// A later grant does not extend earlier ones.
 		until = b.grantedUntil
 	}
 	b.granted += count
@@ -106,8 +107,8 @@
 	return b.granted
 }
 
-// advance drops what is older than the window. Where other limits have other slots,
-// all counts are dropped.
+// advance drops counts older than the window. All counts are dropped if changed limits
+// give an earlier or a much later slot.
 func (b *Budget) advance(limits Limits, now time.Time) {
 	current := limits.slot(now)
 	if current-b.latest >= slotCount || current < b.latest {
@@ -120,7 +121,7 @@
 	}
 }
 
-// at returns the slot of so long ago; 0 is the newest.
+// at returns the slot that is the given number of slots old; 0 is the newest.
 func (b *Budget) at(ago int64) *slot {
 	return &b.slots[(b.latest-ago+slotCount)%slotCount]
 }
@@ -131,7 +132,7 @@
 	b.at(0).requests++
 }
 
-// Take spends one extra send and reports whether there was one left.
+// Take spends one extra send, if there is one left, and reports whether it did.
 func (b *Budget) Take(limits Limits, now time.Time) bool {
 	b.advance(limits, now)
 	allowed, spent := b.sum(limits, now)
@@ -146,8 +147,8 @@
 	return true
 }
 
-// Suspend takes in that the machine was suspended: what was earned or granted before counts no more. What
-// was spent counts for the whole window, longer than need be.
+// Suspend handles a suspension of the machine: allowances and grants from before it are
+// dropped. Spent sends still count for the whole window, which is longer than necessary.
 func (b *Budget) Suspend() {
 	b.granted = 0
 	for index := range b.slots {
@@ -155,8 +156,8 @@
 	}
 }
 
-// Refund gives an extra send back that came to nothing. The oldest one that counts is
-// taken off, so that the others do not count for less than the window.
+// Refund returns an extra send that was not made. It removes the oldest one that counts,
+// so that the others still count for the whole window.
 func (b *Budget) Refund(limits Limits, now time.Time) {
 	b.advance(limits, now)
 	for ago := int64(slotCount - 1); ago >= 0; ago-- {
@@ -167,14 +168,14 @@
 	}
 }
 
-// Left returns how many extra sends are left.
+// Left returns the number of extra sends left, including grants.
 func (b *Budget) Left(limits Limits, now time.Time) float64 {
 	b.advance(limits, now)
 	allowed, spent := b.sum(limits, now)
 	return allowed - spent + float64(b.grantsLeft(now))
 }
 
-// Fullness returns the part of the allowance that is left, 0 to 1.
+// Fullness returns the share of the allowance that is left, 0 to 1, without grants.
 func (b *Budget) Fullness(limits Limits, now time.Time) float64 {
 	b.advance(limits, now)
 	allowed, spent := b.sum(limits, now)
@@ -184,8 +185,8 @@
 	return max(allowed-spent, 0) / allowed
 }
 
-// sum returns what the window allows and what is spent. Requests of the two oldest
-// slots may be older than the window.
+// sum returns the number of extra sends that the window allows and the number spent. It
+// does not count the requests of the two oldest slots, which may be older than the window.
 func (b *Budget) sum(limits Limits, now time.Time) (allowed, spent float64) {
 	requests, extra := uint32(0), uint32(0)
 	for ago := range int64(slotCount) {
