--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,8 +1,8 @@
 // Package routing holds one version of the operators' routing configuration and
 // finds the route of a request.
 //
-// A Table is immutable: a request keeps the table by which it was accepted, so
-// that all of its parts come from one version.
+// A Table is immutable. A request uses the table by which it was accepted until it
+// ends, so that all of its parts come from one version.
 package routing
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Limits bound what a caller may send and how long its connection may rest.
+// Limits bound the size of a caller's requests and the idle time of its connection.
 type Limits struct {
 	MaximumHeaderBytes int
 	MaximumBodyBytes   int
@@ -23,48 +23,50 @@
 // Service is a group of interchangeable servers.
 type Service struct {
 	Name string
-	// MaximumConnections is what each server accepts from all callers together.
+	// MaximumConnections is the number of connections that each server accepts from all
+	// callers together.
 	MaximumConnections int
-	// ColdRate is how many requests a second a server bears, from all nodes together,
-	// while it is cold; beyond that it fails. Zero for no such bound.
+	// ColdRate is the number of requests per second, from all nodes together, that a cold
+	// server can handle; it fails above that rate. Zero means no limit.
 	ColdRate float64
 	// ColdStart is how long a server is cold after its start.
 	ColdStart time.Duration
 }
 
-// WeightedService is one part of a split route.
+// WeightedService is one service of a split route and its weight.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Route says where requests of one host and path prefix go, and how long they
-// may take.
+// Route defines where requests for one host and path prefix are sent, and how long
+// they may take.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	// Repeatable requests may run more than once on the back ends.
 	Repeatable bool
-	// Timeout is the longest time for which a request is held.
+	// Timeout is the time within which a request gets its final answer.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full value.
+	// Target is the response time up to which an answer has its full value.
 	Target time.Duration
 	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
-	// MaximumAttempts bounds the servers asked for one request (for each shard).
+	// MaximumAttempts bounds the number of servers asked for one request, or for each
+	// shard of a gathered one.
 	MaximumAttempts int
-	// Split divides whole requests among services by weight. A route has either
-	// Split or Shards.
+	// Split distributes requests over services by weight; each request is sent to one
+	// service. A route has either Split or Shards.
 	Split []WeightedService
-	// Shards are the services that are all asked; their answers are merged.
+	// Shards are services that all get each request; their answers are merged.
 	Shards []string
-	// ResultCount is how many records a merged answer holds.
+	// ResultCount is the number of records in a merged answer.
 	ResultCount int
-	// LeastShare is the share of the shards below which an answer is no success.
+	// LeastShare is the smallest share of the shards that makes an answer a success.
 	LeastShare float64
-	// Regions are the only regions whose servers may get requests of the route, none
-	// for all regions.
+	// Regions are the regions whose servers may get requests of the route; empty for
+	// all regions.
 	Regions []string
 }
 
@@ -78,7 +80,8 @@
 	return len(r.Shards) > 0
 }
 
-// LeastShards returns how many shards an answer needs to be a success; one at least.
+// LeastShards returns the number of shards that an answer needs to be a success, at
+// least one.
 func (r *Route) LeastShards() int {
 	total := len(r.Shards)
 	for count := 1; count < total; count++ {
@@ -111,7 +114,7 @@
 	byHost map[string][]*Route
 }
 
-// NewTable returns the table of the routes. The error names the first wrong route.
+// NewTable returns a table of the routes. The error names the first invalid route.
 func NewTable(version uint64, limits Limits, services []Service, routes []Route) (*Table, error) {
 	table := &Table{
 		Version:  version,
@@ -125,19 +128,20 @@
 	}
 	for index := range routes {
 		route := &routes[index]
-		if err := check(route); err != nil {
+		if err := validate(route); err != nil {
 			return nil, fmt.Errorf("route %q: %w", route.Name, err)
 		}
 		host := strings.ToLower(route.Host)
 		table.byHost[host] = append(table.byHost[host], route)
 	}
-	for _, ofHost := range table.byHost {
-		slices.SortStableFunc(ofHost, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
+	for _, hostRoutes := range table.byHost {
+		slices.SortStableFunc(hostRoutes, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	}
 	return table, nil
 }
 
-func check(route *Route) error {
+// validate returns an error if the route is invalid.
+func validate(route *Route) error {
 	switch {
 	case route.Host == "":
 		return fmt.Errorf("no host")
@@ -153,8 +157,8 @@
 	return nil
 }
 
-// Match returns the route of the host with the longest prefix of the path, or
-// nil. The host may carry a port.
+// Match returns the route of the host with the longest matching path prefix, or
+// nil. The host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -167,7 +171,7 @@
 // RouteCount returns the number of routes.
 func (t *Table) RouteCount() int { return len(t.routes) }
 
-// Document is the content of a table in a form that can be encoded.
+// Document is the encodable form of a table.
 type Document struct {
 	Version  uint64
 	Limits   Limits
@@ -175,7 +179,7 @@
 	Routes   []Route
 }
 
-// Document returns the content of the table; it must not be changed.
+// Document returns the content of the table, which must not be modified.
 func (t *Table) Document() Document {
 	services := make([]Service, 0, len(t.Services))
 	for _, service := range t.Services {
@@ -184,11 +188,12 @@
 	return Document{Version: t.Version, Limits: t.Limits, Services: services, Routes: t.routes}
 }
 
-// Table returns the table of the document. The error names the first wrong route.
+// Table returns the table of the document. The error names the first invalid route.
 func (d Document) Table() (*Table, error) {
 	return NewTable(d.Version, d.Limits, d.Services, d.Routes)
 }
 
+// hostName returns the host in lower case and without its port.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -196,11 +201,12 @@
 	return strings.ToLower(host)
 }
 
-// goldenRatio spreads consecutive numbers evenly over the unit interval.
+// goldenRatio is the multiplier that distributes consecutive numbers evenly over the
+// unit interval (the fractional part of the golden ratio).
 const goldenRatio = 0.6180339887498949
 
-// Choose returns the service for the given turn (a counter of the route's
-// requests). Over consecutive turns each service gets its share of the weights.
+// Choose returns the service for the given turn, a counter of the route's requests.
+// Over consecutive turns, each service is chosen in proportion to its weight.
 func (r *Route) Choose(turn uint64) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-func TestNewTableRejectsWrongRoutes(t *testing.T) {
-	right := single("r", "a.example", "/")
-	for name, spoil := range map[string]func(*Route){
+func TestNewTableRejectsInvalidRoutes(t *testing.T) {
+	valid := single("r", "a.example", "/")
+	for name, invalidate := range map[string]func(*Route){
 		"no host":             func(r *Route) { r.Host = "" },
 		"no slash":            func(r *Route) { r.PathPrefix = "x/" },
 		"no service":          func(r *Route) { r.Split = nil },
@@ -52,9 +52,9 @@
 		"unrepeatable shards": func(r *Route) { r.Split, r.Shards = nil, []string{"b"} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			wrong := right
-			spoil(&wrong)
-			_, err := NewTable(1, Limits{}, nil, []Route{wrong})
+			invalid := valid
+			invalidate(&invalid)
+			_, err := NewTable(1, Limits{}, nil, []Route{invalid})
 			is.New(t).True(err != nil)
 		})
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestChooseKeepsTheWeights(t *testing.T) {
+func TestChooseFollowsTheWeights(t *testing.T) {
 	is := is.New(t)
 	route := Route{Split: []WeightedService{{"a", 70}, {"b", 25}, {"c", 5}}}
 	counts := make(map[string]int)
@@ -81,6 +81,6 @@
 	}
 	for _, part := range route.Split {
 		share := float64(counts[part.Service]) / turns
-		is.True(math.Abs(share-part.Weight/100) < 0.01) // 300 requests are enough for the share
+		is.True(math.Abs(share-part.Weight/100) < 0.01) // holds after only 300 requests
 	}
 }
