--- a/internal/rollout/admission_test.go
+++ b/internal/rollout/admission_test.go
@@ -11,7 +11,7 @@
 
 var testBounds = Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
 
-// runningOrder is an order that was answered, in a stage.
+// runningOrder returns a running order in a stage.
 func runningOrder(revision catalog.Revision, stage Stage) Order {
 	return Order{
 		Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 10, Revision: revision,
@@ -19,7 +19,7 @@
 	}
 }
 
-// exposes reports whether one of so many requests may go to the target.
+// exposes reports whether one of 100 requests may go to the target.
 func exposes(tracker *Tracker, now time.Time) bool {
 	for range 100 {
 		tracker.Request("s")
@@ -35,19 +35,19 @@
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	tests := []struct {
 		name    string
-		happens func(tracker *Tracker)
+		event   func(tracker *Tracker)
 		now     time.Time
 		exposed bool
 	}{
-		{"the store told just now", func(*Tracker) {}, at(0.1), true},
-		{"nothing was heard for long", func(*Tracker) {}, at(4.1), false},
-		{"the store told again", func(tracker *Tracker) { tracker.Reached(21, at(4)) }, at(4.1), true},
+		{"store confirmed just now", func(*Tracker) {}, at(0.1), true},
+		{"store silent for too long", func(*Tracker) {}, at(4.1), false},
+		{"store confirmed again", func(tracker *Tracker) { tracker.Reached(21, at(4)) }, at(4.1), true},
 		{"rolled back", func(tracker *Tracker) {
 			order := runningOrder(22, StageShift)
 			order.Status.State = StateRolledBack
 			tracker.Put(order, at(0.1))
 		}, at(0.2), false},
-		{"halted by a ruling", func(tracker *Tracker) { tracker.Halt(runningOrder(20, StageShift).Key()) }, at(0.2), false},
+		{"halted by a reply", func(tracker *Tracker) { tracker.Halt(runningOrder(20, StageShift).Key()) }, at(0.2), false},
 		{"withdrawn", func(tracker *Tracker) { tracker.Remove("s") }, at(0.2), false},
 	}
 	for _, test := range tests {
@@ -56,14 +56,14 @@
 			tracker := NewTracker(testBounds)
 			tracker.Reached(20, start)
 			tracker.Put(runningOrder(20, StageShift), start)
-			test.happens(tracker)
+			test.event(tracker)
 			is.Equal(exposes(tracker, test.now), test.exposed)
 		})
 	}
 }
 
-// TestEndedStays: what is known of an order never goes back, whatever comes late.
-func TestEndedStays(t *testing.T) {
+// Guards against an older state of an order that arrives late and replaces the newer one.
+func TestEndedOrderStaysEnded(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker := NewTracker(testBounds)
@@ -77,7 +77,7 @@
 	is.True(!exposes(tracker, now))
 }
 
-func TestElapsedGoesOnFromTheStatus(t *testing.T) {
+func TestElapsedContinuesFromStatus(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker := NewTracker(testBounds)
@@ -87,7 +87,7 @@
 	is.Equal(tracker.Usages(now.Add(2 * time.Second))[0].Elapsed, 5*time.Second)
 }
 
-func TestStatusOfAnEarlierOrderIsNone(t *testing.T) {
+func TestStatusOfEarlierOrderIsIgnored(t *testing.T) {
 	is := is.New(t)
 	order := runningOrder(20, StageWhole)
 	order.Status.State = StateCompleted
@@ -104,9 +104,9 @@
 	is.True(tracker.Admit(Ask{Service: "s"}, time.Now()).Allows(Candidate{Version: "v9", Created: 9}))
 }
 
-// A process that is younger than the order may have taken the place of one that has used
-// its part of the slack: it gets none.
-func TestProcessThatIsYoungerThanTheOrderHasNoSlack(t *testing.T) {
+// A process that is younger than the order may have replaced one that has used its part of the
+// slack, so it gets none.
+func TestProcessYoungerThanOrderHasNoSlack(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		learned catalog.Revision
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// tickInterval is how often orders that are being carried out are looked at.
+	// tickInterval is how often orders that are being carried out are processed.
 	tickInterval = 250 * time.Millisecond
-	// newsInterval is the least time between reports while answers of a target come in. It
-	// grows by newsStep with each live node, up to longestNewsInterval: the node that
-	// decides has to read them all. reportInterval is the time between reports that only say
-	// what is in force.
-	newsInterval        = 200 * time.Millisecond
-	newsStep            = time.Millisecond
-	longestNewsInterval = 450 * time.Millisecond
-	reportInterval      = 750 * time.Millisecond
-	// reportTimeout bounds one report: the next node has to be asked before exposure ends
-	// for want of reports (longestUnreported).
+	// activeReportInterval is the least time between reports while answers of a target arrive.
+	// It grows by reportIntervalPerNode with each live node, up to maxActiveReportInterval,
+	// because the deciding node has to read all reports. idleReportInterval is the time between
+	// reports that only tell which status is in effect.
+	activeReportInterval    = 200 * time.Millisecond
+	reportIntervalPerNode   = time.Millisecond
+	maxActiveReportInterval = 450 * time.Millisecond
+	idleReportInterval      = 750 * time.Millisecond
+	// reportTimeout bounds one report: the next node has to be asked before exposure ends for
+	// lack of reports (maxUnreportedAge).
 	reportTimeout = 400 * time.Millisecond
-	// wokenPause is how long a process that was frozen refuses reports: those that have
-	// waited for it are older than they look, by reportTimeout at most.
-	wokenPause = 500 * time.Millisecond
-	// writeTimeout bounds one write of a status, writePause follows one that failed.
+	// resumePause is how long a process that was frozen refuses reports: those that waited
+	// meanwhile are older than they look, by reportTimeout at most.
+	resumePause = 500 * time.Millisecond
+	// writeTimeout bounds one write of a status, writeBackoff is the wait after a failed one.
 	writeTimeout = time.Second
-	writePause   = 300 * time.Millisecond
+	writeBackoff = 300 * time.Millisecond
 )
 
-// errWoken means that a process was frozen and can't tell how old a report is.
-var errWoken = errors.New("the node was not running a moment ago")
+// errResumed means that the process was frozen and cannot tell how old a report is.
+var errResumed = errors.New("the node has just resumed and cannot tell the age of reports")
 
-// Observer is told what becomes of orders. Its methods do not block.
+// Observer is notified of what happens to orders. Its methods do not block.
 type Observer interface {
-	// VersionJudged is told each finding that differs from the one before.
+	// VersionJudged is called for each finding that differs from the one before.
 	VersionJudged(service string, finding Finding)
-	// OrderAnswered is told the end of each write of a status.
+	// OrderAnswered is called at the end of each write of a status.
 	OrderAnswered(service string, status Status, err error)
 }
 
-// Options are what an agent works with.
+// Options configure an agent.
 type Options struct {
 	Own       members.Member
 	Bounds    Bounds
@@ -53,54 +53,55 @@
 	Registry  Registry
 	// Fleet counts the servers of an order's service.
 	Fleet func(Order) Fleet
-	// Process tells this process of the node from earlier ones.
+	// Process distinguishes this process from earlier ones of the node.
 	Process  uint64
 	Observer Observer
-	// Now counts the time for which the machine is suspended; nil for time.Now.
+	// Now includes the time for which the machine is suspended; nil for time.Now.
 	Now func() time.Time
 }
 
-// Agent carries orders out together with the agents of the other nodes: it reports to
-// the nodes that decide, decides where it is this node's turn, and writes the steps. It
-// does nothing while no order is being carried out. It is safe for concurrent use.
+// Agent carries out orders together with the agents of the other nodes: it reports to the
+// deciding nodes, decides where this node is the deciding one, and writes the statuses. It does
+// nothing while no order is being carried out. It is safe for concurrent use.
 type Agent struct {
 	Options
 	wake  chan struct{}
 	tasks sync.WaitGroup
 
 	mutex    sync.Mutex
-	electors electors
-	// links are the nodes that got reports.
-	links map[string]*link
+	election election
+	// recipients are the nodes that got reports.
+	recipients map[string]*recipient
 	// orders are those that are being carried out.
-	orders   map[Key]*running
+	orders   map[Key]*orderRun
 	sequence uint64
-	// rewrites is when the decisions that a restored store has lost are written next.
+	// rewrites are the times at which the decisions that a restored store has lost are written
+	// next.
 	rewrites map[Key]time.Time
-	// tickedAt is when the orders were looked at last, zero while there are none; wokenAt
-	// is when the process ran again after it was frozen.
-	tickedAt, wokenAt time.Time
+	// tickedAt is the time of the latest tick, zero while there are no orders; resumedAt is
+	// when the process resumed after it was frozen.
+	tickedAt, resumedAt time.Time
 }
 
-// link is what an agent keeps of a node that it reports to.
-type link struct {
+// recipient is what an agent keeps about a node that it reports to.
+type recipient struct {
 	reporting bool
 	sentAt    time.Time
 }
 
-// running is what an agent keeps of one order.
-type running struct {
+// orderRun is what an agent keeps about one order.
+type orderRun struct {
 	decider Decider
-	// heardAt is when another node reported last.
-	heardAt time.Time
-	finding Finding
-	// reportedTo is the node that got the last report.
+	// peerReportAt is when another node last reported.
+	peerReportAt time.Time
+	finding      Finding
+	// reportedTo is the node that got the latest report.
 	reportedTo string
 	writing    bool
-	// pausedUntil is when the next write may be made; failing is set if the last one got no
-	// answer.
-	pausedUntil time.Time
-	failing     bool
+	// backoffUntil is when the next write may be made; failing is set if the last one got no
+	// reply.
+	backoffUntil time.Time
+	failing      bool
 }
 
 // NewAgent returns an agent; it does nothing before Run.
@@ -109,12 +110,12 @@
 		options.Now = time.Now
 	}
 	return &Agent{
-		Options:  options,
-		wake:     make(chan struct{}, 1),
-		electors: newElectors(options.Own),
-		links:    make(map[string]*link),
-		orders:   make(map[Key]*running),
-		rewrites: make(map[Key]time.Time),
+		Options:    options,
+		wake:       make(chan struct{}, 1),
+		election:   newElection(options.Own),
+		recipients: make(map[string]*recipient),
+		orders:     make(map[Key]*orderRun),
+		rewrites:   make(map[Key]time.Time),
 	}
 }
 
@@ -122,10 +123,10 @@
 func (a *Agent) SetMembers(live []members.Member) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.electors.set(live)
+	a.election.set(live)
 }
 
-// Wake lets the agent look at the orders at once: one has come or has changed.
+// Wake makes the agent process the orders at once, because one was added or changed.
 func (a *Agent) Wake() {
 	select {
 	case a.wake <- struct{}{}:
@@ -133,7 +134,7 @@
 	}
 }
 
-// Run carries orders out until ctx ends.
+// Run carries out orders until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	defer a.tasks.Wait()
 	for ctx.Err() == nil {
@@ -149,13 +150,13 @@
 	}
 }
 
-// tick looks at all orders once. It returns false if there are none.
+// tick processes all orders once. It returns false if there are none.
 func (a *Agent) tick(ctx context.Context, now time.Time) bool {
-	reports, news := a.Tracker.Reports(now)
+	reports, unreported := a.Tracker.Reports(now)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.noteTick(len(reports) > 0, now)
-	a.forgetOthers(reports)
+	a.detectFreeze(len(reports) > 0, now)
+	a.pruneOrders(reports)
 	a.sequence++
 	outgoing := make(map[members.Member][]OrderReport)
 	for _, report := range reports {
@@ -165,31 +166,31 @@
 		}
 		fleet := a.Fleet(known.Order)
 		report.Servers = fleet.New
-		order := a.order(known.Order)
-		first := a.electors.first(report.Service, now)
-		if first.Name == a.Own.Name {
+		run := a.runOf(known.Order)
+		decider := a.election.decider(report.Service, now)
+		if decider.Name == a.Own.Name {
 			a.Tracker.Reported([]Key{report.Key()}, now)
-			a.follow(order, report.Service, first.Name)
+			a.logDecider(run, report.Service, decider.Name)
 		} else {
-			outgoing[first] = append(outgoing[first], report)
+			outgoing[decider] = append(outgoing[decider], report)
 		}
-		if first.Name == a.Own.Name || now.Sub(order.heardAt) <= freshFor {
-			order.decider.Pool.Add(a.Own.Name, a.Process, a.sequence, report, now)
-			a.decide(ctx, order, known, fleet, now)
+		if decider.Name == a.Own.Name || now.Sub(run.peerReportAt) <= maxReportAge {
+			run.decider.Pool.Add(a.Own.Name, a.Process, a.sequence, report, now)
+			a.decide(ctx, run, known, fleet, now)
 		} else {
-			order.decider.Rest()
+			run.decider.Rest()
 		}
 	}
 	for member, orders := range outgoing {
-		a.report(ctx, member, orders, news, now)
+		a.report(ctx, member, orders, unreported, now)
 	}
 	return a.rewriteAll(ctx, now) || len(reports) > 0
 }
 
-// noteTick notices that the process was frozen.
-func (a *Agent) noteTick(busy bool, now time.Time) {
+// detectFreeze detects that the process was frozen.
+func (a *Agent) detectFreeze(busy bool, now time.Time) {
 	if a.frozen(now) {
-		a.wokenAt = now
+		a.resumedAt = now
 		klog.InfoS("rollout agent was not running", "ms", now.Sub(a.tickedAt).Milliseconds())
 	}
 	a.tickedAt = time.Time{}
@@ -199,11 +200,11 @@
 }
 
 func (a *Agent) frozen(now time.Time) bool {
-	return !a.tickedAt.IsZero() && now.Sub(a.tickedAt) > longestTick
+	return !a.tickedAt.IsZero() && now.Sub(a.tickedAt) > maxTickGap
 }
 
-// forgetOthers forgets the orders that are no longer carried out.
-func (a *Agent) forgetOthers(reports []OrderReport) {
+// pruneOrders removes the orders that are no longer carried out.
+func (a *Agent) pruneOrders(reports []OrderReport) {
 	listed := make(map[Key]bool, len(reports))
 	for _, report := range reports {
 		listed[report.Key()] = true
@@ -214,96 +215,96 @@
 		}
 	}
 	if len(reports) == 0 {
-		clear(a.links)
+		clear(a.recipients)
 	}
 }
 
-// order returns what is kept of an order.
-func (a *Agent) order(order Order) *running {
-	known, found := a.orders[order.Key()]
+// runOf returns what is kept about an order.
+func (a *Agent) runOf(order Order) *orderRun {
+	run, found := a.orders[order.Key()]
 	if !found {
-		known = &running{}
-		a.orders[order.Key()] = known
+		run = &orderRun{}
+		a.orders[order.Key()] = run
 		klog.InfoS("rollout ordered", "service", order.Service, "target", order.Target, "duration", order.Duration.String(),
 			"state", order.Current().State.String(), "stage", order.Current().Stage.String())
 	}
-	return known
+	return run
 }
 
-// decide does what the decider of an order says.
-func (a *Agent) decide(ctx context.Context, order *running, known Known, fleet Fleet, now time.Time) {
-	action := order.decider.Tick(View{
+// decide carries out the next action of an order's decider.
+func (a *Agent) decide(ctx context.Context, run *orderRun, known Known, fleet Fleet, now time.Time) {
+	action := run.decider.Tick(View{
 		Order:   known.Order,
 		Bounds:  a.Bounds,
 		Elapsed: known.Elapsed,
 		Halted:  known.Halted,
 		Fleet:   fleet,
-		Live:    a.electors.live,
+		Live:    a.election.live,
 	}, now)
-	a.noteVerdict(order, known.Order, action.Verdict, now)
+	a.recordFinding(run, known.Order, action.Verdict, now)
 	if action.Halt {
 		a.Tracker.Halt(known.Order.Key())
 	}
-	if action.Status.State == StateNone || order.writing || now.Before(order.pausedUntil) {
+	if action.Status.State == StateNone || run.writing || now.Before(run.backoffUntil) {
 		return
 	}
-	order.writing = true
-	a.tasks.Go(func() { a.write(ctx, order, known.Order, action) })
+	run.writing = true
+	a.tasks.Go(func() { a.write(ctx, run, known.Order, action) })
 }
 
-// noteVerdict logs a finding that differs from the one before.
-func (a *Agent) noteVerdict(order *running, about Order, verdict Verdict, now time.Time) {
-	if order.finding == verdict.Finding {
+// recordFinding logs a finding that differs from the one before.
+func (a *Agent) recordFinding(run *orderRun, order Order, verdict Verdict, now time.Time) {
+	if run.finding == verdict.Finding {
 		return
 	}
-	order.finding = verdict.Finding
-	klog.InfoS("rollout verdict", "service", about.Service, "target", about.Target, "finding", verdict.Finding.String(), "cause", verdict.Cause,
-		"old", verdict.Old, "new", verdict.New, "reporters", order.decider.Pool.Reporters(now, freshFor))
-	a.Observer.VersionJudged(about.Service, verdict.Finding)
+	run.finding = verdict.Finding
+	klog.InfoS("rollout verdict", "service", order.Service, "target", order.Target, "finding", verdict.Finding.String(), "cause", verdict.Cause,
+		"old", verdict.Old, "new", verdict.New, "reporters", run.decider.Pool.Reporters(now, maxReportAge))
+	a.Observer.VersionJudged(order.Service, verdict.Finding)
 }
 
-// write makes one conditional write of a status. A write that got no answer may have been
-// done: then the next one, with the same revision, finds that out.
-func (a *Agent) write(ctx context.Context, order *running, about Order, action Action) {
+// write makes one conditional write of a status. A write that got no reply may have been done:
+// the next one, with the same revision, detects that.
+func (a *Agent) write(ctx context.Context, run *orderRun, order Order, action Action) {
 	begun := a.Now()
-	timed, cancel := context.WithTimeout(ctx, writeTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	written, err := a.Registry.Answer(timed, about, action.Status)
-	a.Observer.OrderAnswered(about.Service, action.Status, err)
+	written, err := a.Registry.Answer(writeCtx, order, action.Status)
+	a.Observer.OrderAnswered(order.Service, action.Status, err)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	order.writing = false
+	run.writing = false
 	switch {
 	case err == nil:
-		order.failing = false
+		run.failing = false
 		a.Tracker.Update(written, begun)
-		a.logStep(order, about, action)
+		a.logStep(run, order, action)
 	case errors.Is(err, ErrChanged):
-		order.failing = false
-		order.pausedUntil = a.Now().Add(writePause)
+		run.failing = false
+		run.backoffUntil = a.Now().Add(writeBackoff)
 		a.Tracker.Update(written, a.Now())
 	default:
-		order.failing = true
-		a.electors.unable(a.Own.Name, a.Now())
-		order.pausedUntil = a.Now().Add(writePause)
-		klog.ErrorS(err, "rollout status not written", "service", about.Service, "state", action.Status.State.String(),
-			"stage", action.Status.Stage.String(), "revision", about.Revision)
+		run.failing = true
+		a.election.readOnly(a.Own.Name, a.Now())
+		run.backoffUntil = a.Now().Add(writeBackoff)
+		klog.ErrorS(err, "rollout status not written", "service", order.Service, "state", action.Status.State.String(),
+			"stage", action.Status.Stage.String(), "revision", order.Revision)
 	}
 	a.Wake()
 }
 
 // logStep logs a status that was written.
-func (a *Agent) logStep(order *running, about Order, action Action) {
-	line := "rollout step"
+func (a *Agent) logStep(run *orderRun, order Order, action Action) {
+	message := "rollout step"
 	switch action.Status.State {
 	case StateCompleted:
-		line = "rollout completed"
+		message = "rollout completed"
 	case StateRolledBack:
-		line = "rollout rolled back"
-		if about.Invalid() != "" {
-			line = "rollout order invalid"
+		message = "rollout rolled back"
+		if order.Invalid() != "" {
+			message = "rollout order invalid"
 		}
 	}
-	klog.InfoS(line, "service", about.Service, "target", about.Target, "stage", action.Status.Stage.String(), "cause", action.Cause,
-		"elapsed_ms", action.Status.Elapsed.Milliseconds(), "sent", order.decider.Pool.Sent(), "requests", order.decider.Pool.Requests())
+	klog.InfoS(message, "service", order.Service, "target", order.Target, "stage", action.Status.Stage.String(), "cause", action.Cause,
+		"elapsed_ms", action.Status.Elapsed.Milliseconds(), "sent", run.decider.Pool.Sent(), "requests", run.decider.Pool.Requests())
 }
--- a/internal/rollout/agent_bench_test.go
+++ b/internal/rollout/agent_bench_test.go
@@ -19,7 +19,7 @@
 // benchmarkSizes are numbers of nodes.
 var benchmarkSizes = []int{27, 67, 300, 1000}
 
-// benchmarkOrders are numbers of orders at once: of one service, and of a whole set of
+// benchmarkOrders are numbers of simultaneous orders: of one service, and of a whole set of
 // shards.
 var benchmarkOrders = []int{1, 54}
 
@@ -30,8 +30,8 @@
 
 func benchmarkService(order int) string { return fmt.Sprint("account-lookup-", order) }
 
-// benchmarkOrderReport is what one node tells of an order of a service with three routes
-// and four new servers, some seconds after the order.
+// benchmarkOrderReport is one node's report of an order of a service with three routes and four
+// new servers, some seconds after the order.
 func benchmarkOrderReport(service string, sequence uint64) OrderReport {
 	order := OrderReport{
 		Service: service, Target: "v2", Created: 10, Revision: 12, Elapsed: 5 * time.Second,
@@ -63,14 +63,14 @@
 	return report
 }
 
-// busiestDecider returns the node that decides most orders, and their services.
+// busiestDecider returns the node that decides the most orders, and their services.
 func busiestDecider(live []members.Member, orders int) (own members.Member, services []string) {
-	known := newElectors(live[0])
-	known.set(live)
+	election := newElection(live[0])
+	election.set(live)
 	decided := make(map[members.Member][]string)
 	for order := range orders {
 		service := benchmarkService(order)
-		member := known.first(service, time.Now())
+		member := election.decider(service, time.Now())
 		decided[member] = append(decided[member], service)
 		if len(decided[member]) > len(services) {
 			own, services = member, decided[member]
@@ -92,8 +92,8 @@
 func benchmarkAgent(own members.Member, live []members.Member, orders int, transport Transport) *Agent {
 	tracker := NewTracker(deciderBounds)
 	agent := NewAgent(Options{
-		Own: own, Bounds: deciderBounds, Tracker: tracker, Registry: refusingRegistry{}, Transport: transport,
-		Fleet: func(Order) Fleet { return Fleet{New: benchmarkServers, Others: 3} }, Observer: silentObserver{},
+		Own: own, Bounds: deciderBounds, Tracker: tracker, Registry: conflictRegistry{}, Transport: transport,
+		Fleet: func(Order) Fleet { return Fleet{New: benchmarkServers, Others: 3} }, Observer: nopObserver{},
 	})
 	for order := range orders {
 		tracker.Put(Order{
@@ -105,15 +105,16 @@
 	return agent
 }
 
-// ticksPerReport is how many ticks pass from one report of a node with news to the next.
+// ticksPerReport is the number of ticks from one report of a node with new answers to the next.
 func ticksPerReport(agent *Agent) int {
-	return int((agent.newsPause() + tickInterval - 1) / tickInterval)
+	return int((agent.activeInterval() + tickInterval - 1) / tickInterval)
 }
 
-// ticksPerSecond is how often an agent looks at its orders.
+// ticksPerSecond is how often an agent processes its orders.
 const ticksPerSecond = int(time.Second / tickInterval)
 
-// heapKilobytes is what is in use after two collections: the second one empties pools.
+// heapKilobytes returns the heap in use after two collections, because the first one leaves
+// objects in pools.
 func heapKilobytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -130,8 +131,8 @@
 	}
 }
 
-// BenchmarkDecider is a second of the node that decides most orders: four ticks, and the
-// reports of all other nodes, which have news all the time; HTTP is left out.
+// BenchmarkDecider measures a second of the node that decides the most orders: four ticks, and
+// the reports of all other nodes, which have new answers all the time. HTTP is left out.
 func BenchmarkDecider(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, nodes, orders int) {
 		live := benchmarkMembers(nodes)
@@ -166,7 +167,7 @@
 	})
 }
 
-// benchmarkSecond returns the bodies that reach a node in each tick of a second.
+// benchmarkSecond returns the encoded reports that reach a node in each tick of a second.
 func benchmarkSecond(b *testing.B, agent *Agent, live []members.Member, services []string, sequence uint64) [][][]byte {
 	every := ticksPerReport(agent)
 	second := make([][][]byte, ticksPerSecond)
@@ -186,13 +187,13 @@
 	return second
 }
 
-// compressedFrom is the size in bytes from which nodes compress what they send.
-const compressedFrom = 1 << 10
+// compressionThreshold is the size in bytes from which nodes compress what they send.
+const compressionThreshold = 1 << 10
 
-// benchmarkBody returns a report as it is sent.
+// benchmarkBody returns a report as it is encoded on the wire.
 func benchmarkBody(report Report) ([]byte, error) {
 	encoded, err := json.Marshal(report)
-	if len(encoded) < compressedFrom {
+	if len(encoded) < compressionThreshold {
 		return encoded, err
 	}
 	return fasthttp.AppendGzipBytesLevel(nil, encoded, fasthttp.CompressBestSpeed), err
@@ -215,14 +216,14 @@
 	}
 }
 
-// BenchmarkReporter is a second of the node that decides fewest orders: four ticks with an
-// answer on each order before each of them, and its reports.
+// BenchmarkReporter measures a second of the node that decides the fewest orders: four ticks
+// with an answer for each order before each of them, and its reports.
 func BenchmarkReporter(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, nodes, orders int) {
 		live := benchmarkMembers(nodes)
 		before := heapKilobytes()
 		transport := new(countingTransport)
-		agent := benchmarkAgent(idlestNode(live, orders), live, orders, transport)
+		agent := benchmarkAgent(leastBusyNode(live, orders), live, orders, transport)
 		now := time.Now()
 		benchmarkAnswers(agent.Tracker, orders, now)
 		seconds := 0
@@ -244,18 +245,18 @@
 	})
 }
 
-// idlestNode returns the node that decides fewest orders.
-func idlestNode(live []members.Member, orders int) members.Member {
-	known := newElectors(live[0])
-	known.set(live)
+// leastBusyNode returns the node that decides the fewest orders.
+func leastBusyNode(live []members.Member, orders int) members.Member {
+	election := newElection(live[0])
+	election.set(live)
 	decided := make(map[members.Member]int)
 	for order := range orders {
-		decided[known.first(benchmarkService(order), time.Now())]++
+		decided[election.decider(benchmarkService(order), time.Now())]++
 	}
 	return slices.MinFunc(live, func(a, b members.Member) int { return cmp.Compare(decided[a], decided[b]) })
 }
 
-// benchmarkAnswers notes an answer of each new server on each route of all orders.
+// benchmarkAnswers records an answer of each new server on each route of all orders.
 func benchmarkAnswers(tracker *Tracker, orders int, now time.Time) {
 	for order := range orders {
 		for route := range benchmarkRoutes {
@@ -273,7 +274,7 @@
 	tracker.End(candidate, admission, fmt.Sprint("route-", route), sample, now)
 }
 
-// countingTransport counts what is sent, and answers as a node that knows the orders.
+// countingTransport counts what is sent, and replies as a node that knows the orders.
 type countingTransport struct {
 	reports, bytes atomic.Int64
 }
@@ -282,9 +283,9 @@
 	body, err := benchmarkBody(report)
 	t.reports.Add(1)
 	t.bytes.Add(int64(len(body)))
-	rulings := make([]Ruling, len(report.Orders))
+	replies := make([]Ruling, len(report.Orders))
 	for index, order := range report.Orders {
-		rulings[index] = Ruling{Service: order.Service, Target: order.Target, Created: order.Created}
+		replies[index] = Ruling{Service: order.Service, Target: order.Target, Created: order.Created}
 	}
-	return rulings, err
+	return replies, err
 }
--- a/internal/rollout/agent_reports.go
+++ b/internal/rollout/agent_reports.go
@@ -9,114 +9,113 @@
 	"github.com/driftstage/driftstage/internal/members"
 )
 
-// report sends a report to the node that decides the orders, if one is due.
-func (a *Agent) report(ctx context.Context, member members.Member, orders []OrderReport, news bool, now time.Time) {
-	known := a.links[member.Name]
-	if known == nil {
-		known = &link{}
-		a.links[member.Name] = known
+// report sends a report to the deciding node of the orders, if one is due.
+func (a *Agent) report(ctx context.Context, member members.Member, orders []OrderReport, unreported bool, now time.Time) {
+	to := a.recipients[member.Name]
+	if to == nil {
+		to = &recipient{}
+		a.recipients[member.Name] = to
 	}
-	interval := reportInterval
-	if news {
-		interval = a.newsPause()
+	interval := idleReportInterval
+	if unreported {
+		interval = a.activeInterval()
 	}
-	if known.reporting || now.Sub(known.sentAt) < interval {
+	if to.reporting || now.Sub(to.sentAt) < interval {
 		return
 	}
-	known.reporting, known.sentAt = true, now
+	to.reporting, to.sentAt = true, now
 	report := Report{Node: a.Own.Name, Process: a.Process, Sequence: a.sequence, Orders: orders}
-	a.tasks.Go(func() { a.send(ctx, member, known, report, now) })
+	a.tasks.Go(func() { a.send(ctx, member, to, report, now) })
 }
 
-// newsPause returns the least time between reports while answers of a target come in.
-func (a *Agent) newsPause() time.Duration {
-	return min(newsInterval+time.Duration(a.electors.live)*newsStep, longestNewsInterval)
+// activeInterval returns the least time between reports while answers of a target arrive.
+func (a *Agent) activeInterval() time.Duration {
+	return min(activeReportInterval+time.Duration(a.election.live)*reportIntervalPerNode, maxActiveReportInterval)
 }
 
-// send hands over a report that was made at the given time.
-func (a *Agent) send(ctx context.Context, member members.Member, to *link, report Report, made time.Time) {
-	timed, cancel := context.WithTimeout(ctx, reportTimeout)
+// send delivers a report that was made at the given time.
+func (a *Agent) send(ctx context.Context, member members.Member, to *recipient, report Report, made time.Time) {
+	sendCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	rulings, err := a.Transport.Send(timed, member.Address, report)
+	replies, err := a.Transport.Send(sendCtx, member.Address, report)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	to.reporting = false
 	if err != nil {
-		a.electors.failed(member.Name, a.Now())
+		a.election.failed(member.Name, a.Now())
 		klog.V(1).InfoS("rollout report failed", "member", member.Name, "cause", err.Error())
 		a.Wake()
 		return
 	}
-	a.Tracker.Reported(a.obey(member, rulings), made)
-	if len(rulings) < len(report.Orders) {
-		a.electors.unknowing(member.Name, a.Now())
+	a.Tracker.Reported(a.applyReplies(member, replies), made)
+	if len(replies) < len(report.Orders) {
+		a.election.unsynced(member.Name, a.Now())
 	}
 }
 
-// obey follows the rulings on a report and returns the orders that they are about.
-func (a *Agent) obey(member members.Member, rulings []Ruling) []Key {
+// applyReplies applies the replies to a report and returns the keys of their orders.
+func (a *Agent) applyReplies(member members.Member, replies []Ruling) []Key {
 	var keys []Key
-	for _, ruling := range rulings {
-		key := ruling.Key()
+	for _, reply := range replies {
+		key := reply.Key()
 		keys = append(keys, key)
-		if order := a.orders[key]; order != nil {
-			a.follow(order, key.Service, member.Name)
+		if run := a.orders[key]; run != nil {
+			a.logDecider(run, key.Service, member.Name)
 		}
-		a.Tracker.StartedBefore(key, ruling.Since)
-		if ruling.Halt && a.Tracker.Halt(key) {
+		a.Tracker.StartedBefore(key, reply.Since)
+		if reply.Halt && a.Tracker.Halt(key) {
 			klog.InfoS("rollout halted", "service", key.Service, "target", key.Target, "member", member.Name)
 		}
-		if ruling.Unable {
-			a.electors.unable(member.Name, a.Now())
+		if reply.Unable {
+			a.election.readOnly(member.Name, a.Now())
 		}
 	}
 	return keys
 }
 
-// follow logs when another node decides than before.
-func (a *Agent) follow(order *running, service, member string) {
-	if order.reportedTo != member {
-		klog.InfoS("rollout decider followed", "service", service, "member", member, "before", order.reportedTo)
-		order.reportedTo = member
+// logDecider logs a change of the deciding node.
+func (a *Agent) logDecider(run *orderRun, service, member string) {
+	if run.reportedTo != member {
+		klog.InfoS("rollout decider followed", "service", service, "member", member, "before", run.reportedTo)
+		run.reportedTo = member
 	}
 }
 
-// Take takes in the report of another node. Its orders that this node does not know get
-// no ruling.
+// Take handles the report of another node. Orders that this node does not know get no reply.
 func (a *Agent) Take(report Report) ([]Ruling, error) {
 	now := a.Now()
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.frozen(now) || now.Sub(a.wokenAt) < wokenPause {
-		return nil, errWoken
+	if a.frozen(now) || now.Sub(a.resumedAt) < resumePause {
+		return nil, errResumed
 	}
-	var rulings []Ruling
-	for _, told := range report.Orders {
-		if ruling, known := a.take(report, told, now); known {
-			rulings = append(rulings, ruling)
+	var replies []Ruling
+	for _, reported := range report.Orders {
+		if reply, known := a.handleOrder(report, reported, now); known {
+			replies = append(replies, reply)
 		}
 	}
-	return rulings, nil
+	return replies, nil
 }
 
-// take takes in the report of one order; false if the order is not known.
-func (a *Agent) take(report Report, told OrderReport, now time.Time) (Ruling, bool) {
-	key := told.Key()
-	a.Tracker.StartedBefore(key, told.Since)
-	if told.Halted && a.Tracker.Halt(key) {
+// handleOrder handles the report of one order; false if the order is not known.
+func (a *Agent) handleOrder(report Report, reported OrderReport, now time.Time) (Ruling, bool) {
+	key := reported.Key()
+	a.Tracker.StartedBefore(key, reported.Since)
+	if reported.Halted && a.Tracker.Halt(key) {
 		klog.InfoS("rollout halted", "service", key.Service, "target", key.Target, "member", report.Node)
 	}
 	known, found := a.Tracker.Known(key, now)
 	if !found {
 		return Ruling{}, false
 	}
-	ruling := Ruling{Service: key.Service, Target: key.Target, Created: key.Created, Since: known.Order.Since, Halt: known.Halted}
+	reply := Ruling{Service: key.Service, Target: key.Target, Created: key.Created, Since: known.Order.Since, Halt: known.Halted}
 	if known.Order.Ended() {
-		return ruling, true
+		return reply, true
 	}
-	order := a.order(known.Order)
-	order.heardAt = now
-	order.decider.Pool.Add(report.Node, report.Process, report.Sequence, told, now)
-	ruling.Unable = order.failing
-	return ruling, true
+	run := a.runOf(known.Order)
+	run.peerReportAt = now
+	run.decider.Pool.Add(report.Node, report.Process, report.Sequence, reported, now)
+	reply.Unable = run.failing
+	return reply, true
 }
--- a/internal/rollout/agent_rewrite.go
+++ b/internal/rollout/agent_rewrite.go
@@ -9,15 +9,16 @@
 	"k8s.io/klog/v2"
 )
 
-// rewritePatience, and a random part of rewriteSpread, is how long a decision that a restored store
-// has lost is left to the node that decides: it may have started since and not know of it.
+// rewriteDelay, and a random part of rewriteJitter, is how long the other nodes leave a
+// decision that a restored store has lost to the deciding node, which may have started since
+// and not know of it.
 const (
-	rewritePatience = 2 * time.Second
-	rewriteSpread   = 3 * time.Second
+	rewriteDelay  = 2 * time.Second
+	rewriteJitter = 3 * time.Second
 )
 
 // rewriteAll writes the decisions that a restored store has lost. It returns whether there is
-// anything to wait for.
+// anything left to wait for.
 func (a *Agent) rewriteAll(ctx context.Context, now time.Time) bool {
 	a.Tracker.DropMissing(now)
 	orders, missing := a.Tracker.Unwritten()
@@ -28,13 +29,13 @@
 		due, found := a.rewrites[order.Key()]
 		switch {
 		case found:
-		case a.electors.first(order.Service, now).Name == a.Own.Name:
+		case a.election.decider(order.Service, now).Name == a.Own.Name:
 			due = now
 		default:
-			due = now.Add(rewritePatience + rand.N(rewriteSpread))
+			due = now.Add(rewriteDelay + rand.N(rewriteJitter))
 		}
 		if !now.Before(due) {
-			due = now.Add(writeTimeout + writePause)
+			due = now.Add(writeTimeout + writeBackoff)
 			a.tasks.Go(func() { a.rewrite(ctx, order) })
 		}
 		a.rewrites[order.Key()] = due
@@ -42,11 +43,11 @@
 	return missing || len(orders) > 0
 }
 
-// rewrite makes one conditional write of a decision that was lost.
+// rewrite makes one conditional write of a lost decision.
 func (a *Agent) rewrite(ctx context.Context, order Order) {
-	timed, cancel := context.WithTimeout(ctx, writeTimeout)
+	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	written, err := a.Registry.Answer(timed, order, order.Status)
+	written, err := a.Registry.Answer(writeCtx, order, order.Status)
 	a.Observer.OrderAnswered(order.Service, order.Status, err)
 	if err != nil && !errors.Is(err, ErrChanged) {
 		klog.ErrorS(err, "rollout decision not written again", "service", order.Service, "state", order.Status.State.String())
--- a/internal/rollout/agent_test.go
+++ b/internal/rollout/agent_test.go
@@ -16,9 +16,9 @@
 
 const agentNodes = 5
 
-// agentWorld are the agents of some nodes with one order, whose store and links are in
+// agentCluster runs the agents of some nodes with one order. The store and the network are in
 // memory.
-type agentWorld struct {
+type agentCluster struct {
 	is    *is.I
 	nodes []*agentNode
 	live  []members.Member
@@ -26,123 +26,124 @@
 
 	mutex sync.Mutex
 	order Order
-	// written are the statuses in the order in which they were written, writers the nodes
-	// that wrote them.
+	// written are the statuses in the order in which they were written, writers the nodes that
+	// wrote them.
 	written []Status
 	writers []string
-	// away makes the store silent for all.
-	away bool
-	// lost is how many of the next writes are done without an answer, which the writer does
-	// not learn of otherwise.
-	lost int
-	// reports are how many were sent.
+	// storeDown makes all calls to the store hang.
+	storeDown bool
+	// lostReplies is the number of next writes that are done but get no reply; their writer is
+	// not notified of the result either.
+	lostReplies int
+	// reports is the number of reports that were sent.
 	reports int
 }
 
 // agentNode is one node.
 type agentNode struct {
-	world   *agentWorld
+	cluster *agentCluster
 	name    string
 	tracker *Tracker
 	agent   *Agent
 	stop    context.CancelFunc
 
-	// silent nodes answer no report; barred ones do not reach the store, nor does what it
-	// tells reach them.
-	silent, barred bool
-	// unreachable are the nodes that this one does not reach.
+	// unresponsive nodes neither send nor answer reports; nodes with storeCut do not reach the
+	// store and get no updates from it.
+	unresponsive, storeCut bool
+	// unreachable are the nodes that this one cannot send reports to.
 	unreachable map[string]bool
 }
 
-// silentObserver is told and forgets.
-type silentObserver struct{}
+// nopObserver ignores all calls.
+type nopObserver struct{}
 
-func (silentObserver) VersionJudged(string, Finding)       {}
-func (silentObserver) OrderAnswered(string, Status, error) {}
+func (nopObserver) VersionJudged(string, Finding)       {}
+func (nopObserver) OrderAnswered(string, Status, error) {}
 
-// newAgentWorld starts the agents of all nodes; their order comes with begin.
-func newAgentWorld(t *testing.T) *agentWorld {
-	world := &agentWorld{is: is.New(t), ctx: t.Context()}
+// newAgentCluster starts the agents of all nodes; placeOrder adds their order.
+func newAgentCluster(t *testing.T) *agentCluster {
+	cluster := &agentCluster{is: is.New(t), ctx: t.Context()}
 	var live []members.Member
 	for index := range agentNodes {
 		name := fmt.Sprint("node-", index)
 		live = append(live, members.Member{Name: name, Address: name})
 	}
 	for index, member := range live {
-		node := &agentNode{world: world, name: member.Name}
+		node := &agentNode{cluster: cluster, name: member.Name}
 		node.start(1)
 		node.tracker.Share(index, agentNodes)
 		node.agent.SetMembers(live)
-		world.nodes = append(world.nodes, node)
+		cluster.nodes = append(cluster.nodes, node)
 	}
-	world.live = live
-	return world
+	cluster.live = live
+	return cluster
 }
 
-// start starts a process of the node, which knows of no orders.
+// start starts a process of the node, which knows no orders.
 func (n *agentNode) start(process uint64) {
 	n.tracker = NewTracker(deciderBounds)
 	n.tracker.Reached(1, time.Now())
 	n.agent = NewAgent(Options{
 		Own: members.Member{Name: n.name, Address: n.name}, Bounds: deciderBounds, Tracker: n.tracker, Transport: n, Registry: n,
-		Fleet: func(Order) Fleet { return Fleet{New: 2, Others: 2} }, Process: process, Observer: silentObserver{},
+		Fleet: func(Order) Fleet { return Fleet{New: 2, Others: 2} }, Process: process, Observer: nopObserver{},
 	})
-	ctx, stop := context.WithCancel(n.world.ctx)
+	ctx, stop := context.WithCancel(n.cluster.ctx)
 	n.stop = stop
 	go n.agent.Run(ctx)
 }
 
-// begin orders the new version and lets the nodes begin with it.
-func (w *agentWorld) begin() {
-	w.change(func() {
-		w.order = Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 10, Revision: 10}
-		w.tell()
+// placeOrder orders the new version and waits until the nodes have started on it.
+func (c *agentCluster) placeOrder() {
+	c.change(func() {
+		c.order = Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 10, Revision: 10}
+		c.notify()
 	})
 	time.Sleep(400 * time.Millisecond)
 }
 
-// tell lets all nodes learn the order as it is now.
-func (w *agentWorld) tell() { w.tellOthers(nil) }
+// notify delivers the current order to all nodes.
+func (c *agentCluster) notify() { c.notifyExcept(nil) }
 
-func (w *agentWorld) tellOthers(than *agentNode) {
-	for _, node := range w.nodes {
-		if !node.barred && node != than {
-			node.tracker.Put(w.order, time.Now())
+func (c *agentCluster) notifyExcept(except *agentNode) {
+	for _, node := range c.nodes {
+		if !node.storeCut && node != except {
+			node.tracker.Put(c.order, time.Now())
 			node.agent.Wake()
 		}
 	}
 }
 
-// change changes what the nodes and the store do.
-func (w *agentWorld) change(apply func()) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// change changes the behaviour of the nodes and the store.
+func (c *agentCluster) change(apply func()) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	apply()
 }
 
 // status returns the status in the store.
-func (w *agentWorld) status() Status {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.order.Current()
+func (c *agentCluster) status() Status {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.order.Current()
 }
 
 // sent returns how many reports were sent.
-func (w *agentWorld) sent() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.reports
+func (c *agentCluster) sent() int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.reports
 }
 
-// serve lets all nodes have answers for so long: each twenty a second, half of the old
-// version, half of the new one, bad ones as told; all of the new one once it is to have all.
-func (w *agentWorld) serve(span time.Duration, bad bool) {
+// serve gives all nodes answers for the given time: 20 per second each, half from the old
+// version and half from the new one, which fail if bad is set; all from the new version in
+// StageWhole.
+func (c *agentCluster) serve(span time.Duration, bad bool) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		ofOld, ofNew := 2, 1
-		if w.status().Stage == StageWhole {
+		if c.status().Stage == StageWhole {
 			ofOld, ofNew = 0, 2
 		}
-		for _, node := range w.nodes {
+		for _, node := range c.nodes {
 			node.answer("old-1", "v1", ofOld, OutcomeAnswered)
 			result := OutcomeAnswered
 			if bad {
@@ -156,15 +157,15 @@
 	synctest.Wait()
 }
 
-// serveUntil lets all nodes have good answers until the stage.
-func (w *agentWorld) serveUntil(stage Stage) {
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && w.status().Stage != stage; {
-		w.serve(200*time.Millisecond, false)
+// serveUntil gives all nodes good answers until the stage.
+func (c *agentCluster) serveUntil(stage Stage) {
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && c.status().Stage != stage; {
+		c.serve(200*time.Millisecond, false)
 	}
-	w.is.Equal(w.status(), Status{State: StateRunning, Target: "v2", Stage: stage, Elapsed: w.status().Elapsed})
+	c.is.Equal(c.status(), Status{State: StateRunning, Target: "v2", Stage: stage, Elapsed: c.status().Elapsed})
 }
 
-// answer notes answers of a server.
+// answer records answers of a server.
 func (n *agentNode) answer(id ServerID, version Version, count int, result Outcome) {
 	candidate := Candidate{ID: id, Version: version}
 	admission := Admission{order: Key{Service: "s", Target: "v2", Created: 10}}
@@ -177,15 +178,15 @@
 
 // Send implements Transport.
 func (n *agentNode) Send(ctx context.Context, address string, report Report) ([]Ruling, error) {
-	for _, node := range n.world.nodes {
+	for _, node := range n.cluster.nodes {
 		if node.name != address {
 			continue
 		}
-		n.world.mutex.Lock()
-		silent := node.silent || n.silent || n.unreachable[address]
-		n.world.reports++
-		n.world.mutex.Unlock()
-		if silent {
+		n.cluster.mutex.Lock()
+		hang := node.unresponsive || n.unresponsive || n.unreachable[address]
+		n.cluster.reports++
+		n.cluster.mutex.Unlock()
+		if hang {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -196,31 +197,31 @@
 
 // Answer implements Registry.
 func (n *agentNode) Answer(ctx context.Context, order Order, status Status) (Order, error) {
-	w := n.world
-	w.mutex.Lock()
-	if w.away || n.barred {
-		w.mutex.Unlock()
+	c := n.cluster
+	c.mutex.Lock()
+	if c.storeDown || n.storeCut {
+		c.mutex.Unlock()
 		<-ctx.Done()
 		return order, ctx.Err()
 	}
-	if order.Revision != w.order.Revision {
-		current := w.order
-		w.mutex.Unlock()
+	if order.Revision != c.order.Revision {
+		current := c.order
+		c.mutex.Unlock()
 		return current, ErrChanged
 	}
-	w.order.Status = status
-	w.order.Revision++
-	w.written = append(w.written, status)
-	w.writers = append(w.writers, n.name)
-	current := w.order
-	lost := w.lost > 0
+	c.order.Status = status
+	c.order.Revision++
+	c.written = append(c.written, status)
+	c.writers = append(c.writers, n.name)
+	current := c.order
+	lost := c.lostReplies > 0
 	if lost {
-		w.lost--
-		w.tellOthers(n)
+		c.lostReplies--
+		c.notifyExcept(n)
 	} else {
-		w.tell()
+		c.notify()
 	}
-	w.mutex.Unlock()
+	c.mutex.Unlock()
 	if lost {
 		<-ctx.Done()
 		return order, ctx.Err()
@@ -228,10 +229,10 @@
 	return current, nil
 }
 
-// decider returns the node that decides first.
-func (w *agentWorld) decider() *agentNode {
-	first := w.nodes[0].agent.electors.first("s", time.Now())
-	for _, node := range w.nodes {
+// decider returns the node that decides at first.
+func (c *agentCluster) decider() *agentNode {
+	first := c.nodes[0].agent.election.decider("s", time.Now())
+	for _, node := range c.nodes {
 		if node.name == first.Name {
 			return node
 		}
@@ -239,12 +240,12 @@
 	return nil
 }
 
-// stages returns the stages in the order in which they were written, the state last.
-func (w *agentWorld) stages() []string {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// stages returns the stages in the order in which they were written, and the final state.
+func (c *agentCluster) stages() []string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var stages []string
-	for _, status := range w.written {
+	for _, status := range c.written {
 		if status.State == StateRunning {
 			stages = append(stages, status.Stage.String())
 		} else {
@@ -259,341 +260,342 @@
 	badSteps  = []string{"waiting", "canary", "rolled_back"}
 )
 
-func inWorld(t *testing.T, play func(w *agentWorld)) {
+func runInCluster(t *testing.T, test func(c *agentCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		world := newAgentWorld(t)
+		cluster := newAgentCluster(t)
 		defer func() {
-			for _, node := range world.nodes {
+			for _, node := range cluster.nodes {
 				node.stop()
 			}
 		}()
-		play(world)
+		test(cluster)
 	})
 }
 
 func TestGoodVersionIsCompleted(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(20*time.Second, false)
-		w.is.Equal(w.stages(), goodSteps)
-		w.is.True(w.status().Elapsed < 18*time.Second)
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(20*time.Second, false)
+		c.is.Equal(c.stages(), goodSteps)
+		c.is.True(c.status().Elapsed < 18*time.Second)
 	})
 }
 
 func TestBadVersionIsRolledBack(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(2*time.Second, true)
-		w.is.Equal(w.stages(), badSteps)
-		for _, node := range w.nodes {
-			w.is.True(node.tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(2*time.Second, true)
+		c.is.Equal(c.stages(), badSteps)
+		for _, node := range c.nodes {
+			c.is.True(node.tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
 		}
 	})
 }
 
-// The last status is that of a version that turns bad when it has all the traffic.
-func TestVersionThatTurnsBadAtLastIsRolledBack(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serveUntil(StageWhole)
-		w.serve(2*time.Second, true)
-		w.is.Equal(w.status().State, StateRolledBack)
+// A version that turns bad once it has all the traffic.
+func TestVersionThatTurnsBadInStageWholeIsRolledBack(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serveUntil(StageWhole)
+		c.serve(2*time.Second, true)
+		c.is.Equal(c.status().State, StateRolledBack)
 	})
 }
 
-// Nothing is sent while no order is being carried out.
-func TestAgentsAreSilentWithoutOrders(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
+// Agents send nothing while no order is being carried out.
+func TestAgentsSendNoReportsWithoutOrders(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
 		time.Sleep(time.Minute)
-		w.is.Equal(w.sent(), 0)
-		w.begin()
-		w.serve(2*time.Second, true)
-		w.is.Equal(w.status().State, StateRolledBack)
-		sent := w.sent()
+		c.is.Equal(c.sent(), 0)
+		c.placeOrder()
+		c.serve(2*time.Second, true)
+		c.is.Equal(c.status().State, StateRolledBack)
+		sent := c.sent()
 		time.Sleep(time.Minute)
-		w.is.Equal(w.sent(), sent)
+		c.is.Equal(c.sent(), sent)
 	})
 }
 
-// The next node takes over from one that is killed, with all that was counted.
-func TestDeciderThatIsKilledIsReplaced(t *testing.T) {
+// The next node takes over from a killed decider, with all counts.
+func TestKilledDeciderIsReplaced(t *testing.T) {
 	for _, after := range []time.Duration{0, 500 * time.Millisecond, 5 * time.Second, 13200 * time.Millisecond, 15400 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			inWorld(t, func(w *agentWorld) {
-				killed := w.decider()
+			runInCluster(t, func(c *agentCluster) {
+				killed := c.decider()
 				kill := func() {
-					w.change(func() { killed.silent, killed.barred = true, true })
+					c.change(func() { killed.unresponsive, killed.storeCut = true, true })
 					killed.stop()
 				}
 				if after == 0 {
 					kill()
 				}
-				w.begin()
+				c.placeOrder()
 				if after > 0 {
-					w.serve(after, false)
+					c.serve(after, false)
 					kill()
 				}
-				w.serve(19*time.Second-after, false)
-				w.is.Equal(w.stages(), goodSteps)
+				c.serve(19*time.Second-after, false)
+				c.is.Equal(c.stages(), goodSteps)
 			})
 		})
 	}
 }
 
-func TestDeciderThatIsCutOffIsReplacedWhenTheVersionIsBad(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(3*time.Second, false)
-		w.change(func() { w.decider().silent = true })
-		w.serve(5*time.Second, true)
-		w.is.Equal(w.stages(), badSteps)
+func TestUnresponsiveDeciderIsReplacedWhenVersionIsBad(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(3*time.Second, false)
+		c.change(func() { c.decider().unresponsive = true })
+		c.serve(5*time.Second, true)
+		c.is.Equal(c.stages(), badSteps)
 	})
 }
 
 // A node that reaches the others but not the store leaves the writing to the next one.
-func TestDeciderThatGetsNothingWrittenIsPassedOver(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(5*time.Second, false)
-		w.change(func() { w.decider().barred = true })
-		w.serve(14*time.Second, false)
-		w.is.Equal(w.stages(), goodSteps)
+func TestDeciderThatCannotWriteIsReplaced(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(5*time.Second, false)
+		c.change(func() { c.decider().storeCut = true })
+		c.serve(14*time.Second, false)
+		c.is.Equal(c.stages(), goodSteps)
 	})
 }
 
-// A write whose answer is lost is found out to be done.
-func TestUnansweredWriteIsNotDoneTwice(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(8*time.Second, false)
-		w.change(func() { w.lost = 1 })
-		w.serve(11*time.Second, false)
-		w.is.Equal(w.stages(), goodSteps)
+// The writer finds out that a write whose reply was lost has been done.
+func TestUnansweredWriteIsNotRepeated(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(8*time.Second, false)
+		c.change(func() { c.lostReplies = 1 })
+		c.serve(11*time.Second, false)
+		c.is.Equal(c.stages(), goodSteps)
 	})
 }
 
-// A completion that was under way when another node rolled back does not stand.
-func TestLateStepDoesNotUndoARollBack(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serveUntil(StageWhole)
-		decider := w.decider()
+// Guards against a completion that was in flight while another node rolled back.
+func TestLateWriteDoesNotUndoRollback(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serveUntil(StageWhole)
+		decider := c.decider()
 		known, found := decider.tracker.Known(Key{Service: "s", Target: "v2", Created: 10}, time.Now())
-		w.is.True(found)
-		other := w.nodes[0]
+		c.is.True(found)
+		other := c.nodes[0]
 		rolledBack := Status{State: StateRolledBack, Target: "v2", Stage: StageWhole, Elapsed: known.Elapsed}
-		_, err := other.Answer(w.ctx, known.Order, rolledBack)
-		w.is.NoErr(err)
-		order, err := decider.Answer(w.ctx, known.Order, Status{State: StateCompleted, Target: "v2", Stage: StageWhole})
-		w.is.True(errors.Is(err, ErrChanged))
-		w.is.Equal(order.Status, rolledBack)
-		w.serve(5*time.Second, false)
-		w.is.Equal(w.status(), rolledBack)
+		_, err := other.Answer(c.ctx, known.Order, rolledBack)
+		c.is.NoErr(err)
+		order, err := decider.Answer(c.ctx, known.Order, Status{State: StateCompleted, Target: "v2", Stage: StageWhole})
+		c.is.True(errors.Is(err, ErrChanged))
+		c.is.Equal(order.Status, rolledBack)
+		c.serve(5*time.Second, false)
+		c.is.Equal(c.status(), rolledBack)
 	})
 }
 
-// While the store is away a bad version is halted all the same, and rolled back when the
-// store is there again.
-func TestBadVersionIsHaltedWhileTheStoreIsAway(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(3*time.Second, false)
-		w.change(func() { w.away = true })
-		w.serve(3*time.Second, true)
-		for _, node := range w.nodes {
-			w.is.True(node.tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
+// While the store is unavailable a bad version is halted all the same; it is rolled back once
+// the store is available again.
+func TestBadVersionIsHaltedWhileStoreIsUnavailable(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(3*time.Second, false)
+		c.change(func() { c.storeDown = true })
+		c.serve(3*time.Second, true)
+		for _, node := range c.nodes {
+			c.is.True(node.tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
 		}
-		w.is.Equal(w.status().State, StateRunning)
-		w.change(func() { w.away = false })
-		w.serve(3*time.Second, false)
-		w.is.Equal(w.stages(), badSteps)
+		c.is.Equal(c.status().State, StateRunning)
+		c.change(func() { c.storeDown = false })
+		c.serve(3*time.Second, false)
+		c.is.Equal(c.stages(), badSteps)
 	})
 }
 
-// The stage and the elapsed time outlast all processes.
-func TestOrderGoesOnAfterAllProcessesAreKilled(t *testing.T) {
+// The stage and the elapsed time survive the restart of all processes.
+func TestOrderContinuesAfterAllProcessesRestart(t *testing.T) {
 	for _, after := range []time.Duration{time.Second, 10 * time.Second, 13300 * time.Millisecond, 15400 * time.Millisecond} {
 		t.Run(after.String(), func(t *testing.T) {
-			inWorld(t, func(w *agentWorld) {
-				w.begin()
-				w.serve(after, false)
-				for _, node := range w.nodes {
+			runInCluster(t, func(c *agentCluster) {
+				c.placeOrder()
+				c.serve(after, false)
+				for _, node := range c.nodes {
 					node.stop()
-					time.Sleep(time.Millisecond) // what was under way has ended
+					time.Sleep(time.Millisecond) // requests in flight have ended
 					node.start(2)
-					node.agent.SetMembers(w.live)
+					node.agent.SetMembers(c.live)
 				}
-				w.change(w.tell)
-				w.serve(19*time.Second, false)
-				w.is.Equal(w.stages(), goodSteps)
+				c.change(c.notify)
+				c.serve(19*time.Second, false)
+				c.is.Equal(c.stages(), goodSteps)
 			})
 		})
 	}
 }
 
-// A part of the nodes that is cut off from the others can't take a step, and what it is
-// told when it is back stands.
+// A minority of the nodes that is cut off from the others cannot take a step, and adopts the
+// status of the others when it is back.
 func TestMinorityTakesNoStep(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(5*time.Second, false)
-		cut := w.nodes[0]
-		if cut == w.decider() {
-			cut = w.nodes[1]
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(5*time.Second, false)
+		isolated := c.nodes[0]
+		if isolated == c.decider() {
+			isolated = c.nodes[1]
 		}
-		w.change(func() { cut.silent = true })
-		w.serve(6*time.Second, false)
-		w.is.Equal(w.status().Stage, StageLoad)
-		for _, writer := range w.writers {
-			w.is.True(writer != cut.name)
+		c.change(func() { isolated.unresponsive = true })
+		c.serve(6*time.Second, false)
+		c.is.Equal(c.status().Stage, StageLoad)
+		for _, writer := range c.writers {
+			c.is.True(writer != isolated.name)
 		}
-		w.change(func() { cut.silent = false })
-		w.serve(9*time.Second, false)
-		w.is.Equal(w.stages(), goodSteps)
+		c.change(func() { isolated.unresponsive = false })
+		c.serve(9*time.Second, false)
+		c.is.Equal(c.stages(), goodSteps)
 	})
 }
 
-// A node that the others turn to decides, also where it reaches the first one itself.
+// A node that the others report to decides, even if it reaches the first one itself.
 func TestNodeThatGetsTheReportsDecides(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		first := w.decider()
-		own := w.nodes[0].agent.electors
-		own.failed(first.name, time.Now())
-		second := own.first("s", time.Now())
-		w.change(func() {
-			for _, node := range w.nodes {
+	runInCluster(t, func(c *agentCluster) {
+		first := c.decider()
+		election := c.nodes[0].agent.election
+		election.failed(first.name, time.Now())
+		second := election.decider("s", time.Now())
+		c.change(func() {
+			for _, node := range c.nodes {
 				if node.name != second.Name && node != first {
 					node.unreachable = map[string]bool{first.name: true}
 				}
 			}
 		})
-		w.begin()
-		w.serve(19*time.Second, false)
-		w.is.Equal(w.stages(), goodSteps)
+		c.placeOrder()
+		c.serve(19*time.Second, false)
+		c.is.Equal(c.stages(), goodSteps)
 	})
 }
 
-// Without news a node reports once in reportInterval.
-func TestReportsWithoutNewsAreRare(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		before := w.sent()
+// Without new answers a node reports once in idleReportInterval.
+func TestIdleReportInterval(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		before := c.sent()
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
-		sent := w.sent() - before
-		w.is.True(sent > 0)
-		w.is.True(sent <= (agentNodes-1)*int(6*time.Second/reportInterval+1))
+		sent := c.sent() - before
+		c.is.True(sent > 0)
+		c.is.True(sent <= (agentNodes-1)*int(6*time.Second/idleReportInterval+1))
 	})
 }
 
-// A node that gets nothing written says so, and reports to the next one itself.
-func TestNodesTurnFromOneThatGetsNothingWritten(t *testing.T) {
+// A node that cannot write to the store says so in its replies, and reports to the next one
+// itself.
+func TestReportersSkipNodeThatCannotWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		own, other := members.Member{Name: "own", Address: "own"}, members.Member{Name: "other", Address: "other"}
 		tracker := NewTracker(deciderBounds)
-		agent := NewAgent(Options{Own: own, Tracker: tracker, Registry: deafRegistry{}, Observer: silentObserver{}})
+		agent := NewAgent(Options{Own: own, Tracker: tracker, Registry: hangingRegistry{}, Observer: nopObserver{}})
 		agent.SetMembers([]members.Member{own, other})
 		order := orderAt(StateRunning, StageCanary, 0)
-		for number := 0; agent.electors.first(order.Service, time.Now()) != own; number++ {
+		for number := 0; agent.election.decider(order.Service, time.Now()) != own; number++ {
 			order.Service = fmt.Sprint("service-", number)
 		}
 		service := order.Service
 		tracker.Put(order, time.Now())
-		agent.write(t.Context(), agent.order(order), order, Action{Status: Status{State: StateRolledBack, Target: "v2"}})
-		is.Equal(agent.electors.first(service, time.Now()), other)
+		agent.write(t.Context(), agent.runOf(order), order, Action{Status: Status{State: StateRolledBack, Target: "v2"}})
+		is.Equal(agent.election.decider(service, time.Now()), other)
 		report := Report{Node: "other", Orders: []OrderReport{{Service: service, Target: "v2", Created: 10}}}
-		rulings, err := agent.Take(report)
+		replies, err := agent.Take(report)
 		is.NoErr(err)
-		is.Equal(rulings, []Ruling{{Service: service, Target: "v2", Created: 10, Unable: true}})
+		is.Equal(replies, []Ruling{{Service: service, Target: "v2", Created: 10, Unable: true}})
 		reporter := NewAgent(Options{Own: other, Tracker: tracker})
 		reporter.SetMembers([]members.Member{own, other})
-		is.Equal(reporter.electors.first(service, time.Now()), own)
-		is.Equal(reporter.obey(own, rulings), []Key{order.Key()})
-		is.Equal(reporter.electors.first(service, time.Now()), other)
+		is.Equal(reporter.election.decider(service, time.Now()), own)
+		is.Equal(reporter.applyReplies(own, replies), []Key{order.Key()})
+		is.Equal(reporter.election.decider(service, time.Now()), other)
 	})
 }
 
-// deafRegistry answers nothing.
-type deafRegistry struct{}
+// hangingRegistry never replies.
+type hangingRegistry struct{}
 
-func (deafRegistry) Answer(ctx context.Context, order Order, _ Status) (Order, error) {
+func (hangingRegistry) Answer(ctx context.Context, order Order, _ Status) (Order, error) {
 	<-ctx.Done()
 	return order, ctx.Err()
 }
 
-// A reporter that was told of a bad version tells the next node that decides.
-func TestHaltIsPassedOn(t *testing.T) {
+// A reporter that was told that a version is bad tells the next deciding node.
+func TestHaltIsForwarded(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(deciderBounds)
 	agent := NewAgent(Options{Own: members.Member{Name: "own"}, Tracker: tracker})
 	tracker.Put(orderAt(StateRunning, StageCanary, 0), time.Now())
-	told := OrderReport{Service: "s", Target: "v2", Created: 10, Halted: true}
-	rulings, err := agent.Take(Report{Node: "other", Orders: []OrderReport{told}})
+	report := OrderReport{Service: "s", Target: "v2", Created: 10, Halted: true}
+	replies, err := agent.Take(Report{Node: "other", Orders: []OrderReport{report}})
 	is.NoErr(err)
-	is.Equal(rulings, []Ruling{{Service: "s", Target: "v2", Created: 10, Halt: true}})
+	is.Equal(replies, []Ruling{{Service: "s", Target: "v2", Created: 10, Halt: true}})
 	is.True(tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
 }
 
-// A withdrawn order is dropped by all, and the next one begins anew.
-func TestNextOrderBeginsAnew(t *testing.T) {
-	inWorld(t, func(w *agentWorld) {
-		w.begin()
-		w.serve(2*time.Second, true)
-		w.is.Equal(w.stages(), badSteps)
-		w.change(func() {
-			w.written = nil
-			w.order = Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 30, Revision: 30}
-			w.tell()
+// All nodes drop a withdrawn order, and the next one starts from the beginning.
+func TestNextOrderStartsFromTheBeginning(t *testing.T) {
+	runInCluster(t, func(c *agentCluster) {
+		c.placeOrder()
+		c.serve(2*time.Second, true)
+		c.is.Equal(c.stages(), badSteps)
+		c.change(func() {
+			c.written = nil
+			c.order = Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 30, Revision: 30}
+			c.notify()
 		})
 		time.Sleep(400 * time.Millisecond)
-		w.is.Equal(w.stages(), []string{"waiting", "canary"})
-		for _, node := range w.nodes {
-			w.is.True(!node.tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
+		c.is.Equal(c.stages(), []string{"waiting", "canary"})
+		for _, node := range c.nodes {
+			c.is.True(!node.tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
 		}
 	})
 }
 
-// A process that was frozen can't tell how old the reports are that waited for it.
-func TestProcessThatWasFrozenRefusesReports(t *testing.T) {
+// A process that was frozen cannot tell how old the reports are that waited meanwhile.
+func TestFrozenProcessRefusesReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(deciderBounds)
 		own := members.Member{Name: "own", Address: "own"}
 		agent := NewAgent(Options{
-			Own: own, Bounds: deciderBounds, Tracker: tracker, Registry: refusingRegistry{},
-			Fleet: func(Order) Fleet { return Fleet{} }, Observer: silentObserver{},
+			Own: own, Bounds: deciderBounds, Tracker: tracker, Registry: conflictRegistry{},
+			Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 		})
 		order := orderAt(StateRunning, StageCanary, 0)
 		tracker.Put(order, time.Now())
 		report := Report{Node: "other", Orders: []OrderReport{{Service: "s", Target: "v2", Created: 10}}}
 		is.True(agent.tick(t.Context(), time.Now()))
-		rulings, err := agent.Take(report)
+		replies, err := agent.Take(report)
 		is.NoErr(err)
-		is.Equal(rulings, []Ruling{{Service: "s", Target: "v2", Created: 10}})
-		time.Sleep(longestTick + time.Millisecond)
+		is.Equal(replies, []Ruling{{Service: "s", Target: "v2", Created: 10}})
+		time.Sleep(maxTickGap + time.Millisecond)
 		_, err = agent.Take(report)
-		is.True(errors.Is(err, errWoken))
+		is.True(errors.Is(err, errResumed))
 		is.True(agent.tick(t.Context(), time.Now()))
 		_, err = agent.Take(report)
-		is.True(errors.Is(err, errWoken))
-		time.Sleep(wokenPause)
+		is.True(errors.Is(err, errResumed))
+		time.Sleep(resumePause)
 		_, err = agent.Take(report)
 		is.NoErr(err)
 		agent.tasks.Wait()
 	})
 }
 
-// A machine that was suspended looks no older to the steady clock: the process finds out by
-// one that goes on, before it takes a report.
-func TestProcessOnASuspendedMachineRefusesReports(t *testing.T) {
+// The monotonic clock stops while a machine is suspended. The process detects the suspension by
+// a clock that includes it, before it accepts a report.
+func TestProcessOnSuspendedMachineRefusesReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(deciderBounds)
 		suspended := time.Duration(0)
 		agent := NewAgent(Options{
-			Own: members.Member{Name: "own", Address: "own"}, Bounds: deciderBounds, Tracker: tracker, Registry: refusingRegistry{},
-			Fleet: func(Order) Fleet { return Fleet{} }, Observer: silentObserver{},
+			Own: members.Member{Name: "own", Address: "own"}, Bounds: deciderBounds, Tracker: tracker, Registry: conflictRegistry{},
+			Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 			Now: func() time.Time { return time.Now().Add(suspended) },
 		})
 		tracker.Put(orderAt(StateRunning, StageCanary, 0), agent.Now())
@@ -601,38 +603,38 @@
 		is.True(agent.tick(t.Context(), agent.Now()))
 		_, err := agent.Take(report)
 		is.NoErr(err)
-		suspended = longestTick + time.Millisecond
+		suspended = maxTickGap + time.Millisecond
 		_, err = agent.Take(report)
-		is.True(errors.Is(err, errWoken))
+		is.True(errors.Is(err, errResumed))
 		agent.tasks.Wait()
 	})
 }
 
-// refusingRegistry writes nothing.
-type refusingRegistry struct{}
+// conflictRegistry refuses all writes.
+type conflictRegistry struct{}
 
-func (refusingRegistry) Answer(_ context.Context, order Order, _ Status) (Order, error) {
+func (conflictRegistry) Answer(_ context.Context, order Order, _ Status) (Order, error) {
 	return order, ErrChanged
 }
 
-// keepingTransport keeps what is sent.
-type keepingTransport struct{ sent chan Report }
+// recordingTransport records what is sent.
+type recordingTransport struct{ sent chan Report }
 
-func (k keepingTransport) Send(_ context.Context, _ string, report Report) ([]Ruling, error) {
-	k.sent <- report
+func (r recordingTransport) Send(_ context.Context, _ string, report Report) ([]Ruling, error) {
+	r.sent <- report
 	return nil, errors.New("kept")
 }
 
-// Orders that the same node decides share a report.
-func TestOrdersOfTheSameDeciderShareAReport(t *testing.T) {
+// Orders with the same deciding node share a report.
+func TestOrdersOfSameDeciderShareReport(t *testing.T) {
 	is := is.New(t)
 	const count = 20
 	own, other := members.Member{Name: "own", Address: "own"}, members.Member{Name: "other", Address: "other"}
 	tracker := NewTracker(deciderBounds)
-	transport := keepingTransport{sent: make(chan Report, count)}
+	transport := recordingTransport{sent: make(chan Report, count)}
 	agent := NewAgent(Options{
-		Own: own, Bounds: deciderBounds, Tracker: tracker, Transport: transport, Registry: refusingRegistry{},
-		Fleet: func(Order) Fleet { return Fleet{} }, Observer: silentObserver{},
+		Own: own, Bounds: deciderBounds, Tracker: tracker, Transport: transport, Registry: conflictRegistry{},
+		Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 	})
 	agent.SetMembers([]members.Member{own, other})
 	now, elsewhere := time.Now(), 0
@@ -640,7 +642,7 @@
 		order := orderAt(StateRunning, StageCanary, 0)
 		order.Service = fmt.Sprint("service-", number)
 		tracker.Put(order, now)
-		if agent.electors.first(order.Service, now) == other {
+		if agent.election.decider(order.Service, now) == other {
 			elsewhere++
 		}
 	}
@@ -651,23 +653,23 @@
 	is.Equal(len((<-transport.sent).Orders), elsewhere)
 }
 
-// What is told of an order that is not known is no ruling: the reporter turns to another.
-func TestUnknownOrdersGetNoRuling(t *testing.T) {
+// A report of an unknown order gets no reply, so that the reporter fails over to another node.
+func TestUnknownOrdersGetNoReply(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(deciderBounds)
 	agent := NewAgent(Options{Own: members.Member{Name: "own"}, Tracker: tracker})
-	told := OrderReport{Service: "s", Target: "v2", Created: 10}
-	rulings, err := agent.Take(Report{Node: "other", Orders: []OrderReport{told}})
+	report := OrderReport{Service: "s", Target: "v2", Created: 10}
+	replies, err := agent.Take(Report{Node: "other", Orders: []OrderReport{report}})
 	is.NoErr(err)
-	is.Equal(len(rulings), 0)
+	is.Equal(len(replies), 0)
 	tracker.Put(orderAt(StateRolledBack, StageLoad, time.Second), time.Now())
-	rulings, err = agent.Take(Report{Node: "other", Orders: []OrderReport{told}})
+	replies, err = agent.Take(Report{Node: "other", Orders: []OrderReport{report}})
 	is.NoErr(err)
-	is.Equal(rulings, []Ruling{{Service: "s", Target: "v2", Created: 10, Halt: true}})
+	is.Equal(replies, []Ruling{{Service: "s", Target: "v2", Created: 10, Halt: true}})
 }
 
-// What the operators have withdrawn does not come back with the answer to a write that
-// was under way.
+// Guards against an order that comes back after its withdrawal, with the reply to a write that
+// was in flight.
 func TestWithdrawnOrderStaysWithdrawn(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(deciderBounds)
@@ -687,8 +689,8 @@
 	is.Equal(orders, []Order{next})
 }
 
-// All nodes agree on the order of the deciders, and on the next one.
-func TestElectorsAgree(t *testing.T) {
+// All nodes agree on the deciding node, and on the next one if that fails.
+func TestNodesAgreeOnDecider(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	var live []members.Member
@@ -700,59 +702,60 @@
 		name := fmt.Sprint("service-", service)
 		var first, second string
 		for _, own := range live {
-			known := newElectors(own)
-			known.set(live)
-			chosen := known.first(name, now).Name
+			election := newElection(own)
+			election.set(live)
+			chosen := election.decider(name, now).Name
 			is.True(first == "" || chosen == first)
 			first = chosen
 			if own.Name == first {
 				continue
 			}
-			known.failed(first, now)
-			next := known.first(name, now).Name
+			election.failed(first, now)
+			next := election.decider(name, now).Name
 			is.True(next != first)
 			if next != own.Name {
 				is.True(second == "" || next == second)
 				second = next
 			}
-			is.Equal(known.first(name, now.Add(failedAvoidance)).Name, first)
+			is.Equal(election.decider(name, now.Add(failureBackoff)).Name, first)
 		}
 		firsts[first] = true
 	}
 	is.True(len(firsts) > 4)
 }
 
-// A node that can't be reported to decides only where it is alone.
-func TestElectorsPassOverNodesWithoutAddress(t *testing.T) {
+// A node without address gets no reports, so it decides only if it is alone.
+func TestNodesWithoutAddressDoNotDecide(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	own := members.Member{Name: "own"}
-	known := newElectors(own)
-	is.Equal(known.first("s", now), own)
+	election := newElection(own)
+	is.Equal(election.decider("s", now), own)
 	other := members.Member{Name: "other", Address: "a"}
-	known.set([]members.Member{own, other, {Name: "third"}})
-	is.Equal(known.live, 3)
+	election.set([]members.Member{own, other, {Name: "third"}})
+	is.Equal(election.live, 3)
 	for service := range 10 {
-		is.Equal(known.first(fmt.Sprint(service), now), other)
+		is.Equal(election.decider(fmt.Sprint(service), now), other)
 	}
-	known.failed("other", now)
-	is.Equal(known.first("s", now), own)
+	election.failed("other", now)
+	is.Equal(election.decider("s", now), own)
 }
 
-// When several nodes get nothing written, the store is away: the first one goes on.
-func TestElectorsStayWhenTheStoreIsAway(t *testing.T) {
+// If several nodes cannot write, it is the store that is unavailable: the first node keeps
+// deciding.
+func TestDeciderStaysWhenStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	known := newElectors(members.Member{Name: "own", Address: "own"})
+	election := newElection(members.Member{Name: "own", Address: "own"})
 	var live []members.Member
 	for index := range 9 {
 		live = append(live, members.Member{Name: fmt.Sprint("node-", index), Address: fmt.Sprint("address-", index)})
 	}
-	known.set(live)
-	first := known.first("s", now)
-	for range mostUnable {
-		next := known.first("s", now)
-		known.unable(next.Name, now)
+	election.set(live)
+	first := election.decider("s", now)
+	for range maxSkipped {
+		next := election.decider("s", now)
+		election.readOnly(next.Name, now)
 	}
-	is.Equal(known.first("s", now), first)
+	is.Equal(election.decider("s", now), first)
 }
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -8,74 +8,74 @@
 )
 
 const (
-	// freshFor is how old a report may be that counts for a step forward. A report that
-	// is due every reportInterval may be late once.
-	freshFor = 1500 * time.Millisecond
-	// longestTick is the time between two ticks from which a process counts as frozen:
-	// what it knew may have been decided otherwise since. Ticks are tickInterval apart.
-	longestTick = time.Second
-	// wholeTime is for how long all nodes send everything to the new version before the
-	// old servers may stop: what was chosen before has been sent by then.
-	wholeTime = 400 * time.Millisecond
-	// longestDrain is how long requests under way at old servers are waited for.
-	longestDrain = 2 * time.Second
-	// longestAdoption is how long nodes that report, but do not learn of a step, are
-	// waited for as long as they are the smaller part.
-	longestAdoption = 3 * time.Second
+	// maxReportAge is the age up to which a report counts for a step forward. A report that is
+	// due every idleReportInterval may be late once.
+	maxReportAge = 1500 * time.Millisecond
+	// maxTickGap is the time between two ticks above which the process counts as frozen:
+	// another node may have decided since. Ticks are tickInterval apart.
+	maxTickGap = time.Second
+	// minWholeTime is how long all nodes must send everything to the new version before the old
+	// servers may stop: attempts whose server was chosen earlier have been sent by then.
+	minWholeTime = 400 * time.Millisecond
+	// maxDrainWait bounds the wait for requests in flight at old servers.
+	maxDrainWait = 2 * time.Second
+	// maxAdoptionWait bounds the wait for nodes that report but have not adopted the latest
+	// status, provided that at least half of the reporting nodes have.
+	maxAdoptionWait = 3 * time.Second
 )
 
 // Fleet counts the ready servers of a service as one node knows them.
 type Fleet struct {
-	// New are those of an order's target that listed themselves after the order, Earlier
-	// those of the target that were there before it.
+	// New are the servers of the order's target that registered after the order, Earlier those
+	// of the target that registered before it.
 	New, Earlier int
 	// Others are the servers of other versions.
 	Others int
 }
 
-// View is what the deciding node knows of an order besides the reports.
+// View is what the deciding node knows about an order besides the reports.
 type View struct {
 	Order  Order
 	Bounds Bounds
-	// Elapsed is for how long the order has run.
+	// Elapsed is how long the order has run.
 	Elapsed time.Duration
-	// Halted is set if the target was found to be bad, be it by another node.
+	// Halted is set if the target was found bad, by this node or another one.
 	Halted bool
 	Fleet  Fleet
 	// Live is the number of live nodes.
 	Live int
 }
 
-// Action is what the deciding node has to do. The zero value is nothing.
+// Action is what the deciding node does next. The zero value does nothing.
 type Action struct {
-	// Status is to be written on condition of the order's revision; nothing is if its
+	// Status is to be written on condition of the order's revision. Nothing is written if its
 	// state is StateNone.
 	Status Status
-	// Halt is set if the target must get nothing more, whatever becomes of the write.
+	// Halt means that the target must get nothing more, whether or not the write succeeds.
 	Halt bool
-	// Cause says why, where the status alone does not.
+	// Cause is the reason, where the status alone does not tell it.
 	Cause string
-	// Verdict is what the evidence said.
+	// Verdict is the verdict on the evidence.
 	Verdict Verdict
 }
 
-// Decider takes one order from step to step. It does no I/O and reads no clock: each
-// tick says what to do next. An action is repeated until a later status, or the end of
-// the order, is known. The zero value knows of no reports.
+// Decider takes one order from stage to stage. It does no I/O and reads no clock: each tick
+// returns the next action, which is repeated until a later status, or the end of the order, is
+// known. The zero value has no reports.
 type Decider struct {
 	Pool Pool
 
 	tickedAt time.Time
-	// halted is set once the target was found to be bad, good once it was found good.
+	// halted is set once the target was found bad, good once it was found good.
 	halted, good bool
-	// adoptedAt is since when all nodes that report have adopted the status of the
-	// revision adopted.
-	adopted   catalog.Revision
-	adoptedAt time.Time
+	// adoptedAt is since when all reporting nodes have adopted the status at adoptedRevision;
+	// zero while some have not.
+	adoptedRevision catalog.Revision
+	adoptedAt       time.Time
 }
 
-// pooled is what a decider asks of the pooled reports; Pool implements it.
-type pooled interface {
+// reportPool is what a decider needs from the pooled reports; Pool implements it.
+type reportPool interface {
 	Judge() Verdict
 	Reporters(now time.Time, within time.Duration) int
 	Adopted(revision catalog.Revision, now time.Time, within time.Duration) int
@@ -85,9 +85,9 @@
 	MayAdvance(order Order, plan Plan, bounds Bounds, now time.Time) bool
 }
 
-// Tick returns what is to be done now. A decider that was frozen forgets all reports.
+// Tick returns what to do now. A decider that was frozen discards all reports.
 func (d *Decider) Tick(view View, now time.Time) Action {
-	frozen := !d.tickedAt.IsZero() && now.Sub(d.tickedAt) > longestTick
+	frozen := !d.tickedAt.IsZero() && now.Sub(d.tickedAt) > maxTickGap
 	d.tickedAt = now
 	if frozen {
 		d.Rest()
@@ -96,24 +96,24 @@
 	return d.decide(view, &d.Pool, now)
 }
 
-// moment is one tick of a decider.
-type moment struct {
+// tickState is the input of one tick.
+type tickState struct {
 	View
-	pool    pooled
+	pool    reportPool
 	plan    Plan
 	current Status
 	elapsed time.Duration
 	now     time.Time
-	// doubtful is set if the target was found good, but what came since speaks against it,
-	// and there is time left to wait for more.
-	doubtful bool
+	// noLongerGood is set if the target was found good, the evidence is undecided since, and
+	// there is time left to wait for more.
+	noLongerGood bool
 }
 
-func (d *Decider) decide(view View, pool pooled, now time.Time) Action {
+func (d *Decider) decide(view View, pool reportPool, now time.Time) Action {
 	if view.Order.Ended() {
 		return Action{}
 	}
-	at := moment{
+	tick := tickState{
 		View:    view,
 		pool:    pool,
 		plan:    NewPlan(view.Order.Duration),
@@ -122,155 +122,154 @@
 		now:     now,
 	}
 	if cause := view.Order.Invalid(); cause != "" {
-		return at.rollBack(cause)
+		return tick.rollBack(cause)
 	}
-	d.noteAdoption(at)
+	d.updateAdoption(tick)
 	verdict := pool.Judge()
 	d.halted = d.halted || view.Halted || verdict.Finding == Bad
 	d.good = d.good || verdict.Finding == Good
-	at.doubtful = d.good && verdict.Finding == Undecided && at.elapsed < at.plan.GiveUp
-	action := d.next(at, verdict)
+	tick.noLongerGood = d.good && verdict.Finding == Undecided && tick.elapsed < tick.plan.GiveUp
+	action := d.next(tick, verdict)
 	action.Verdict = verdict
 	return action
 }
 
-// next returns the next step.
-func (d *Decider) next(at moment, verdict Verdict) Action {
+// next returns the next action.
+func (d *Decider) next(tick tickState, verdict Verdict) Action {
 	if d.halted {
-		action := at.rollBack(cmp.Or(verdict.Cause, "found bad by another node"))
+		action := tick.rollBack(cmp.Or(verdict.Cause, "found bad by another node"))
 		action.Halt = true
 		return action
 	}
-	if at.current.State == StateNone {
-		return at.write(StateRunning, StageWaiting)
+	if tick.current.State == StateNone {
+		return tick.write(StateRunning, StageWaiting)
 	}
-	if at.current.Stage == StageWhole {
-		return d.afterWhole(at)
+	if tick.current.Stage == StageWhole {
+		return d.completeWhenDrained(tick)
 	}
-	if at.inUse() {
-		if at.elapsed < at.plan.Shift {
+	if tick.inUse() {
+		if tick.elapsed < tick.plan.Shift {
 			return Action{}
 		}
-		action := at.write(StateCompleted, StageWaiting)
+		action := tick.write(StateCompleted, StageWaiting)
 		action.Cause = "the version is in use already"
 		return action
 	}
-	if at.elapsed >= at.plan.GiveUp {
-		return at.rollBack(at.whyNotGood())
+	if tick.elapsed >= tick.plan.GiveUp {
+		return tick.rollBack(tick.giveUpCause())
 	}
-	return at.towardsWhole()
+	return tick.nextStage()
 }
 
-// towardsWhole returns the next of the steps that keep to the bounds, or the one that moves
-// all traffic.
-func (m moment) towardsWhole() Action {
+// nextStage returns the step to the next stage, up to StageWhole, if it is due.
+func (t tickState) nextStage() Action {
 	switch {
-	case m.current.Stage == StageWaiting:
-		if m.servers() > 0 {
-			return m.write(StateRunning, StageCanary)
+	case t.current.Stage == StageWaiting:
+		if t.servers() > 0 {
+			return t.write(StateRunning, StageCanary)
 		}
-	case !m.majority():
-	case m.current.Stage == StageShift:
-		if m.elapsed >= m.plan.Whole && m.inStage() >= shiftTime && m.mostAdopted() && m.mayAdvance() {
-			return m.write(StateRunning, StageWhole)
+	case !t.hasQuorum():
+	case t.current.Stage == StageShift:
+		if t.elapsed >= t.plan.Whole && t.stageAge() >= minShiftTime && t.adoptedByQuorum() && t.mayAdvance() {
+			return t.write(StateRunning, StageWhole)
 		}
-	case m.elapsed >= m.plan.Shift:
-		if m.mayAdvance() {
-			return m.write(StateRunning, StageShift)
+	case t.elapsed >= t.plan.Shift:
+		if t.mayAdvance() {
+			return t.write(StateRunning, StageShift)
 		}
-	case m.current.Stage == StageCanary && m.elapsed >= m.plan.Load:
-		return m.write(StateRunning, StageLoad)
+	case t.current.Stage == StageCanary && t.elapsed >= t.plan.Load:
+		return t.write(StateRunning, StageLoad)
 	}
 	return Action{}
 }
 
-func (m moment) mayAdvance() bool {
-	return m.servers() > 0 && m.pool.MayAdvance(m.Order, m.plan, m.Bounds, m.now)
+func (t tickState) mayAdvance() bool {
+	return t.servers() > 0 && t.pool.MayAdvance(t.Order, t.plan, t.Bounds, t.now)
 }
 
-// afterWhole completes the order once nothing is under way at the old servers, which stop
-// at once then.
-func (d *Decider) afterWhole(at moment) Action {
-	if at.doubtful || !at.majority() {
+// completeWhenDrained completes the order once no requests are in flight at the old servers,
+// which stop right after completion.
+func (d *Decider) completeWhenDrained(tick tickState) Action {
+	if tick.noLongerGood || !tick.hasQuorum() {
 		return Action{}
 	}
-	everywhere := time.Duration(0)
+	adoptedFor := time.Duration(0)
 	if !d.adoptedAt.IsZero() {
-		everywhere = at.now.Sub(d.adoptedAt)
+		adoptedFor = tick.now.Sub(d.adoptedAt)
 	}
-	drained := everywhere >= wholeTime && at.pool.OldUnderWay() == 0
+	drained := adoptedFor >= minWholeTime && tick.pool.OldUnderWay() == 0
 	switch {
-	case drained, everywhere >= longestDrain:
-	case at.inStage() >= longestAdoption && at.mostAdopted():
+	case drained, adoptedFor >= maxDrainWait:
+	case tick.stageAge() >= maxAdoptionWait && tick.adoptedByQuorum():
 	default:
 		return Action{}
 	}
-	return at.write(StateCompleted, StageWhole)
+	return tick.write(StateCompleted, StageWhole)
 }
 
-// noteAdoption keeps since when all nodes that report have adopted the latest status.
-func (d *Decider) noteAdoption(at moment) {
-	if d.adopted != at.Order.Revision {
-		d.adopted, d.adoptedAt = at.Order.Revision, time.Time{}
+// updateAdoption records since when all reporting nodes have adopted the latest status.
+func (d *Decider) updateAdoption(tick tickState) {
+	if d.adoptedRevision != tick.Order.Revision {
+		d.adoptedRevision, d.adoptedAt = tick.Order.Revision, time.Time{}
 	}
-	reporters := at.pool.Reporters(at.now, freshFor)
-	all := reporters > 0 && at.pool.Adopted(at.Order.Revision, at.now, freshFor) >= reporters
+	reporters := tick.pool.Reporters(tick.now, maxReportAge)
+	all := reporters > 0 && tick.pool.Adopted(tick.Order.Revision, tick.now, maxReportAge) >= reporters
 	switch {
 	case !all:
 		d.adoptedAt = time.Time{}
 	case d.adoptedAt.IsZero():
-		d.adoptedAt = at.now
+		d.adoptedAt = tick.now
 	}
 }
 
-// majority reports whether at least half of the live nodes have reported lately.
-func (m moment) majority() bool {
-	reporters := m.pool.Reporters(m.now, freshFor)
-	return reporters > 0 && 2*reporters >= m.Live
+// hasQuorum reports whether at least half of the live nodes have reported recently.
+func (t tickState) hasQuorum() bool {
+	reporters := t.pool.Reporters(t.now, maxReportAge)
+	return reporters > 0 && 2*reporters >= t.Live
 }
 
-// mostAdopted reports whether at least half of the nodes that report have adopted the
-// latest status.
-func (m moment) mostAdopted() bool {
-	return 2*m.pool.Adopted(m.Order.Revision, m.now, freshFor) >= m.pool.Reporters(m.now, freshFor)
+// adoptedByQuorum reports whether at least half of the reporting nodes have adopted the latest
+// status.
+func (t tickState) adoptedByQuorum() bool {
+	return 2*t.pool.Adopted(t.Order.Revision, t.now, maxReportAge) >= t.pool.Reporters(t.now, maxReportAge)
 }
 
-// inStage returns for how long the stage in force has lasted.
-func (m moment) inStage() time.Duration { return m.elapsed - m.current.Elapsed }
+// stageAge returns how long the current stage has lasted.
+func (t tickState) stageAge() time.Duration { return t.elapsed - t.current.Elapsed }
 
 // servers returns how many ready servers the order has started.
-func (m moment) servers() int { return max(m.Fleet.New, m.pool.Servers()) }
+func (t tickState) servers() int { return max(t.Fleet.New, t.pool.Servers()) }
 
-// inUse reports whether the target is the version that is in use: there is nothing to
-// move, unless servers that the order starts come yet.
-func (m moment) inUse() bool {
-	return m.servers() == 0 && m.Fleet.Earlier > 0 && m.Fleet.Others == 0
+// inUse reports whether the target is the version in use already: there is no traffic to move,
+// unless servers that the order starts are still to come.
+func (t tickState) inUse() bool {
+	return t.servers() == 0 && t.Fleet.Earlier > 0 && t.Fleet.Others == 0
 }
 
-// whyNotGood returns why the target can't get the traffic.
-func (m moment) whyNotGood() string {
+// giveUpCause returns why the target cannot get the traffic.
+func (t tickState) giveUpCause() string {
 	switch {
-	case m.servers() == 0:
+	case t.servers() == 0:
 		return "no server of the version"
-	case !m.majority():
+	case !t.hasQuorum():
 		return "too few nodes report"
 	}
 	return "not found good in time"
 }
 
-func (m moment) rollBack(cause string) Action {
-	action := m.write(StateRolledBack, m.current.Stage)
+func (t tickState) rollBack(cause string) Action {
+	action := t.write(StateRolledBack, t.current.Stage)
 	action.Cause = cause
 	return action
 }
 
-func (m moment) write(state State, stage Stage) Action {
-	return Action{Status: Status{State: state, Target: m.Order.Target, Stage: stage, Elapsed: m.elapsed}}
+func (t tickState) write(state State, stage Stage) Action {
+	return Action{Status: Status{State: state, Target: t.Order.Target, Stage: stage, Elapsed: t.elapsed}}
 }
 
-// Rest forgets all reports: another node decides.
+// Rest discards all reports, because another node decides.
 func (d *Decider) Rest() {
 	d.Pool = Pool{}
-	d.tickedAt, d.adopted, d.adoptedAt = time.Time{}, 0, time.Time{}
+	d.tickedAt, d.adoptedRevision, d.adoptedAt = time.Time{}, 0, time.Time{}
 	d.good = false
 }
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -11,12 +11,12 @@
 
 var deciderBounds = Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
 
-// fakePool is what a decider is told of the reports.
+// fakePool returns fixed values for the reports.
 type fakePool struct {
 	finding            Finding
 	reporters, adopted int
 	elapsed            time.Duration
-	oldUnderWay        int
+	oldInFlight        int
 	servers            int
 }
 
@@ -24,11 +24,11 @@
 func (f fakePool) Reporters(time.Time, time.Duration) int                 { return f.reporters }
 func (f fakePool) Adopted(catalog.Revision, time.Time, time.Duration) int { return f.adopted }
 func (f fakePool) Elapsed(time.Time) time.Duration                        { return f.elapsed }
-func (f fakePool) OldUnderWay() int                                       { return f.oldUnderWay }
+func (f fakePool) OldUnderWay() int                                       { return f.oldInFlight }
 func (f fakePool) Servers() int                                           { return f.servers }
 func (f fakePool) MayAdvance(Order, Plan, Bounds, time.Time) bool         { return f.finding == Good }
 
-// orderAt returns an order of 20 s whose latest status was written at the time.
+// orderAt returns an order of 20 s whose latest status was written at the given elapsed time.
 func orderAt(state State, stage Stage, written time.Duration) Order {
 	order := Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 10, Revision: 11}
 	if state != StateNone {
@@ -49,7 +49,7 @@
 	good := with(func(p *fakePool) { p.finding = Good })
 	bad := with(func(p *fakePool) { p.finding = Bad })
 	few := with(func(p *fakePool) { p.finding, p.reporters, p.adopted = Good, 1, 1 })
-	late := with(func(p *fakePool) { p.finding, p.adopted = Good, 1 })
+	notAdopted := with(func(p *fakePool) { p.finding, p.adopted = Good, 1 })
 	none := with(func(p *fakePool) { p.servers = 0 })
 	for _, test := range []struct {
 		name    string
@@ -76,23 +76,23 @@
 		{"shift, but few report", running(StageLoad, 9*time.Second), few, Fleet{}, plan.Shift, StateNone, 0, false},
 		{"shift, servers gone", running(StageLoad, 9*time.Second), with(func(p *fakePool) { p.finding, p.servers = Good, 0 }), Fleet{}, plan.Shift, StateNone, 0, false},
 		{"not found good in time", running(StageLoad, 9*time.Second), busy, Fleet{}, plan.GiveUp, StateRolledBack, StageLoad, false},
-		{"given up by one that hears few", running(StageLoad, 9*time.Second), few, Fleet{}, 18 * time.Second, StateRolledBack, StageLoad, false},
+		{"given up, but few report", running(StageLoad, 9*time.Second), few, Fleet{}, 18 * time.Second, StateRolledBack, StageLoad, false},
 		{"shift goes on", running(StageShift, 13*time.Second), good, Fleet{}, plan.Whole - 1, StateNone, 0, false},
-		{"late shift goes on", running(StageShift, plan.Whole), good, Fleet{}, plan.Whole + shiftTime - 1, StateNone, 0, false},
-		{"shift unknown to most", running(StageShift, 13*time.Second), late, Fleet{}, plan.Whole + time.Second, StateNone, 0, false},
+		{"late shift goes on", running(StageShift, plan.Whole), good, Fleet{}, plan.Whole + minShiftTime - 1, StateNone, 0, false},
+		{"shift unknown to most", running(StageShift, 13*time.Second), notAdopted, Fleet{}, plan.Whole + time.Second, StateNone, 0, false},
 		{"whole", running(StageShift, plan.Shift), good, Fleet{}, plan.Whole, StateRunning, StageWhole, false},
 		{"whole, undecided", running(StageShift, plan.Shift), busy, Fleet{}, plan.Whole, StateNone, 0, false},
 		{"whole, but few report", running(StageShift, plan.Shift), few, Fleet{}, plan.Whole, StateNone, 0, false},
 		{"not found good in the shift", running(StageShift, plan.Shift), busy, Fleet{}, plan.GiveUp, StateRolledBack, StageShift, false},
 		{"not completed at once", running(StageWhole, 14*time.Second), good, Fleet{}, 14 * time.Second, StateNone, 0, false},
 		{"unknown to one for long", running(StageWhole, 14*time.Second), with(func(p *fakePool) { p.adopted = 2 }), Fleet{}, 17 * time.Second, StateCompleted, StageWhole, false},
-		{"unknown to most for long", running(StageWhole, 14*time.Second), late, Fleet{}, 18 * time.Second, StateNone, 0, false},
+		{"unknown to most for long", running(StageWhole, 14*time.Second), notAdopted, Fleet{}, 18 * time.Second, StateNone, 0, false},
 		{"bad at once", orderAt(StateNone, 0, 0), bad, Fleet{}, 0, StateRolledBack, StageWaiting, true},
 		{"bad in canary", running(StageCanary, 0), bad, Fleet{}, 3 * time.Second, StateRolledBack, StageCanary, true},
 		{"bad in load", running(StageLoad, 9*time.Second), bad, Fleet{}, 10 * time.Second, StateRolledBack, StageLoad, true},
 		{"bad in shift", running(StageShift, 13*time.Second), bad, Fleet{}, 13 * time.Second, StateRolledBack, StageShift, true},
 		{"bad in whole", running(StageWhole, 14*time.Second), bad, Fleet{}, 18 * time.Second, StateRolledBack, StageWhole, true},
-		{"bad for one that hears few", running(StageLoad, 9*time.Second), with(func(p *fakePool) { p.finding, p.reporters = Bad, 1 }), Fleet{}, 10 * time.Second, StateRolledBack, StageLoad, true},
+		{"bad, but few report", running(StageLoad, 9*time.Second), with(func(p *fakePool) { p.finding, p.reporters = Bad, 1 }), Fleet{}, 10 * time.Second, StateRolledBack, StageLoad, true},
 		{"completed already", orderAt(StateCompleted, StageWhole, 15*time.Second), bad, Fleet{}, 18 * time.Second, StateNone, 0, false},
 		{"rolled back already", orderAt(StateRolledBack, StageLoad, 15*time.Second), good, Fleet{}, 18 * time.Second, StateNone, 0, false},
 		{"in use, new servers may come", running(StageWaiting, 0), none, Fleet{Earlier: 3}, 5 * time.Second, StateNone, 0, false},
@@ -133,12 +133,12 @@
 			is.Equal(action.Status, Status{State: StateRolledBack, Target: test.target})
 			is.True(action.Cause != "")
 			order.Status = action.Status
-			is.Equal(decider.decide(View{Order: order, Live: 1}, fakePool{}, epoch), Action{}) // answered once
+			is.Equal(decider.decide(View{Order: order, Live: 1}, fakePool{}, epoch), Action{}) // no second write
 		})
 	}
 }
 
-// The status of an earlier order for another version is no answer to this one.
+// The status of an earlier order for another version is not a status of this one.
 func TestDeciderIgnoresTheStatusOfAnotherVersion(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
@@ -148,21 +148,21 @@
 	is.Equal(action.Status, Status{State: StateRunning, Target: "v2"})
 }
 
-// The old servers stop at once when an order is completed: first all nodes send to the
-// new ones, and what is under way at the old ones ends.
+// The old servers stop right after completion. Before that, all nodes must send to the new
+// ones, and requests in flight at the old ones must end.
 func TestDeciderCompletesOnceOldServersAreIdle(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		oldUnderWay int
 		after       time.Duration
 	}{
-		{"idle", 0, wholeTime},
-		{"one hangs", 1, longestDrain},
+		{"idle", 0, minWholeTime},
+		{"one hangs", 1, maxDrainWait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			var decider Decider
-			pool := fakePool{finding: Good, reporters: 3, adopted: 3, servers: 2, oldUnderWay: test.oldUnderWay}
+			pool := fakePool{finding: Good, reporters: 3, adopted: 3, servers: 2, oldInFlight: test.oldUnderWay}
 			at := func(passed time.Duration) Action {
 				view := View{Order: orderAt(StateRunning, StageWhole, 14*time.Second), Bounds: deciderBounds, Elapsed: 14*time.Second + passed, Live: 3}
 				return decider.decide(view, pool, epoch.Add(passed))
@@ -175,20 +175,20 @@
 }
 
 // A node that has not adopted the last step yet may still send to the old servers.
-func TestDeciderCountsFromTheLastAdoption(t *testing.T) {
+func TestDeciderWaitsForLastAdoption(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
 	view := View{Order: orderAt(StateRunning, StageWhole, 14*time.Second), Bounds: deciderBounds, Elapsed: 15 * time.Second, Live: 3}
 	pool := fakePool{finding: Good, reporters: 3, adopted: 2, servers: 2}
 	is.Equal(decider.decide(view, pool, epoch).Status.State, StateNone)
 	pool.adopted = 3
-	is.Equal(decider.decide(view, pool, epoch.Add(wholeTime)).Status.State, StateNone)
-	is.Equal(decider.decide(view, pool, epoch.Add(2*wholeTime)).Status.State, StateCompleted)
+	is.Equal(decider.decide(view, pool, epoch.Add(minWholeTime)).Status.State, StateNone)
+	is.Equal(decider.decide(view, pool, epoch.Add(2*minWholeTime)).Status.State, StateCompleted)
 }
 
-// What was good and is not any more may be about to turn out bad: the last step waits, but
-// not beyond the time in which it can be taken.
-func TestDeciderWaitsWhileInDoubt(t *testing.T) {
+// A version that was found good and is undecided now may be about to turn out bad: the last
+// step waits, but not beyond the time until which it can be taken.
+func TestDeciderWaitsWhileNoLongerGood(t *testing.T) {
 	plan := NewPlan(20 * time.Second)
 	for _, test := range []struct {
 		stage   Stage
@@ -213,8 +213,8 @@
 	}
 }
 
-// What was found bad stays bad, also when another node has found it.
-func TestDeciderStaysWithBad(t *testing.T) {
+// A version that was found bad stays bad, even if another node found it.
+func TestBadFindingIsFinal(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
 	view := View{Order: orderAt(StateRunning, StageLoad, 9*time.Second), Bounds: deciderBounds, Elapsed: 14 * time.Second, Live: 1}
@@ -227,23 +227,23 @@
 	is.Equal(other.decide(view, fakePool{finding: Good, reporters: 1, adopted: 1, servers: 1}, epoch).Status.State, StateRolledBack)
 }
 
-// A process that was frozen forgets its reports: they may be of another time.
-func TestEvidenceIsCurrent(t *testing.T) {
+// A process that was frozen discards its reports, which may be outdated.
+func TestFrozenDeciderDiscardsReports(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
 	view := View{Order: orderAt(StateRunning, StageCanary, 0), Bounds: deciderBounds, Elapsed: 9 * time.Second, Live: 1}
 	report := OrderReport{Service: "s", Target: "v2", Created: 10, Revision: 11, Servers: 1}
 	decider.Pool.Add("a", 1, 1, report, epoch)
 	is.Equal(decider.Tick(view, epoch).Status.Stage, StageLoad)
-	woken := epoch.Add(longestTick + time.Millisecond)
-	is.Equal(decider.Tick(view, woken), Action{})
-	is.Equal(decider.Pool.Reporters(woken, time.Hour), 0)
-	decider.Pool.Add("a", 1, 2, report, woken)
-	is.Equal(decider.Tick(view, woken).Status.Stage, StageLoad)
+	resumed := epoch.Add(maxTickGap + time.Millisecond)
+	is.Equal(decider.Tick(view, resumed), Action{})
+	is.Equal(decider.Pool.Reporters(resumed, time.Hour), 0)
+	decider.Pool.Add("a", 1, 2, report, resumed)
+	is.Equal(decider.Tick(view, resumed).Status.Stage, StageLoad)
 }
 
-// Reports that come after another node has decided for a while count at once.
-func TestDeciderThatRestedGoesOn(t *testing.T) {
+// Reports count at once when a node decides again after another one did for a while.
+func TestDeciderContinuesAfterReset(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
 	view := View{Order: orderAt(StateRunning, StageCanary, 0), Bounds: deciderBounds, Elapsed: 9 * time.Second, Live: 1}
--- a/internal/rollout/describe.go
+++ b/internal/rollout/describe.go
@@ -1,28 +1,30 @@
 package rollout
 
-// Description is what one process knows and does of an order, for operators.
+// Description is what one process knows about an order and does for it, for operators.
 type Description struct {
 	Service string
 	Target  Version
 	State   string
 	Stage   string
-	// Halted is set once this process has been told that the target is bad.
+	// Halted is set once this process was told that the target is bad.
 	Halted bool `json:",omitempty"`
-	// Invalid is why the order can't be carried out; empty if it can.
+	// Invalid is why the order cannot be carried out; empty if it can.
 	Invalid string `json:",omitempty"`
-	// ElapsedSeconds and DurationSeconds are how long the order has run and may run.
+	// ElapsedSeconds is how long the order has run, DurationSeconds how long it may run.
 	ElapsedSeconds  float64
 	DurationSeconds float64
-	// Requests of the service since the process learned of the order, Sent those that it
-	// sent to the target, Allowed how many the stage allows by now; whole bounds none.
+	// Requests counts the requests of the service since the process learned of the order, Sent
+	// those that it sent to the target, Allowed how many the stage allows by now; StageWhole
+	// has no bound.
 	Requests, Sent, Allowed uint32
 	// Old and New are the answers of the other versions and of the target.
 	Old, New Counts
-	// UnreportedSeconds is how long something that came of the target is unreported.
+	// UnreportedSeconds is the age of the oldest result of the target that is in no delivered
+	// report.
 	UnreportedSeconds float64 `json:",omitempty"`
 }
 
-// Describe returns what the process knows and does of the order.
+// Describe returns the description of the order.
 func (u Usage) Describe() Description {
 	status := u.Order.Current()
 	description := Description{
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/evaluate_test.go
@@ -8,39 +8,39 @@
 	"github.com/matryer/is"
 )
 
-// second are the answers of one second on one route.
+// second holds the answers of one second on one route.
 type second struct {
 	old Counts
 	new map[ServerID]Counts
 }
 
-// all returns counts of answers of which some failed and some were slow.
+// all returns the counts of answers of which some failed and some were slow.
 func all(answers, failed, slow uint32) Counts {
 	return Counts{Answers: answers, Failed: failed, Timed: answers - failed, Slow: slow}
 }
 
 // seconds repeats the answers.
-func seconds(count int, one second) []second {
+func seconds(count int, answers second) []second {
 	var result []second
 	for range count {
-		result = append(result, one)
+		result = append(result, answers)
 	}
 	return result
 }
 
-// judged returns the verdict on the answers of one route, or of several alike.
-func judgedAs(routes int, answers []second) Verdict {
+// evaluateAnswers returns the verdict on the answers of one route, or of several equal ones.
+func evaluateAnswers(routes int, answers []second) Verdict {
 	var evidence evidence
-	for index, one := range answers {
+	for index, second := range answers {
 		evidence.advance(time.Duration(index) * windowLength)
 		for route := range routes {
-			evidence.add(RouteCounts{Route: fmt.Sprint(route), Old: one.old, New: one.new})
+			evidence.add(RouteCounts{Route: fmt.Sprint(route), Old: second.old, New: second.new})
 		}
 	}
-	return evidence.judge()
+	return evidence.evaluate()
 }
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	on := func(a, b, c Counts) map[ServerID]Counts { return map[ServerID]Counts{"a": a, "b": b, "c": c} }
 	fine := all(2, 0, 0)
 	good := second{all(60, 0, 3), on(fine, fine, fine)}
@@ -73,7 +73,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			verdict := judgedAs(test.routes, test.answers)
+			verdict := evaluateAnswers(test.routes, test.answers)
 			is.Equal(verdict.Finding, test.want)
 			is.Equal(verdict.Cause == "", test.want == Undecided)
 		})
@@ -81,7 +81,7 @@
 }
 
 // A version that is bad on one route is not good because of the others.
-func TestJudgeLooksAtEachRoute(t *testing.T) {
+func TestEvaluateChecksEachRoute(t *testing.T) {
 	is := is.New(t)
 	var evidence evidence
 	for index := range 8 {
@@ -94,12 +94,12 @@
 			evidence.add(counts)
 		}
 	}
-	verdict := evidence.judge()
+	verdict := evidence.evaluate()
 	is.Equal(verdict.Finding, Bad)
 	is.Equal(verdict.Cause, "answers on route b fail more often than at the old version")
 }
 
-// However long an order runs, the evidence is kept in so many windows.
+// The number of windows is bounded, for any duration of an order.
 func TestEvidenceIsBounded(t *testing.T) {
 	is := is.New(t)
 	var evidence evidence
@@ -109,6 +109,6 @@
 	}
 	is.True(evidence.window <= maxWindows)
 	is.Equal(len(evidence.routes["a"].closed[failures]), evidence.window)
-	is.Equal(evidence.strata(noServer)[0].windows[0].answers, 16.0) // the first sixteen seconds
+	is.Equal(evidence.strata(noServer)[0].windows[0].answers, 16.0) // the first 16 s
 	is.Equal(evidence.new.Answers, uint32(1000))
 }
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -7,26 +7,25 @@
 	"time"
 )
 
-// windowLength is how long answers count as of the same moment: processes report twice a
+// windowLength is the time within which answers count as simultaneous: processes report twice a
 // second or more often. It doubles whenever an order has lasted for maxWindows.
 const (
 	windowLength = time.Second
 	maxWindows   = 64
 )
 
-// byServer are the ratios of one window, by the names of the servers: sums of them do
-// not depend on the order of a map.
+// byServer holds the log ratios of one window, sorted by server: sums of them do not depend on
+// the iteration order of a map.
 type byServer []serverRatios
 
 type serverRatios struct {
 	id ServerID
-	ratios
+	logRatios
 }
 
-// evidence compares the answers of two versions in the same moments. The zero value
-// has none.
+// evidence compares the answers of two versions window by window. The zero value is empty.
 type evidence struct {
-	// window counts windows of the length since the start.
+	// window is the index of the current window, length how long a window lasts.
 	window   int
 	length   time.Duration
 	routes   map[string]*routeEvidence
@@ -38,13 +37,13 @@
 	// old and new are the answers of the current window.
 	old Counts
 	new map[ServerID]Counts
-	// before are the old version's answers of earlier windows.
-	before Counts
-	// closed are the earlier windows.
-	closed [measures][]byServer
+	// oldBefore are the old version's answers of earlier windows.
+	oldBefore Counts
+	// closed are the log ratios of earlier windows.
+	closed [measureCount][]byServer
 }
 
-// advance begins new windows up to the time since the start.
+// advance closes windows up to the time since the start.
 func (e *evidence) advance(elapsed time.Duration) {
 	if e.length == 0 {
 		e.length = windowLength
@@ -54,38 +53,38 @@
 			e.coarsen()
 			continue
 		}
-		moment := e.moment()
+		currentOld := e.currentOld()
 		for _, route := range e.routes {
-			route.close(moment)
+			route.closeWindow(currentOld)
 		}
 		e.window++
 	}
 }
 
-// coarsen joins windows in pairs.
+// coarsen merges windows in pairs.
 func (e *evidence) coarsen() {
 	e.length *= 2
 	e.window /= 2
 	for _, route := range e.routes {
-		for of := range measures {
-			windows := route.closed[of]
+		for m := range measureCount {
+			windows := route.closed[m]
 			for index := range windows[:len(windows)/2] {
-				windows[index] = join(windows[2*index], windows[2*index+1])
+				windows[index] = merge(windows[2*index], windows[2*index+1])
 			}
-			route.closed[of] = windows[:len(windows)/2]
+			route.closed[m] = windows[:len(windows)/2]
 		}
 	}
 }
 
-// join adds two windows up.
-func join(a, b byServer) byServer {
+// merge adds up two windows.
+func merge(a, b byServer) byServer {
 	result := slices.Clone(a)
-	for _, one := range b {
-		index, known := slices.BinarySearchFunc(result, one.id, func(r serverRatios, id ServerID) int { return cmp.Compare(r.id, id) })
-		if known {
-			result[index].ratios = result[index].plus(one.ratios)
+	for _, server := range b {
+		index, found := slices.BinarySearchFunc(result, server.id, func(r serverRatios, id ServerID) int { return cmp.Compare(r.id, id) })
+		if found {
+			result[index].logRatios = result[index].plus(server.logRatios)
 		} else {
-			result = slices.Insert(result, index, one)
+			result = slices.Insert(result, index, server)
 		}
 	}
 	return result
@@ -99,8 +98,8 @@
 	route := e.routes[counts.Route]
 	if route == nil {
 		route = &routeEvidence{new: make(map[ServerID]Counts)}
-		for of := range measures {
-			route.closed[of] = make([]byServer, e.window)
+		for m := range measureCount {
+			route.closed[m] = make([]byServer, e.window)
 		}
 		e.routes[counts.Route] = route
 	}
@@ -112,8 +111,8 @@
 	}
 }
 
-// moment returns the old version's answers of the current window on all routes.
-func (e *evidence) moment() Counts {
+// currentOld returns the old version's answers of the current window on all routes.
+func (e *evidence) currentOld() Counts {
 	var sum Counts
 	for _, route := range e.routes {
 		sum = sum.Plus(route.old)
@@ -121,34 +120,34 @@
 	return sum
 }
 
-// close moves the current window to the closed ones.
-func (r *routeEvidence) close(moment Counts) {
-	for of := range measures {
-		r.closed[of] = append(r.closed[of], r.current(of, moment))
+// closeWindow moves the current window to the closed ones.
+func (r *routeEvidence) closeWindow(currentOld Counts) {
+	for m := range measureCount {
+		r.closed[m] = append(r.closed[m], r.currentRatios(m, currentOld))
 	}
-	r.before = r.before.Plus(r.old)
+	r.oldBefore = r.oldBefore.Plus(r.old)
 	r.old = Counts{}
 	clear(r.new)
 }
 
-// expected returns the share of bad answers that the old version has in the current
-// window: what it usually has on the route, or more if it has more now, there or on all
-// routes.
-func (r *routeEvidence) expected(of measure, moment Counts) float64 {
-	usual := r.before.Plus(r.old).share(of).estimate(priorShare)
-	return max(leastShare, usual, r.old.share(of).estimate(usual), moment.share(of).estimate(usual))
+// expectedShare returns the share of bad answers of the old version in the current window: the
+// usual share on the route, or the share in this window, on the route or on all routes, if that
+// is higher.
+func (r *routeEvidence) expectedShare(m measure, currentOld Counts) float64 {
+	usual := r.oldBefore.Plus(r.old).share(m).estimate(priorShare)
+	return max(minShare, usual, r.old.share(m).estimate(usual), currentOld.share(m).estimate(usual))
 }
 
-// current returns the ratios of the current window.
-func (r *routeEvidence) current(of measure, moment Counts) byServer {
+// currentRatios returns the log ratios of the current window.
+func (r *routeEvidence) currentRatios(m measure, currentOld Counts) byServer {
 	if len(r.new) == 0 {
 		return nil
 	}
-	expected := r.expected(of, moment)
+	expected := r.expectedShare(m, currentOld)
 	result := make(byServer, 0, len(r.new))
 	for _, id := range slices.Sorted(maps.Keys(r.new)) {
-		if counts := r.new[id].share(of); counts.all > 0 {
-			result = append(result, serverRatios{id, counts.against(expected)})
+		if counts := r.new[id].share(m); counts.all > 0 {
+			result = append(result, serverRatios{id, counts.logRatios(expected)})
 		}
 	}
 	return result
--- a/internal/rollout/exposure_test.go
+++ b/internal/rollout/exposure_test.go
@@ -9,9 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// However many processes there are, whatever requests they get, whichever of them start
-// anew, and though they disagree about how many they are: what they send to a version
-// before all traffic moves is inside the bounds.
+// Processes keep to the bounds before all traffic moves, for any number of processes and
+// requests, with restarts, and even if the processes disagree about their number.
 func TestExposureIsBounded(t *testing.T) {
 	const ticks = 60
 	bounds := Bounds{Share: 0.1, Slack: 50}
@@ -21,7 +20,8 @@
 		mean := rapid.SampledFrom([]float64{0.3, 1.5, 21, 100}).Draw(t, "requests a second")
 		restarts := rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "restarts a second")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		// Processes are off by up to 20%, in the worst case all to the same side.
+		// Processes misjudge their number by up to 20%, in the worst case all in the same
+		// direction.
 		low := rapid.Float64Range(0.8, 1).Draw(t, "least believed")
 		high := rapid.Float64Range(1, 1.2).Draw(t, "most believed")
 		processes := make([]Exposure, count)
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -6,15 +6,16 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// Counts are answers of one version, or of one server of it, to one route. They only
-// grow within a process, so that a report that is repeated or overtaken does no harm.
+// Counts are numbers of answers of one version, or of one server of it, on one route. They only
+// grow within a process, so that a report that is repeated or arrives out of order does no
+// harm.
 type Counts struct {
-	// Answers are all ends that tell whether the server works, Failed the errors,
+	// Answers counts all results that tell whether the server works, Failed the errors,
 	// refusals and broken connections among them.
 	Answers uint32 `json:"a,omitempty"`
 	Failed  uint32 `json:"f,omitempty"`
-	// Timed are answers, or long silences, of servers that have not just started; Slow
-	// are those of more than slowFactor times the usual time.
+	// Timed counts answers, and requests that were given up late, of servers that have not just
+	// started; Slow counts those that took slowFactor times the usual time or more.
 	Timed uint32 `json:"t,omitempty"`
 	Slow  uint32 `json:"s,omitempty"`
 }
@@ -29,7 +30,7 @@
 	}
 }
 
-// Minus returns what has been added since an earlier state of the same counts.
+// Minus returns what was added since an earlier state of the same counts.
 func (c Counts) Minus(earlier Counts) Counts {
 	return Counts{
 		Answers: c.Answers - earlier.Answers,
@@ -39,7 +40,7 @@
 	}
 }
 
-// RouteCounts is what came of the requests of one route.
+// RouteCounts are the results of the requests of one route.
 type RouteCounts struct {
 	Route string `json:"r"`
 	// Old are the answers of all other versions, New those of the target by server.
@@ -54,50 +55,50 @@
 	Created catalog.Revision `json:"created"`
 	// Since is Order.Since.
 	Since catalog.Revision `json:"since,omitempty"`
-	// Revision of the order that is in force at the node.
+	// Revision is that of the order in effect at the node.
 	Revision catalog.Revision `json:"revision"`
-	// Elapsed is for how long the order has run, as far as the node knows.
+	// Elapsed is how long the order has run, as far as the node knows.
 	Elapsed time.Duration `json:"elapsed"`
-	// OldUnderWay are requests under way at servers of other versions.
+	// OldUnderWay is the number of requests in flight at servers of other versions.
 	OldUnderWay int `json:"oldUnderWay,omitempty"`
-	// Servers are the ready servers of the target that the node knows.
+	// Servers is the number of ready servers of the target that the node knows.
 	Servers int `json:"servers,omitempty"`
-	// Requests are all requests of the service that the process has had since it learned of
-	// the order, Sent the sends to the target among them.
+	// Requests counts all requests of the service that the process has had since it learned of
+	// the order, Sent the attempts at the target among them.
 	Requests uint32 `json:"requests,omitempty"`
 	Sent     uint32 `json:"sent,omitempty"`
-	// Halted is set if the node was told that the target is bad: the next node that
-	// decides need not find it out again.
+	// Halted is set if the node was told that the target is bad, so that the next deciding node
+	// need not find out again.
 	Halted bool          `json:"halted,omitempty"`
 	Routes []RouteCounts `json:"routes,omitempty"`
 }
 
-// Key returns what names the order.
+// Key returns the key of the order.
 func (o OrderReport) Key() Key { return Key{Service: o.Service, Target: o.Target, Created: o.Created} }
 
-// Report is what a process tells the node that decides. Reports are cumulative.
+// Report is what a process sends to the deciding node. Reports are cumulative.
 type Report struct {
 	Node string `json:"node"`
-	// Process tells the processes of a node apart; Sequence rises with each report.
+	// Process distinguishes the processes of a node; Sequence increases with each report.
 	Process  uint64        `json:"process"`
 	Sequence uint64        `json:"sequence"`
 	Orders   []OrderReport `json:"orders"`
 }
 
-// Ruling is the answer to a report of one order.
+// Ruling is the reply to a report of one order.
 type Ruling struct {
 	Service string           `json:"service"`
 	Target  Version          `json:"target"`
 	Created catalog.Revision `json:"created"`
 	// Since is Order.Since.
 	Since catalog.Revision `json:"since,omitempty"`
-	// Halt means that the version has been found to be bad: it gets nothing more, also
-	// while the store cannot be told.
+	// Halt means that the version was found bad: it gets nothing more, even while the store is
+	// unavailable.
 	Halt bool `json:"halt,omitempty"`
-	// Unable means that the node that answers gets nothing written: another one had better
+	// Unable means that the replying node cannot write to the store, so that another one should
 	// decide.
 	Unable bool `json:"unable,omitempty"`
 }
 
-// Key returns what names the order.
+// Key returns the key of the order.
 func (r Ruling) Key() Key { return Key{Service: r.Service, Target: r.Target, Created: r.Created} }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -1,13 +1,12 @@
-// Package rollout moves the traffic of a service from servers of one version to
-// servers of another, step by step, and back at once when the new version turns out
-// to be bad.
+// Package rollout moves the traffic of a service from servers of one version to servers of
+// another, step by step, and rolls back at once when the new version turns out to be bad.
 //
-// Operators write an Order. All nodes of the query tier follow the orders; each
-// sends a small, bounded share of its requests to the new version (Exposure), keeps
-// what came of it beside what came of the old one (Tracker, RouteCounts) and reports that
-// to the node that decides (Agent, Report). The decider (Decider) pools the reports (Pool),
-// judges them (Verdict) and writes the next Status on condition that nobody else has
-// written meanwhile. What the status says is what all nodes do. See docs/design/rollouts.md.
+// Operators write an Order. All nodes of the query tier follow the orders; each sends a small,
+// bounded share of its requests to the new version (Exposure), counts the results next to those
+// of the old version (Tracker, RouteCounts) and reports them to the deciding node (Agent,
+// Report). The decider (Decider) pools the reports (Pool), evaluates them (Verdict) and writes
+// the next Status on condition that nobody else has written meanwhile. All nodes act on the
+// status. See docs/design/rollouts.md.
 package rollout
 
 import (
@@ -26,18 +25,20 @@
 type Order struct {
 	Service string
 	Target  Version
-	// Duration is the time from the order within which the traffic has to be moved.
+	// Duration is the time, from the creation of the order, within which the traffic has to be
+	// moved.
 	Duration time.Duration
-	// Created is the store's revision at which the order came, Revision the one of its
+	// Created is the store's revision at which the order was created, Revision that of its
 	// latest change, which is the condition of the next write.
 	Created, Revision catalog.Revision
-	// Since is the revision after which servers of the target are the order's, if that is not Created: a
-	// restored store may hold the order as it was written again, after the entries of its servers.
+	// Since is the revision after which servers of the target belong to the order, if that is
+	// not Created: a restored store may hold the order as it was written again, after the
+	// entries of its servers.
 	Since  catalog.Revision `json:",omitempty"`
 	Status Status
 }
 
-// StartedSince returns the revision after which servers of the target are the order's.
+// StartedSince returns the revision after which servers of the target belong to the order.
 func (o Order) StartedSince() catalog.Revision {
 	if o.Since > 0 {
 		return min(o.Since, o.Created)
@@ -45,27 +46,27 @@
 	return o.Created
 }
 
-// startedBefore takes over an earlier revision after which servers of the target are the order's; zero is
-// none.
-func (o *Order) startedBefore(since catalog.Revision) {
+// lowerSince adopts an earlier revision after which servers of the target belong to the order;
+// zero is none.
+func (o *Order) lowerSince(since catalog.Revision) {
 	if since > 0 && since < o.StartedSince() {
 		o.Since = since
 	}
 }
 
-// Key tells orders apart: an object of the same name that is made anew, or that asks
-// for another version, is another order.
+// Key identifies an order: an object of the same name that is created anew, or that asks for
+// another version, is another order.
 type Key struct {
 	Service string
 	Target  Version
 	Created catalog.Revision
 }
 
-// Key returns what names the order.
+// Key returns the key of the order.
 func (o Order) Key() Key { return Key{Service: o.Service, Target: o.Target, Created: o.Created} }
 
-// Current returns the status as far as it is about this order: a status that names
-// another version belongs to an earlier one.
+// Current returns the status if it is about this order: a status that names another version
+// belongs to an earlier one.
 func (o Order) Current() Status {
 	if o.Status.State == StateNone || o.Status.Target != o.Target {
 		return Status{Target: o.Target}
@@ -79,11 +80,11 @@
 	return state == StateCompleted || state == StateRolledBack
 }
 
-// State is how far an order is, for operators.
+// State is the progress of an order as operators see it.
 type State uint8
 
 const (
-	// StateNone is an order that nobody has answered yet.
+	// StateNone is an order without a status yet.
 	StateNone State = iota
 	// StateRunning is an order that is being carried out.
 	StateRunning
@@ -98,20 +99,20 @@
 // String returns the name used in logs and metrics.
 func (s State) String() string { return stateNames[s] }
 
-// Stage is how much of the traffic a running order gives to the new version.
+// Stage is how much of the traffic a running order sends to the new version.
 type Stage uint8
 
 const (
-	// StageWaiting gives it nothing: no server of the new version is ready.
+	// StageWaiting sends nothing: no server of the new version is ready.
 	StageWaiting Stage = iota
-	// StageCanary gives it a thin share, spread over its servers.
+	// StageCanary sends a small share, spread over the new servers.
 	StageCanary
-	// StageLoad gives it most of the allowed exposure, one server after the other, so that
-	// each works about as hard as it will have to.
+	// StageLoad sends most of the allowed exposure, to one server after the other, so that each
+	// gets about the load that it will have after the rollout.
 	StageLoad
-	// StageShift gives it what the bounds allow, over all its servers.
+	// StageShift sends what the bounds allow, spread over all new servers.
 	StageShift
-	// StageWhole gives it all requests.
+	// StageWhole sends all requests.
 	StageWhole
 )
 
@@ -120,27 +121,27 @@
 // String returns the name used in logs and metrics.
 func (s Stage) String() string { return stageNames[s] }
 
-// Status is the answer to an order, as it lies in the store. Only nodes of the query
-// tier write it, each time on condition of the order's revision.
+// Status is the progress of an order, as it is stored. Only nodes of the query tier write it,
+// each time on condition of the order's revision.
 type Status struct {
 	State State
 	// Target is the version that the status is about.
 	Target Version
 	Stage  Stage
-	// Elapsed is for how long the order had run when the status was written. It
-	// outlasts all processes, and no time of day is needed to go on from it.
+	// Elapsed is how long the order had run when the status was written. It survives restarts
+	// of all processes, and no wall clock is needed to continue from it.
 	Elapsed time.Duration
 }
 
-// Bounds are what a deployment allows a version that turns out to be bad.
+// Bounds limit what a version that turns out to be bad may get.
 type Bounds struct {
-	// Share of all requests of the service, from the order to its deadline, that it may
-	// get, and Slack requests besides.
+	// Share is the share of all requests of the service, from the order to its deadline, that
+	// it may get, Slack a number of requests in addition.
 	Share float64
 	Slack float64
 	// RollBack is the time after its 50th bad answer from which it gets nothing.
 	RollBack time.Duration
 }
 
-// Enabled reports whether the deployment has roll-outs at all.
+// Enabled reports whether the deployment has rollouts at all.
 func (b Bounds) Enabled() bool { return b.RollBack > 0 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// The parts of an order's time after which the load stage, the shift stage and the move
+	// The fractions of an order's time after which the load stage, the shift stage and the move
 	// of all traffic begin. Versions that turn bad at 8 of 12 s have to show it in the shift
-	// stage (TestDrawnOrders); a move at 0.78 leaves 2.6 of 12 s for its end and for a store
-	// that is away.
-	loadPart  = 0.4
-	shiftPart = 0.62
-	wholePart = 0.78
-	// shiftTime is the least time between the last two.
-	shiftTime = 600 * time.Millisecond
-	// loadTurns is how often the load stage turns to another server.
+	// stage (TestSimulatedOrders); a move at 0.78 leaves 2.6 of 12 s for its end and for a
+	// store that is unavailable.
+	loadFraction  = 0.4
+	shiftFraction = 0.62
+	wholeFraction = 0.78
+	// minShiftTime is the least time between the last two of these steps.
+	minShiftTime = 600 * time.Millisecond
+	// loadTurns is how often the load stage switches to another server.
 	loadTurns = 8
-	// giveUpPart is the part of an order's time after which a version that has not been
-	// found good is rolled back: the answer has to be written before the deadline.
-	giveUpPart = 0.9
-	// LongestDuration bounds what an order may ask for: what takes longer is not watched
-	// over by the same processes.
+	// giveUpFraction is the fraction of an order's time after which a version that has not been
+	// found good is rolled back: the status has to be written before the deadline.
+	giveUpFraction = 0.9
+	// LongestDuration bounds the duration of an order: a longer one is not observed by the same
+	// processes throughout.
 	LongestDuration = 24 * time.Hour
-	// ShortestDuration is the least time in which a version can be judged.
+	// ShortestDuration is the least time in which a version can be evaluated.
 	ShortestDuration = 2 * time.Second
 )
 
-// Plan are the times of an order's steps, from the order on.
+// Plan holds the times of an order's steps, counted from the order.
 type Plan struct {
-	// Load is when exposure gets dense, at one server at a time; Shift when all servers get
+	// Load is when exposure concentrates on one server at a time; Shift when all servers get
 	// the rest of it; Whole when all traffic moves if the version is good.
 	Load, Shift, Whole time.Duration
 	// GiveUp is when a version that is not found good is rolled back.
@@ -37,17 +37,17 @@
 
 // NewPlan returns the plan of an order of the duration.
 func NewPlan(duration time.Duration) Plan {
-	part := func(share float64) time.Duration { return time.Duration(share * float64(duration)) }
+	at := func(fraction float64) time.Duration { return time.Duration(fraction * float64(duration)) }
 	return Plan{
-		Load:     part(loadPart),
-		Shift:    part(shiftPart),
-		Whole:    part(wholePart),
-		GiveUp:   part(giveUpPart),
+		Load:     at(loadFraction),
+		Shift:    at(shiftFraction),
+		Whole:    at(wholeFraction),
+		GiveUp:   at(giveUpFraction),
 		Deadline: duration,
 	}
 }
 
-// Invalid returns why an order can't be carried out; empty if it can.
+// Invalid returns why an order cannot be carried out; empty if it can.
 func (o Order) Invalid() string {
 	switch {
 	case o.Target == "":
@@ -65,7 +65,7 @@
 	return min(int(loadTurns*progress(elapsed, p.Load, p.Shift)), loadTurns-1)
 }
 
-// progress returns which part of the time between two is over, 0 to 1.
+// progress returns which fraction of the time from begin to end has passed, 0 to 1.
 func progress(now, begin, end time.Duration) float64 {
 	return min(max(float64(now-begin)/float64(max(end-begin, 1)), 0), 1)
 }
--- a/internal/rollout/pool_test.go
+++ b/internal/rollout/pool_test.go
@@ -9,12 +9,12 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// answers returns a report in which one route has had the given answers.
+// answers returns a report with the given answers on one route.
 func answers(old Counts, byServer map[ServerID]Counts) OrderReport {
 	return OrderReport{Routes: []RouteCounts{{Route: "a", Old: old, New: byServer}}}
 }
 
-func TestPoolTakesReportsOnce(t *testing.T) {
+func TestPoolCountsReportsOnce(t *testing.T) {
 	first := answers(Counts{Answers: 10, Timed: 10}, map[ServerID]Counts{"s": {Answers: 2, Timed: 2}})
 	second := answers(Counts{Answers: 15, Failed: 1, Timed: 14}, map[ServerID]Counts{"s": {Answers: 3, Timed: 3}, "u": {Answers: 1, Failed: 1}})
 	type sent struct {
@@ -40,8 +40,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			var pool Pool
-			for index, one := range test.reports {
-				pool.Add(one.node, one.process, one.sequence, one.report, epoch.Add(time.Duration(index)*400*time.Millisecond))
+			for index, report := range test.reports {
+				pool.Add(report.node, report.process, report.sequence, report.report, epoch.Add(time.Duration(index)*400*time.Millisecond))
 			}
 			verdict := pool.Judge()
 			is.Equal(verdict.Old, test.old)
@@ -72,15 +72,15 @@
 	is.Equal(pool.Judge().New, Counts{Answers: 3, Failed: 1, Timed: 2, Slow: 1})
 }
 
-// A version of which too few requests come to break the bounds needs no evidence.
+// A version that gets too few requests to break the bounds needs no evidence.
 func TestPoolMayAdvance(t *testing.T) {
 	order := Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Status: Status{State: StateRunning, Target: "v2", Stage: StageShift}}
 	plan := NewPlan(order.Duration)
 	bounds := Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
 	for _, test := range []struct {
 		name string
-		// perSecond are the requests of the service, elapsed is for how long the order had run
-		// when the first report came.
+		// perSecond is the rate of requests of the service, elapsed is how long the order had
+		// run when the first report arrived.
 		perSecond float64
 		elapsed   time.Duration
 		want      bool
@@ -103,11 +103,11 @@
 			is.Equal(pool.MayAdvance(order, plan, bounds, now), test.want)
 		})
 	}
-	is.New(t).Equal((&Pool{}).MayAdvance(order, plan, bounds, epoch), false) // nothing was reported
+	is.New(t).Equal((&Pool{}).MayAdvance(order, plan, bounds, epoch), false) // no reports
 }
 
-// A node that begins to decide late gets all counts with the first reports.
-func TestPoolThatStartsLateJudgesAlike(t *testing.T) {
+// A node that starts deciding late gets all counts with the first reports.
+func TestPoolThatStartsLateHasSameFinding(t *testing.T) {
 	fine := map[ServerID]Counts{"a": all(20, 0, 1), "b": all(20, 0, 0)}
 	for _, test := range []struct {
 		name string
--- a/internal/rollout/ratios.go
+++ b/internal/rollout/ratios.go
@@ -5,78 +5,79 @@
 // The shares of bad answers that are expected of any version. Wrong ones cost samples: the
 // prior weighs as much as the old version's first 10 answers.
 const (
-	// priorShare is expected before the first answer, with the weight of priorAnswers.
+	// priorShare is the share expected before the first answer, with the weight of
+	// priorAnswers.
 	priorShare   = 0.01
 	priorAnswers = 10
-	// leastShare is the least that is expected of a new version: it bounds the weight of
-	// one failure beside an old version that had none in hundreds of answers (a likelihood
-	// ratio of 100 for an excess of 0.2).
-	leastShare = 0.002
+	// minShare is the least share that is expected of a new version: it bounds the weight of
+	// one failure where the old version had none in hundreds of answers (a likelihood ratio of
+	// 100 for an excess of 0.2).
+	minShare = 0.002
 )
 
-// excesses are the alternatives that the test weighs: the share of those answers that
-// would be good at the old version and are bad at the new one.
+// excesses are the alternative hypotheses of the test: the share of answers that would be good
+// at the old version and are bad at the new one.
 var excesses = [...]float64{0.05, 0.1, 0.2, 0.3, 0.5, 0.7, 0.95}
 
-// measure is one thing that may be bad about answers.
+// measure is a way in which answers can be bad.
 type measure uint8
 
 const (
 	failures measure = iota
 	slowness
-	measures
+	measureCount
 )
 
-var measureNames = [measures]string{"fail", "are slow"}
+var measureNames = [measureCount]string{"fail", "are slow"}
 
-// share is how many of so many answers were bad.
+// share is the number of bad answers among all.
 type share struct{ bad, all float64 }
 
-// share returns the answers by the measure.
-func (c Counts) share(of measure) share {
-	if of == failures {
+// share returns the answers that are bad by the measure.
+func (c Counts) share(m measure) share {
+	if m == failures {
 		return share{bad: float64(c.Failed), all: float64(c.Answers)}
 	}
 	return share{bad: float64(c.Slow), all: float64(c.Timed)}
 }
 
-// estimate returns the share where another one was expected.
+// estimate returns the share of bad answers, given the share that was expected before them.
 func (s share) estimate(prior float64) float64 {
 	return (s.bad + prior*priorAnswers) / (s.all + priorAnswers)
 }
 
-// ratios compare answers with what is expected of the old version.
-type ratios struct {
+// logRatios compare answers with what is expected of the old version.
+type logRatios struct {
 	answers float64
-	// seen are logarithms of likelihood ratios, one for each excess against none; usual is
-	// what they would be on average without an excess.
-	seen, usual [len(excesses)]float64
+	// observed are the logarithms of likelihood ratios, one for each excess against none;
+	// expected are what they would be on average without an excess.
+	observed, expected [len(excesses)]float64
 }
 
-// against returns the ratios of the answers where the share is expected.
-func (s share) against(expected float64) ratios {
-	result := ratios{answers: s.all}
+// logRatios returns the log ratios of the answers, given the expected share of bad ones.
+func (s share) logRatios(expected float64) logRatios {
+	result := logRatios{answers: s.all}
 	for index, excess := range excesses {
 		alternative := expected + excess*(1-expected)
-		bad, fine := math.Log(alternative/expected), math.Log((1-alternative)/(1-expected))
-		result.seen[index] = s.bad*bad + (s.all-s.bad)*fine
-		result.usual[index] = s.all * (expected*bad + (1-expected)*fine)
+		bad, good := math.Log(alternative/expected), math.Log((1-alternative)/(1-expected))
+		result.observed[index] = s.bad*bad + (s.all-s.bad)*good
+		result.expected[index] = s.all * (expected*bad + (1-expected)*good)
 	}
 	return result
 }
 
-func (r ratios) plus(other ratios) ratios {
+func (r logRatios) plus(other logRatios) logRatios {
 	r.answers += other.answers
 	for index := range excesses {
-		r.seen[index] += other.seen[index]
-		r.usual[index] += other.usual[index]
+		r.observed[index] += other.observed[index]
+		r.expected[index] += other.expected[index]
 	}
 	return r
 }
 
-// logSum adds values that are given as logarithms. The zero value is the sum of none.
+// logSum adds up values that are given as logarithms. The zero value is the empty sum.
 type logSum struct {
-	// highest is the largest one, sum all of them in units of it.
+	// highest is the largest logarithm, sum the sum of all values divided by the largest one.
 	highest, sum float64
 }
 
--- a/internal/rollout/restored.go
+++ b/internal/rollout/restored.go
@@ -6,8 +6,8 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// Restored takes in that the store has come back from a copy: what it permitted in an earlier era
-// is no permission any more.
+// Restored records that the store was restored from a copy: permissions of earlier eras are
+// void.
 func (t *Tracker) Restored(era catalog.Era, now time.Time) {
 	if t == nil {
 		return
@@ -15,28 +15,28 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if !t.settling(now) {
-		t.trusted = t.reached
+		t.atRestore = t.syncedRevision
 	}
 	t.settledAt = now.Add(catalog.RewriteTime)
 	t.era = era
-	t.toldAt = time.Time{}
+	t.syncedAt = time.Time{}
 }
 
-// settling reports whether operators may have yet to write orders again, which servers that are
-// listed already belong to.
-func (t *Tracker) settling(now time.Time) bool { return now.Before(t.settledAt) && t.trusted > 0 }
+// settling reports whether operators may still have to write orders again that listed servers
+// belong to.
+func (t *Tracker) settling(now time.Time) bool { return now.Before(t.settledAt) && t.atRestore > 0 }
 
-// known returns the revision up to which all orders are known: a server that listed itself later may
-// belong to one that is not.
-func (t *Tracker) known(now time.Time) catalog.Revision {
+// knownRevision returns the revision up to which all orders are known: a server that registered
+// later may belong to an unknown one.
+func (t *Tracker) knownRevision(now time.Time) catalog.Revision {
 	if t.settling(now) {
-		return t.trusted
+		return t.atRestore
 	}
-	return t.reached
+	return t.syncedRevision
 }
 
-// ReplaceRestored takes in the orders of a store that has come back from a copy. Those that it lacks
-// expose nothing and are kept until operators have had the time to write them again.
+// ReplaceRestored replaces the orders by those of a restored store. Orders that it lacks send
+// nothing to their targets and are kept until operators have had the time to write them again.
 func (t *Tracker) ReplaceRestored(orders []Order, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -45,75 +45,75 @@
 		listed[order.Service] = true
 		t.put(order, now)
 	}
-	for service, known := range t.orders {
-		if !listed[service] && known.missingSince.IsZero() {
-			known.missingSince = now
+	for service, tracked := range t.orders {
+		if !listed[service] && tracked.missingSince.IsZero() {
+			tracked.missingSince = now
 		}
 	}
 }
 
-// continues reports whether the order is one that was known in an earlier era, as the copy holds
-// it or as its operators have written it again.
+// continues reports whether the order continues one of an earlier era, as the copy holds it or
+// as its operators have written it again.
 func (o Order) continues(known Order) bool {
 	return known.Revision.Precedes(o.Revision) && o.Service == known.Service && o.Target == known.Target
 }
 
-// carry goes on with an order in a later era.
-func (k *tracked) carry(order Order, now time.Time) {
+// continueInEra continues the order in a later era.
+func (o *trackedOrder) continueInEra(order Order, now time.Time) {
 	ranFor := order.Current().Elapsed
-	if order.Created.Number() == k.order.Created.Number() {
-		ranFor = max(ranFor, k.elapsed(now))
+	if order.Created.Number() == o.order.Created.Number() {
+		ranFor = max(ranFor, o.elapsed(now))
 	}
-	k.missingSince = time.Time{}
-	k.goOn(order, ranFor, now)
+	o.missingSince = time.Time{}
+	o.adopt(order, ranFor, now)
 }
 
-// noteCompleted keeps at which revision the order was completed.
-func (k *tracked) noteCompleted(order Order) {
+// recordCompletion keeps the revision at which the order was completed.
+func (o *trackedOrder) recordCompletion(order Order) {
 	if order.Current().State == StateCompleted {
-		k.completed = order.Revision
+		o.completedRevision = order.Revision
 	}
 }
 
-// withdrawnBefore reports whether a copy has brought back an order that was taken away.
-func (t *Tracker) withdrawnBefore(order Order) bool {
-	ended, found := t.ended[order.Service]
+// wasRemoved reports whether a copy has brought back an order that was removed.
+func (t *Tracker) wasRemoved(order Order) bool {
+	ended, found := t.lastRemoved[order.Service]
 	return found && ended.Target == order.Target && ended.Created.Precedes(order.Created) && ended.Created.Number() == order.Created.Number()
 }
 
-// Listed returns all orders as the store holds them.
+// Listed returns the orders that the store holds.
 func (t *Tracker) Listed() []Order {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var orders []Order
-	for _, known := range t.orders {
-		if known.missingSince.IsZero() {
-			orders = append(orders, known.order)
+	for _, tracked := range t.orders {
+		if tracked.missingSince.IsZero() {
+			orders = append(orders, tracked.order)
 		}
 	}
 	return orders
 }
 
-// DropMissing forgets the orders that a restored store has lacked for too long.
+// DropMissing removes the orders that a restored store has lacked for catalog.RewriteTime.
 func (t *Tracker) DropMissing(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for service, known := range t.orders {
-		if !known.missingSince.IsZero() && now.Sub(known.missingSince) >= catalog.RewriteTime {
+	for service, tracked := range t.orders {
+		if !tracked.missingSince.IsZero() && now.Sub(tracked.missingSince) >= catalog.RewriteTime {
 			t.remove(service)
 		}
 	}
 }
 
-// Unwritten returns the decided orders whose decision the store has lost, and whether orders are
-// missing in it.
+// Unwritten returns the decided orders whose decision the store has lost, and whether it lacks
+// orders.
 func (t *Tracker) Unwritten() (orders []Order, missing bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for _, known := range t.orders {
-		missing = missing || !known.missingSince.IsZero()
-		if known.unwritten {
-			orders = append(orders, known.order)
+	for _, tracked := range t.orders {
+		missing = missing || !tracked.missingSince.IsZero()
+		if tracked.decisionLost {
+			orders = append(orders, tracked.order)
 		}
 	}
 	return orders, missing
--- a/internal/rollout/restored_test.go
+++ b/internal/rollout/restored_test.go
@@ -9,17 +9,17 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// at returns the running order as it is at a number of the store's counter, in an era.
+// at returns the running order at a number of the store's counter, in an era.
 func at(era catalog.Era, number uint64, stage Stage) Order {
 	order := runningOrder(catalog.NewRevision(era, number), stage)
 	order.Created = catalog.NewRevision(era, 10)
 	return order
 }
 
-// started is a server that the order has started, in the first era.
+// started is a server that the order started in the first era.
 var started = Candidate{ID: "new", Version: "v2", Created: catalog.NewRevision(1, 12)}
 
-// exposesStarted reports whether one of many requests may go to it.
+// exposesStarted reports whether one of 100 requests may go to that server.
 func exposesStarted(tracker *Tracker, now time.Time) bool {
 	for range 100 {
 		tracker.Request("s")
@@ -30,8 +30,8 @@
 	return false
 }
 
-// restoredTracker knows the order in the first era, as decided by the state, and that the store was
-// restored since.
+// restoredTracker returns a tracker that knows the order in the first era, in the given state,
+// and that the store was restored since.
 func restoredTracker(now time.Time, state State) (*Tracker, Order) {
 	tracker := NewTracker(testBounds)
 	tracker.Reached(catalog.NewRevision(1, 5), now)
@@ -49,16 +49,16 @@
 	now := time.Now()
 	tracker, order := restoredTracker(now, StateRunning)
 	is.True(!exposesStarted(tracker, now))
-	tracker.Reached(order.Revision, now) // late word of the earlier era
+	tracker.Reached(order.Revision, now) // late update of the earlier era
 	is.True(!exposesStarted(tracker, now))
 	tracker.ReplaceRestored([]Order{at(2, 20, StageCanary)}, now)
 	tracker.Reached(catalog.NewRevision(2, 20), now)
 	is.True(exposesStarted(tracker, now))
 }
 
-// Guards against a version that was found bad, or has taken over, and whose decision a restored store has
-// lost.
-func TestDecisionOutlastsTheStore(t *testing.T) {
+// Guards against the loss of a decision, a rollback or a completion, when the store is
+// restored.
+func TestDecisionSurvivesRestoreOfStore(t *testing.T) {
 	for _, state := range []State{StateCompleted, StateRolledBack} {
 		is := is.New(t)
 		now := time.Now()
@@ -66,7 +66,7 @@
 		replacement := Candidate{ID: "i-later", Version: "v1", Created: catalog.NewRevision(1, 40)}
 		allowed := tracker.Standing("s", now).Allows(replacement)
 		tracker.ReplaceRestored([]Order{at(2, 20, StageLoad)}, now)
-		tracker.Put(at(2, 21, StageLoad), now) // another node goes on with what it has found
+		tracker.Put(at(2, 21, StageLoad), now) // another node continues from the copy
 		tracker.Reached(catalog.NewRevision(2, 21), now)
 		is.Equal(exposesStarted(tracker, now), state == StateCompleted)
 		is.Equal(tracker.Standing("s", now).Allows(replacement), allowed)
@@ -74,7 +74,7 @@
 		is.True(!missing)
 		is.Equal(len(unwritten), 1)
 		is.Equal(unwritten[0].Status, order.Status)
-		is.Equal(unwritten[0].Revision, catalog.NewRevision(2, 21)) // the condition of the write
+		is.Equal(unwritten[0].Revision, catalog.NewRevision(2, 21)) // condition of the write
 		written := unwritten[0]
 		written.Revision++
 		is.True(tracker.Update(written, now))
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards against requests to the servers of an order that was withdrawn, which the copy has brought back.
-func TestWithdrawnOrderStaysSo(t *testing.T) {
+// Guards against requests to the servers of a withdrawn order that the copy has brought back.
+func TestRestoredOrderStaysWithdrawn(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker, _ := restoredTracker(now, StateRunning)
@@ -98,12 +98,12 @@
 	anew.Created = catalog.NewRevision(2, 30)
 	tracker.Put(anew, now)
 	orders, _ = tracker.Orders()
-	is.Equal(len(orders), 1) // an order of its own
+	is.Equal(len(orders), 1) // a new order
 }
 
-// An order that the copy lacks goes on when its operators have written it again: its servers, which are
-// older than that, are no ordinary ones. It ends if they don't.
-func TestOrderThatACopyLacks(t *testing.T) {
+// An order that the copy lacks continues when its operators write it again. Its servers are
+// older than that, but still belong to it. The order ends if it is not written again.
+func TestOrderMissingInCopy(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker, _ := restoredTracker(now, StateRunning)
@@ -128,9 +128,9 @@
 	is.True(!tracker.Standing("s", now).Allows(started)) // as after a withdrawal
 }
 
-// Guards against a node that has started since and takes the servers of an order that was written again, after
-// their entries, for ordinary ones.
-func TestServersOfARewrittenOrderAreKnownEverywhere(t *testing.T) {
+// Guards against a node that has started since and takes the servers of a rewritten order for
+// ordinary ones, because their entries are older than the order.
+func TestServersOfRewrittenOrderAreKnownToAllNodes(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker, _ := restoredTracker(now, StateRunning)
@@ -141,7 +141,7 @@
 	reports, _ := tracker.Reports(now)
 	is.Equal(len(reports), 1)
 
-	seen := Candidate{ID: "new", Version: "v2", Created: catalog.NewRevision(2, 22)} // as a list of this era shows it
+	seen := Candidate{ID: "new", Version: "v2", Created: catalog.NewRevision(2, 22)} // as listed in this era
 	young := NewTracker(testBounds)
 	young.Restored(2, now)
 	young.Put(again, now)
@@ -153,15 +153,16 @@
 	learned, _ := tracker.Orders()
 	status := again
 	status.Revision++
-	status.Since = learned[0].Since // as the status in the store has it
+	status.Since = learned[0].Since // as stored in the status
 	status.Status.State = StateRolledBack
 	younger := NewTracker(testBounds)
 	younger.Put(status, now)
 	is.True(!younger.Standing("s", now).Allows(seen))
 }
 
-// Guards against a decision that is replaced by a write of an earlier era, whose condition held by chance.
-func TestLateWriteOfAnEarlierEraChangesNoDecision(t *testing.T) {
+// Guards against a decision that is replaced by a write of an earlier era whose condition held
+// by chance.
+func TestLateWriteOfEarlierEraChangesNoDecision(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker, _ := restoredTracker(now, StateRunning)
@@ -175,9 +176,9 @@
 	is.Equal(len(unwritten), 1)
 }
 
-// Guards against servers of a new version that get ordinary traffic because a restored store lists them
-// before their order, which no node has known, is written again.
-func TestServersAreListedBeforeTheirLostOrder(t *testing.T) {
+// Guards against servers of a new version that get ordinary traffic because a restored store
+// lists them before their order, which no node knew, is written again.
+func TestServersListedBeforeRewrittenOrder(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker := NewTracker(testBounds)
@@ -194,10 +195,10 @@
 	is.True(tracker.Standing("s", now.Add(2*time.Second)).Explains(listed))
 	is.True(!tracker.Standing("s", now.Add(catalog.RewriteTime)).Allows(listed))
 	reports, _ := tracker.Reports(now.Add(2 * time.Second))
-	is.Equal(reports[0].Since, catalog.NewRevision(1, 30)) // others learn it
+	is.Equal(reports[0].Since, catalog.NewRevision(1, 30)) // reported to other nodes
 
 	tracker.Remove("s")
 	other := Candidate{ID: "other", Version: "v3", Created: catalog.NewRevision(2, 40)}
 	tracker.Reached(catalog.NewRevision(2, 50), now.Add(catalog.RewriteTime))
-	is.True(!tracker.Standing("s", now.Add(catalog.RewriteTime)).Unexplained(other)) // no order has come
+	is.True(!tracker.Standing("s", now.Add(catalog.RewriteTime)).Unexplained(other)) // no order was written
 }
--- a/internal/rollout/samples.go
+++ b/internal/rollout/samples.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Outcome is what the end of a send says of the version of its server.
+// Outcome is what the end of an attempt says about the version of its server.
 type Outcome uint8
 
 const (
-	// OutcomeNone says nothing.
+	// OutcomeNone says nothing about the version.
 	OutcomeNone Outcome = iota
 	// OutcomeAnswered is an answer.
 	OutcomeAnswered
 	// OutcomeFailed is an error of the server, a refusal or a connection that failed.
 	OutcomeFailed
-	// OutcomeSilent is a request that was given up while under way.
+	// OutcomeSilent is a request that was given up while in flight.
 	OutcomeSilent
-	// OutcomeUnsent is a send that reached no server.
+	// OutcomeUnsent is an attempt that reached no server.
 	OutcomeUnsent
 )
 
-// Sample is the end of one send.
+// Sample is the result of one attempt.
 type Sample struct {
 	Result Outcome
-	// Ratio is the time that it took in units of what such requests usually take.
+	// Ratio is the time that the attempt took, divided by the usual time of such requests.
 	Ratio float64
 	// Cold is set if the server has just started.
 	Cold bool
 }
 
-// slowFactor is the ratio from which an answer counts as slow. Work that is spread by
-// 0.35 to 0.5 (standard deviation of its logarithm) exceeds twice its mean in 2 to 8 of 100
-// answers; of a version that takes three times as long, 80 in 100 do.
+// slowFactor is the ratio from which an answer counts as slow. Service times whose logarithm
+// has a standard deviation of 0.35 to 0.5 exceed twice their mean in 2 to 8 of 100 answers; of
+// a version that takes three times as long, 80 in 100 do.
 const slowFactor = 2.0
 
-// counts returns what the sample adds.
+// counts returns the counts of the sample alone.
 func (s Sample) counts() Counts {
 	slow := s.Ratio >= slowFactor
 	switch {
@@ -45,7 +45,7 @@
 	case s.Result == OutcomeAnswered:
 		return Counts{Answers: 1, Timed: 1}
 	case s.Result == OutcomeSilent && slow && !s.Cold:
-		// Of a request that was given up early nothing is known.
+		// Nothing is known about a request that was given up early.
 		return Counts{Timed: 1, Slow: 1}
 	}
 	return Counts{}
@@ -58,34 +58,34 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.orders[service]; known != nil {
-		known.exposure.Request()
+	if tracked := t.orders[service]; tracked != nil {
+		tracked.exposure.Request()
 	}
 }
 
-// Begin notes a send to the candidate.
+// Begin records the start of an attempt at the candidate.
 func (t *Tracker) Begin(candidate Candidate, admission Admission) {
-	t.change(admission, func(known *tracked) {
-		if !admission.target(candidate) {
-			known.oldUnderWay++
+	t.updateAdmitting(admission, func(tracked *trackedOrder) {
+		if !admission.isTarget(candidate) {
+			tracked.oldInFlight++
 		}
 	})
 }
 
-// End notes what came of a send to the candidate on a route.
+// End records the result of an attempt at the candidate on a route.
 func (t *Tracker) End(candidate Candidate, admission Admission, route string, sample Sample, now time.Time) {
 	if sample.Result == OutcomeUnsent {
 		t.Refund(admission)
 	}
-	t.change(admission, func(known *tracked) {
-		counts := known.routes[route]
+	t.updateAdmitting(admission, func(tracked *trackedOrder) {
+		counts := tracked.routes[route]
 		if counts == nil {
 			counts = &RouteCounts{Route: route}
-			known.routes[route] = counts
+			tracked.routes[route] = counts
 		}
 		added := sample.counts()
-		if !admission.target(candidate) {
-			known.oldUnderWay--
+		if !admission.isTarget(candidate) {
+			tracked.oldInFlight--
 			counts.Old = counts.Old.Plus(added)
 			return
 		}
@@ -94,33 +94,33 @@
 		}
 		counts.New[candidate.ID] = counts.New[candidate.ID].Plus(added)
 		if added != (Counts{}) {
-			known.noteNews(now)
+			tracked.markUnreported(now)
 		}
 	})
 }
 
-// noteNews notes that something came of the target that no report has told.
-func (k *tracked) noteNews(now time.Time) {
-	k.sampledAt = now
-	if k.unreportedSince.IsZero() {
-		k.unreportedSince = now
+// markUnreported records that a result of the target is in no report yet.
+func (o *trackedOrder) markUnreported(now time.Time) {
+	o.sampledAt = now
+	if o.unreportedSince.IsZero() {
+		o.unreportedSince = now
 	}
 }
 
-// change applies a change to the order by which a send was admitted, if that still
-// stands.
-func (t *Tracker) change(admission Admission, apply func(known *tracked)) {
+// updateAdmitting applies a change to the order by which an attempt was admitted, if that is
+// still the current one of its service.
+func (t *Tracker) updateAdmitting(admission Admission, update func(tracked *trackedOrder)) {
 	if t == nil || admission.order == (Key{}) {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.orders[admission.order.Service]; known != nil && known.order.Key() == admission.order {
-		apply(known)
+	if tracked := t.orders[admission.order.Service]; tracked != nil && tracked.order.Key() == admission.order {
+		update(tracked)
 	}
 }
 
-// Halted reports whether nothing more may be sent to the candidate, whatever was
+// Halted reports whether nothing more may be sent to the candidate, even by attempts that were
 // admitted before.
 func (t *Tracker) Halted(service string, candidate Candidate) bool {
 	if t == nil {
@@ -128,9 +128,9 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.orders[service]
-	if known == nil || !(Key{Target: known.order.Target, Created: known.since}).explains(candidate) {
+	tracked := t.orders[service]
+	if tracked == nil || !(Key{Target: tracked.order.Target, Created: tracked.since}).matches(candidate) {
 		return false
 	}
-	return known.halted || known.order.Current().State == StateRolledBack
+	return tracked.halted || tracked.order.Current().State == StateRolledBack
 }
--- a/internal/rollout/tracked.go
+++ b/internal/rollout/tracked.go
@@ -8,117 +8,120 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// tracked is what a process keeps of one order.
-type tracked struct {
+// trackedOrder is what a process keeps about one order.
+type trackedOrder struct {
 	order Order
-	// since is the revision after which servers of the target are the order's: those that
-	// earlier, withdrawn orders of the version started are among them.
+	// since is the revision after which servers of the target belong to the order, including
+	// those that earlier, withdrawn orders of the version started.
 	since catalog.Revision
 	plan  Plan
-	// ranFor is for how long the order had run at knownAt, when the state in force became
+	// baseElapsed is how long the order had run at baseTime, when its current state became
 	// known.
-	ranFor   time.Duration
-	knownAt  time.Time
-	exposure Exposure
-	routes   map[string]*RouteCounts
-	// oldUnderWay are requests under way at servers of other versions.
-	oldUnderWay int
-	// unreportedSince is when the oldest thing that came of the target happened that no
-	// report has told, or a little earlier; zero for none. sampledAt is when the latest did.
+	baseElapsed time.Duration
+	baseTime    time.Time
+	exposure    Exposure
+	routes      map[string]*RouteCounts
+	// oldInFlight is the number of requests in flight at servers of other versions.
+	oldInFlight int
+	// unreportedSince is the time of the oldest result of the target that is in no delivered
+	// report, or slightly earlier; zero if there is none. sampledAt is the time of the latest
+	// result.
 	unreportedSince, sampledAt time.Time
-	// completed is the revision at which the order was completed.
-	completed catalog.Revision
-	// missingSince is since when a restored store has lacked the order; unwritten is set while it
-	// lacks its decision.
+	// completedRevision is the revision at which the order was completed.
+	completedRevision catalog.Revision
+	// missingSince is since when a restored store has lacked the order; decisionLost is set
+	// while it lacks its decision.
 	missingSince time.Time
-	unwritten    bool
-	// halted is set once the target was found to be bad.
+	decisionLost bool
+	// halted is set once the target was found bad.
 	halted bool
 	// repeatable is set once the service had a request that may be repeated.
 	repeatable bool
 }
 
-// advance takes over a later state of the order.
-func (k *tracked) advance(order Order, now time.Time) {
-	if order.Revision <= k.order.Revision {
+// advance adopts a later state of the order.
+func (o *trackedOrder) advance(order Order, now time.Time) {
+	if order.Revision <= o.order.Revision {
 		return
 	}
-	k.goOn(order, max(k.elapsed(now), order.Current().Elapsed), now)
+	o.adopt(order, max(o.elapsed(now), order.Current().Elapsed), now)
 }
 
-// goOn takes over a state of the order that has run for so long. What has ended stays so, and has to be
-// written again where the store has lost it: it may have come back from a copy, or a write that was under
-// way then may have taken effect since.
-func (k *tracked) goOn(order Order, ranFor time.Duration, now time.Time) {
-	k.unwritten = k.order.Ended() && !order.Ended()
-	if k.unwritten {
-		order.Status = k.order.Status
+// adopt adopts a state of the order, which has run for the given time. An order that has ended
+// stays ended, and its decision has to be written again where the store has lost it: the store
+// may have been restored from a copy, or a write that was in flight then may have taken effect
+// since.
+func (o *trackedOrder) adopt(order Order, ranFor time.Duration, now time.Time) {
+	o.decisionLost = o.order.Ended() && !order.Ended()
+	if o.decisionLost {
+		order.Status = o.order.Status
 	} else {
-		k.noteCompleted(order)
+		o.recordCompletion(order)
 	}
-	order.startedBefore(k.order.StartedSince())
-	k.since = min(k.since, order.StartedSince())
-	k.ranFor, k.knownAt = ranFor, now
-	k.order, k.plan = order, NewPlan(order.Duration)
+	order.lowerSince(o.order.StartedSince())
+	o.since = min(o.since, order.StartedSince())
+	o.baseElapsed, o.baseTime = ranFor, now
+	o.order, o.plan = order, NewPlan(order.Duration)
 }
 
-func (k *tracked) elapsed(now time.Time) time.Duration {
-	return k.ranFor + now.Sub(k.knownAt)
+func (o *trackedOrder) elapsed(now time.Time) time.Duration {
+	return o.baseElapsed + now.Sub(o.baseTime)
 }
 
-// Reports returns what is to be reported of the orders that are being carried out, by
-// service, and whether anything came of a target since the last report that arrived.
-func (t *Tracker) Reports(now time.Time) (reports []OrderReport, news bool) {
+// Reports returns the reports of the orders that are being carried out, sorted by service, and
+// whether there are results of a target since the last report that was delivered.
+func (t *Tracker) Reports(now time.Time) (reports []OrderReport, unreported bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, service := range slices.Sorted(maps.Keys(t.orders)) {
-		known := t.orders[service]
-		if known.order.Ended() {
+		tracked := t.orders[service]
+		if tracked.order.Ended() {
 			continue
 		}
-		reports = append(reports, known.report(now))
-		news = news || !known.unreportedSince.IsZero()
+		reports = append(reports, tracked.report(now))
+		unreported = unreported || !tracked.unreportedSince.IsZero()
 	}
-	return reports, news
+	return reports, unreported
 }
 
-func (k *tracked) report(now time.Time) OrderReport {
+func (o *trackedOrder) report(now time.Time) OrderReport {
 	report := OrderReport{
-		Service:     k.order.Service,
-		Target:      k.order.Target,
-		Created:     k.order.Created,
-		Since:       k.order.Since,
-		Revision:    k.order.Revision,
-		Elapsed:     k.elapsed(now),
-		OldUnderWay: k.oldUnderWay,
-		Requests:    k.exposure.requests,
-		Sent:        k.exposure.sent,
-		Halted:      k.halted,
+		Service:     o.order.Service,
+		Target:      o.order.Target,
+		Created:     o.order.Created,
+		Since:       o.order.Since,
+		Revision:    o.order.Revision,
+		Elapsed:     o.elapsed(now),
+		OldUnderWay: o.oldInFlight,
+		Requests:    o.exposure.requests,
+		Sent:        o.exposure.sent,
+		Halted:      o.halted,
 	}
-	for _, name := range slices.Sorted(maps.Keys(k.routes)) {
-		counts := *k.routes[name]
+	for _, name := range slices.Sorted(maps.Keys(o.routes)) {
+		counts := *o.routes[name]
 		counts.New = maps.Clone(counts.New)
 		report.Routes = append(report.Routes, counts)
 	}
 	return report
 }
 
-// Reported notes that a report of the orders has arrived that was made at the given time.
+// Reported records that a report of the orders that was made at the given time has been
+// delivered.
 func (t *Tracker) Reported(keys []Key, made time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, key := range keys {
-		if known := t.orders[key.Service]; known != nil && known.order.Key() == key {
-			known.reported(made)
+		if tracked := t.orders[key.Service]; tracked != nil && tracked.order.Key() == key {
+			tracked.markReported(made)
 		}
 	}
 }
 
-func (k *tracked) reported(made time.Time) {
+func (o *trackedOrder) markReported(made time.Time) {
 	switch {
-	case !k.sampledAt.After(made):
-		k.unreportedSince = time.Time{}
-	case k.unreportedSince.Before(made):
-		k.unreportedSince = made
+	case !o.sampledAt.After(made):
+		o.unreportedSince = time.Time{}
+	case o.unreportedSince.Before(made):
+		o.unreportedSince = made
 	}
 }
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -10,61 +10,62 @@
 )
 
 const (
-	// longestSilence is how old what a node knows of orders may be while it exposes: the
-	// store is asked every 3 s at the longest, and a call that is lost is given up after 0.9 s
-	// more.
-	longestSilence = 4 * time.Second
-	// longestUnreported is how long something that came of a node's own sends may be
-	// unreported while it exposes: a report is due twice a second or more often and may turn from
-	// one silent node to the next.
-	longestUnreported = 2 * time.Second
+	// maxStoreAge is how old a node's knowledge of the orders may be while it sends to a
+	// target: the store is asked every 3 s at the longest, and a call that is lost is given up
+	// after 0.9 s more.
+	maxStoreAge = 4 * time.Second
+	// maxUnreportedAge is how long results of a node's own attempts may be unreported while it
+	// sends to a target: a report is due twice a second or more often and may fail over from
+	// one unresponsive node to the next.
+	maxUnreportedAge = 2 * time.Second
 )
 
-// Tracker is what one process knows of all orders: what they ask for, what the process
-// has sent to their targets and what came of it. A nil tracker knows of no versions and
-// allows all servers. It is safe for concurrent use.
+// Tracker holds what one process knows about all orders: what they ask for, what the process
+// has sent to their targets, and the results. A nil tracker knows no orders and allows all
+// servers. It is safe for concurrent use.
 type Tracker struct {
 	bounds Bounds
 
 	mutex  sync.Mutex
-	orders map[string]*tracked
-	// withdrawn are the orders that ended before they were completed.
+	orders map[string]*trackedOrder
+	// withdrawn are the orders that were removed before they were completed.
 	withdrawn map[string][]Key
-	// removed are the latest revisions of the orders that were taken away: news of them
-	// that comes late changes nothing.
-	removed map[string]catalog.Revision
-	// ended are the orders that were taken away last.
-	ended map[string]Key
-	// era is the latest one of the store: permissions of earlier ones are void.
+	// removedRevisions are the latest revisions of removed orders: late updates of them are
+	// ignored.
+	removedRevisions map[string]catalog.Revision
+	// lastRemoved are the orders that were removed last.
+	lastRemoved map[string]Key
+	// era is the latest era of the store: permissions of earlier eras are void.
 	era catalog.Era
-	// trusted is the revision up to which all orders were known when the store was restored. It counts
-	// in place of reached until settledAt: then operators have written again what was lost.
-	trusted   catalog.Revision
+	// atRestore is the revision up to which all orders were known when the store was
+	// restored. It is used instead of syncedRevision until settledAt: by then operators have
+	// written again what was lost.
+	atRestore catalog.Revision
 	settledAt time.Time
-	// reached is the revision up to which all orders are known, toldAt when the store
-	// told of it; first is the first one.
-	reached, first catalog.Revision
-	toldAt         time.Time
-	// position of this process among so many.
+	// syncedRevision is the revision up to which all orders are known, syncedAt when the store
+	// confirmed it; firstSynced is the first such revision.
+	syncedRevision, firstSynced catalog.Revision
+	syncedAt                    time.Time
+	// position is the position of this process, from 0, among all processes.
 	position, processes int
 }
 
-// NewTracker returns a tracker that knows of no orders; nil where the deployment has none.
+// NewTracker returns a tracker without orders; nil where the deployment has no rollouts.
 func NewTracker(bounds Bounds) *Tracker {
 	if !bounds.Enabled() {
 		return nil
 	}
 	return &Tracker{
-		bounds:    bounds,
-		orders:    make(map[string]*tracked),
-		withdrawn: make(map[string][]Key),
-		removed:   make(map[string]catalog.Revision),
-		ended:     make(map[string]Key),
-		processes: 1,
+		bounds:           bounds,
+		orders:           make(map[string]*trackedOrder),
+		withdrawn:        make(map[string][]Key),
+		removedRevisions: make(map[string]catalog.Revision),
+		lastRemoved:      make(map[string]Key),
+		processes:        1,
 	}
 }
 
-// Share tells the position of this process, from 0, among so many. It counts for
+// Share sets the position of this process, from 0, and the number of processes. It applies to
 // orders that come later.
 func (t *Tracker) Share(position, processes int) {
 	if t == nil {
@@ -75,7 +76,7 @@
 	t.position, t.processes = position, processes
 }
 
-// Replace makes the orders the only ones.
+// Replace replaces all orders.
 func (t *Tracker) Replace(orders []Order, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// Put adds an order or replaces what is known of it. An older revision changes nothing.
+// Put adds or updates an order. An older revision is ignored.
 func (t *Tracker) Put(order Order, now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -103,58 +104,58 @@
 }
 
 func (t *Tracker) put(order Order, now time.Time) {
-	known := t.orders[order.Service]
-	if known != nil && order.continues(known.order) {
-		known.carry(order, now)
+	tracked := t.orders[order.Service]
+	if tracked != nil && order.continues(tracked.order) {
+		tracked.continueInEra(order, now)
 		return
 	}
-	if known != nil && known.order.Key() == order.Key() {
-		known.advance(order, now)
+	if tracked != nil && tracked.order.Key() == order.Key() {
+		tracked.advance(order, now)
 		return
 	}
-	if t.withdrawnBefore(order) {
+	if t.wasRemoved(order) {
 		return
 	}
-	if known != nil && order.Revision < known.order.Revision || order.Revision <= t.removed[order.Service] {
+	if tracked != nil && order.Revision < tracked.order.Revision || order.Revision <= t.removedRevisions[order.Service] {
 		return
 	}
 	t.remove(order.Service)
 	if t.settling(now) {
-		order.startedBefore(t.trusted)
+		order.lowerSince(t.atRestore)
 	}
-	since := t.reorder(order)
-	// A process that is younger than the order may have taken the place of one that has
-	// used its part of the slack.
-	older := t.first > 0 && order.Created > t.first
-	added := &tracked{
-		order:    order,
-		since:    since,
-		plan:     NewPlan(order.Duration),
-		ranFor:   order.Current().Elapsed,
-		knownAt:  now,
-		exposure: Exposure{limits: NewLimits(t.bounds, t.position, t.processes, older)},
-		routes:   make(map[string]*RouteCounts),
+	since := t.dropWithdrawn(order)
+	// A process that is younger than the order may have replaced one that has used its part of
+	// the slack.
+	older := t.firstSynced > 0 && order.Created > t.firstSynced
+	added := &trackedOrder{
+		order:       order,
+		since:       since,
+		plan:        NewPlan(order.Duration),
+		baseElapsed: order.Current().Elapsed,
+		baseTime:    now,
+		exposure:    Exposure{limits: NewLimits(t.bounds, t.position, t.processes, older)},
+		routes:      make(map[string]*RouteCounts),
 	}
-	added.noteCompleted(order)
+	added.recordCompletion(order)
 	t.orders[order.Service] = added
 }
 
-// StartedBefore takes in that other nodes know servers of the target after an earlier revision to be the
-// order's; zero is none.
+// StartedBefore adopts an earlier revision, known to other nodes, after which servers of the
+// target belong to the order; zero is none.
 func (t *Tracker) StartedBefore(key Key, since catalog.Revision) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.orders[key.Service]; known != nil && known.order.Key() == key {
-		known.order.startedBefore(since)
-		known.since = min(known.since, known.order.StartedSince())
+	if tracked := t.orders[key.Service]; tracked != nil && tracked.order.Key() == key {
+		tracked.order.lowerSince(since)
+		tracked.since = min(tracked.since, tracked.order.StartedSince())
 	}
 }
 
-// reorder takes the order's target off the withdrawn ones. It returns the revision after
-// which servers of the target are no ordinary ones.
-func (t *Tracker) reorder(order Order) catalog.Revision {
+// dropWithdrawn removes the order's target from the withdrawn ones. It returns the revision
+// after which servers of the target belong to the order.
+func (t *Tracker) dropWithdrawn(order Order) catalog.Revision {
 	since := order.StartedSince()
-	// A new slice: admissions hold the old one.
+	// A new slice, because admissions hold the old one.
 	var rest []Key
 	for _, withdrawn := range t.withdrawn[order.Service] {
 		if withdrawn.Target == order.Target {
@@ -167,7 +168,7 @@
 	return since
 }
 
-// Remove forgets the order of a service: its operators have withdrawn it.
+// Remove removes the order of a service, which its operators have withdrawn.
 func (t *Tracker) Remove(service string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -175,34 +176,35 @@
 }
 
 func (t *Tracker) remove(service string) {
-	known := t.orders[service]
-	if known == nil {
+	tracked := t.orders[service]
+	if tracked == nil {
 		return
 	}
 	delete(t.orders, service)
-	t.removed[service] = known.order.Revision
-	t.ended[service] = known.order.Key()
-	if known.order.Current().State != StateCompleted && known.order.Target != "" {
-		t.withdrawn[service] = append(t.withdrawn[service], Key{Service: service, Target: known.order.Target, Created: known.since})
+	t.removedRevisions[service] = tracked.order.Revision
+	t.lastRemoved[service] = tracked.order.Key()
+	if tracked.order.Current().State != StateCompleted && tracked.order.Target != "" {
+		t.withdrawn[service] = append(t.withdrawn[service], Key{Service: service, Target: tracked.order.Target, Created: tracked.since})
 	}
 }
 
-// Reached notes the revision up to which all orders are known, and when the store told.
-func (t *Tracker) Reached(revision catalog.Revision, told time.Time) {
+// Reached records the revision up to which all orders are known, and when the store confirmed
+// it.
+func (t *Tracker) Reached(revision catalog.Revision, confirmedAt time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if revision.Era() < t.era {
 		return
 	}
-	if t.first == 0 {
-		t.first = revision
+	if t.firstSynced == 0 {
+		t.firstSynced = revision
 	}
-	if t.trusted == 0 {
-		t.trusted = revision
+	if t.atRestore == 0 {
+		t.atRestore = revision
 	}
-	t.reached = max(t.reached, revision)
-	if told.After(t.toldAt) {
-		t.toldAt = told
+	t.syncedRevision = max(t.syncedRevision, revision)
+	if confirmedAt.After(t.syncedAt) {
+		t.syncedAt = confirmedAt
 	}
 }
 
@@ -214,102 +216,103 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	orders := make([]Order, 0, len(t.orders))
-	for _, known := range t.orders {
-		orders = append(orders, known.order)
+	for _, tracked := range t.orders {
+		orders = append(orders, tracked.order)
 	}
 	slices.SortFunc(orders, func(a, b Order) int { return cmp.Compare(a.Service, b.Service) })
-	return orders, t.reached
+	return orders, t.syncedRevision
 }
 
-// Adopt takes over orders that another node knows, unless the store or a node that knew
-// more has told.
-func (t *Tracker) Adopt(orders []Order, reached catalog.Revision, now time.Time) {
+// Adopt takes over the orders that another node knows, unless the store or a node with a later
+// revision has provided them.
+func (t *Tracker) Adopt(orders []Order, revision catalog.Revision, now time.Time) {
 	if t == nil {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.first > 0 || reached <= t.reached || reached.Era() < t.era {
+	if t.firstSynced > 0 || revision <= t.syncedRevision || revision.Era() < t.era {
 		return
 	}
 	t.replace(orders, now)
-	t.reached = reached
+	t.syncedRevision = revision
 }
 
-// stage returns the stage in force at this process: none without permission.
-func (t *Tracker) stage(known *tracked, now time.Time) Stage {
-	status := known.order.Current()
+// stage returns the stage in effect at this process: StageWaiting without valid permission.
+func (t *Tracker) stage(tracked *trackedOrder, now time.Time) Stage {
+	status := tracked.order.Current()
 	switch {
-	case status.State != StateRunning, known.halted, known.order.Revision.Era() < t.era:
+	case status.State != StateRunning, tracked.halted, tracked.order.Revision.Era() < t.era:
 		return StageWaiting
-	case now.Sub(t.toldAt) > longestSilence:
+	case now.Sub(t.syncedAt) > maxStoreAge:
 		return StageWaiting
-	case !known.unreportedSince.IsZero() && now.Sub(known.unreportedSince) > longestUnreported:
+	case !tracked.unreportedSince.IsZero() && now.Sub(tracked.unreportedSince) > maxUnreportedAge:
 		return StageWaiting
 	}
 	return status.Stage
 }
 
-// Halt stops all sends to the target of an order. It returns false if that was known.
+// Halt stops all attempts at the target of an order. It returns false if there was nothing to
+// stop.
 func (t *Tracker) Halt(key Key) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.orders[key.Service]
-	if known == nil || known.order.Key() != key || known.halted {
+	tracked := t.orders[key.Service]
+	if tracked == nil || tracked.order.Key() != key || tracked.halted {
 		return false
 	}
-	known.halted = true
+	tracked.halted = true
 	return true
 }
 
-// Known is what a process knows of one order.
+// Known is the state of one order as this process knows it.
 type Known struct {
 	Order Order
-	// Elapsed is for how long it has run.
+	// Elapsed is how long it has run.
 	Elapsed time.Duration
-	// Halted is set if its target was found to be bad.
+	// Halted is set if its target was found bad.
 	Halted bool
 }
 
-// Known returns what is known of an order; false if it is not the one of its service.
+// Known returns the state of an order; false if it is not the current one of its service.
 func (t *Tracker) Known(key Key, now time.Time) (Known, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.orders[key.Service]
-	if known == nil || known.order.Key() != key {
+	tracked := t.orders[key.Service]
+	if tracked == nil || tracked.order.Key() != key {
 		return Known{}, false
 	}
-	halted := known.halted || known.order.Current().State == StateRolledBack
-	return Known{Order: known.order, Elapsed: known.elapsed(now), Halted: halted}, true
+	halted := tracked.halted || tracked.order.Current().State == StateRolledBack
+	return Known{Order: tracked.order, Elapsed: tracked.elapsed(now), Halted: halted}, true
 }
 
-// Complete reports whether the orders are known at all. A nil tracker needs none.
+// Complete reports whether the orders are known at all. Always true for a nil tracker.
 func (t *Tracker) Complete() bool {
 	if t == nil {
 		return true
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.reached > 0
+	return t.syncedRevision > 0
 }
 
-// Age returns how long ago the store told of the orders; false if it never did.
+// Age returns the time since the store confirmed the orders; false if it never did.
 func (t *Tracker) Age(now time.Time) (time.Duration, bool) {
 	if t == nil {
 		return 0, false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return now.Sub(t.toldAt), !t.toldAt.IsZero()
+	return now.Sub(t.syncedAt), !t.syncedAt.IsZero()
 }
 
-// Update takes over a later state of an order that is known; it never brings back one
-// that its operators have withdrawn.
+// Update adopts a later state of a known order; it never brings back one that its operators
+// have withdrawn.
 func (t *Tracker) Update(order Order, now time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.orders[order.Service]
-	if known == nil || known.order.Key() != order.Key() || known.order.Revision >= order.Revision {
+	tracked := t.orders[order.Service]
+	if tracked == nil || tracked.order.Key() != order.Key() || tracked.order.Revision >= order.Revision {
 		return false
 	}
 	t.put(order, now)
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -9,26 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever order news of orders come in, late ones included: a tracker does not go back to
-// an older state of an order, and admits nothing to a target that it knows to be
-// rolled back or halted.
-func TestTrackerDoesNotGoBack(t *testing.T) {
+// Updates of orders arrive in any sequence, including late ones. A tracker never returns to an
+// older state of an order, and admits nothing to a target that it knows to be rolled back or
+// halted.
+func TestTrackerNeverRegresses(t *testing.T) {
 	const service = "s"
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
 		now := epoch
-		// history are all states of the store's one object, in the order of their revisions.
+		// history holds all states of the single object in the store, sorted by revision.
 		var history []Order
-		// removed is set while the object is not there: it has no further state then.
+		// removed is set while the object does not exist: it has no further state then.
 		removed := true
 		revision := catalog.Revision(1)
 		newest := make(map[Key]catalog.Revision)
-		barred := make(map[Key]bool)
+		bad := make(map[Key]bool)
 		put := func(order Order) {
 			tracker.Put(order, now)
 			known, _ := tracker.Orders()
 			if len(known) == 1 && known[0].Key() == order.Key() && known[0].Current().State == StateRolledBack {
-				barred[order.Key()] = true
+				bad[order.Key()] = true
 			}
 		}
 		steps := rapid.SliceOfN(rapid.IntRange(0, 6), 1, 60).Draw(t, "steps")
@@ -69,17 +69,17 @@
 				tracker.Reached(revision, now)
 			case 6:
 				if len(known) == 1 && tracker.Halt(known[0].Key()) {
-					barred[known[0].Key()] = true
+					bad[known[0].Key()] = true
 				}
 			}
-			checkTracker(t, tracker, newest, barred, now)
+			checkTracker(t, tracker, newest, bad, now)
 		}
 	})
 }
 
-// checkTracker checks what the tracker knows against the newest revisions that it has
-// known, and what it admits against the targets that it has known to be bad.
-func checkTracker(t *rapid.T, tracker *Tracker, newest map[Key]catalog.Revision, barred map[Key]bool, now time.Time) {
+// checkTracker checks the known orders against the newest revisions seen so far, and the
+// admissions against the targets known to be bad.
+func checkTracker(t *rapid.T, tracker *Tracker, newest map[Key]catalog.Revision, bad map[Key]bool, now time.Time) {
 	known, _ := tracker.Orders()
 	for _, order := range known {
 		key := order.Key()
@@ -89,9 +89,9 @@
 		newest[key] = order.Revision
 	}
 	tracker.Request("s")
-	for key := range barred {
+	for key := range bad {
 		if len(known) == 1 && known[0].Created > key.Created {
-			continue // a newer order takes its place
+			continue // replaced by a newer order
 		}
 		candidate := Candidate{ID: "new", Version: key.Target, Created: key.Created + 1}
 		if tracker.Admit(Ask{Service: "s", Repeatable: true}, now).Allows(candidate) {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestTrackerIgnoresLateNewsOfRemovedOrders(t *testing.T) {
+func TestTrackerIgnoresLateUpdatesOfRemovedOrders(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
 	running := Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 2, Revision: 2}
@@ -122,8 +122,8 @@
 	is.Equal(known, []Order{again}) // a new order of the same version counts
 }
 
-// An operator who changes the time of an order does not set back for how long it has run.
-func TestElapsedGoesOnWhenTheOrderIsChanged(t *testing.T) {
+// Changing the duration of an order does not reset its elapsed time.
+func TestElapsedContinuesWhenOrderChanges(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
 	order := Order{
@@ -137,12 +137,12 @@
 	is.Equal(tracker.Usages(epoch.Add(7 * time.Second))[0].Elapsed, 8*time.Second)
 	order.Revision, order.Status.Elapsed = 5, 10*time.Second
 	tracker.Put(order, epoch.Add(7*time.Second))
-	is.Equal(tracker.Usages(epoch.Add(8 * time.Second))[0].Elapsed, 11*time.Second) // others know better
+	is.Equal(tracker.Usages(epoch.Add(8 * time.Second))[0].Elapsed, 11*time.Second) // the status has run longer
 }
 
-// What a peer knew earlier takes nothing away from what a later one has told: the store's
-// list would not bring it back.
-func TestAdoptedOrdersDoNotGoBack(t *testing.T) {
+// An earlier state from one peer does not undo a later one from another: the list from the
+// store would not restore it.
+func TestAdoptedOrdersNeverRegress(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
 	order := Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 2, Revision: 3}
@@ -153,15 +153,15 @@
 	is.Equal(int(reached), 5)
 	tracker.Adopt(nil, 6, epoch)
 	known, _ = tracker.Orders()
-	is.Equal(len(known), 0) // withdrawn since
+	is.Equal(len(known), 0) // withdrawn meanwhile
 	tracker.Reached(7, epoch)
 	tracker.Adopt([]Order{order}, 8, epoch)
 	known, _ = tracker.Orders()
-	is.Equal(len(known), 0) // the store has told
+	is.Equal(len(known), 0) // the store takes precedence
 }
 
-// What a send was admitted by stays as it was, whatever is ordered meanwhile.
-func TestAdmissionKeepsItsBars(t *testing.T) {
+// An admission stays as it was, whatever is ordered meanwhile.
+func TestAdmissionKeepsWithdrawnOrders(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
 	for index, target := range []Version{"v2", "v3"} {
@@ -177,8 +177,8 @@
 	is.True(before.Allows(Candidate{ID: "old", Created: 1})) // a server without a version
 }
 
-// What came of a send while a report was under way is news for the next one.
-func TestReportLeavesLaterNews(t *testing.T) {
+// A result that arrives while a report is in flight is left for the next report.
+func TestLaterResultsStayUnreported(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(testBounds)
 	order := runningOrder(20, StageWhole)
@@ -191,16 +191,16 @@
 		tracker.Begin(candidate, admission)
 		tracker.End(candidate, admission, "route", Sample{Result: OutcomeAnswered}, now)
 	}
-	news := func(now time.Time) bool {
-		_, news := tracker.Reports(now)
-		return news
+	unreported := func(now time.Time) bool {
+		_, unreported := tracker.Reports(now)
+		return unreported
 	}
 	answer(at(100))
 	made := at(200)
 	answer(at(300))
 	tracker.Reported([]Key{order.Key()}, made)
-	is.True(news(at(400)))
+	is.True(unreported(at(400)))
 	is.Equal(tracker.Usages(at(400))[0].Unreported, 200*time.Millisecond) // since the report was made
 	tracker.Reported([]Key{order.Key()}, at(400))
-	is.True(!news(at(500)))
+	is.True(!unreported(at(500)))
 }
--- a/internal/rollout/transport.go
+++ b/internal/rollout/transport.go
@@ -4,6 +4,6 @@
 
 // Transport carries reports between nodes.
 type Transport interface {
-	// Send hands a report to the node at the address (IP:port) and returns its rulings.
+	// Send delivers a report to the node at the address (IP:port) and returns its replies.
 	Send(ctx context.Context, address string, report Report) ([]Ruling, error)
 }
--- a/internal/rollout/usage.go
+++ b/internal/rollout/usage.go
@@ -9,20 +9,20 @@
 // Usage is what one process has sent to the target of an order.
 type Usage struct {
 	Known
-	// Stage is the one in force at the process.
+	// Stage is the stage in effect at the process.
 	Stage Stage
-	// Requests are all of the service, Sent those to the target, Allowed how many these
-	// may be by now.
+	// Requests counts all requests of the service, Sent those sent to the target, Allowed how
+	// many may have been sent there by now.
 	Requests, Sent, Allowed uint32
-	// Share is what part of its requests the process may send to the target now.
+	// Share is the share of its requests that the process may send to the target now.
 	Share float64
-	// Unreported is the age of the oldest answer of the target that no report has told.
+	// Unreported is the age of the oldest result of the target that is in no delivered report.
 	Unreported time.Duration
 	// Old and New are the answers of other versions and of the target.
 	Old, New Counts
 }
 
-// Usages returns what was sent for all orders, by service.
+// Usages returns the usage of all orders, sorted by service.
 func (t *Tracker) Usages(now time.Time) []Usage {
 	if t == nil {
 		return nil
@@ -36,22 +36,22 @@
 	return usages
 }
 
-func (t *Tracker) usage(known *tracked, now time.Time) Usage {
+func (t *Tracker) usage(tracked *trackedOrder, now time.Time) Usage {
 	usage := Usage{
-		Known:    Known{Order: known.order, Elapsed: known.elapsed(now), Halted: known.halted},
-		Stage:    t.stage(known, now),
-		Requests: known.exposure.requests,
-		Sent:     known.exposure.sent,
+		Known:    Known{Order: tracked.order, Elapsed: tracked.elapsed(now), Halted: tracked.halted},
+		Stage:    t.stage(tracked, now),
+		Requests: tracked.exposure.requests,
+		Sent:     tracked.exposure.sent,
 	}
-	usage.Share = known.exposure.share(usage.Stage, known.plan, usage.Elapsed)
-	if !known.unreportedSince.IsZero() {
-		usage.Unreported = now.Sub(known.unreportedSince)
+	usage.Share = tracked.exposure.share(usage.Stage, tracked.plan, usage.Elapsed)
+	if !tracked.unreportedSince.IsZero() {
+		usage.Unreported = now.Sub(tracked.unreportedSince)
 	}
-	usage.Allowed = uint32(known.exposure.allowed(usage.Stage, known.plan, usage.Elapsed))
-	for _, counts := range known.routes {
+	usage.Allowed = uint32(tracked.exposure.allowed(usage.Stage, tracked.plan, usage.Elapsed))
+	for _, counts := range tracked.routes {
 		usage.Old = usage.Old.Plus(counts.Old)
-		for _, ofServer := range counts.New {
-			usage.New = usage.New.Plus(ofServer)
+		for _, server := range counts.New {
+			usage.New = usage.New.Plus(server)
 		}
 	}
 	return usage
