--- a/internal/rollout/admission.go
+++ b/internal/rollout/admission.go
@@ -43,7 +43,7 @@
 	order Key
 	// since is the revision after which servers of the target belong to the order.
 	since catalog.Revision
-	// withdrawn are the withdrawn orders whose servers get nothing.
+	// withdrawn are orders that were withdrawn; their servers get nothing.
 	withdrawn []Key
 	// knownRevision is the revision up to which the orders are known; zero if that does not
 	// matter.
--- a/internal/rollout/exposure_test.go
+++ b/internal/rollout/exposure_test.go
@@ -17,18 +17,18 @@
 	plan := NewPlan(ticks * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 150).Draw(t, "processes")
-		mean := rapid.SampledFrom([]float64{0.3, 1.5, 21, 100}).Draw(t, "requests a second")
-		restarts := rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "restarts a second")
+		mean := rapid.SampledFrom([]float64{0.3, 1.5, 21, 100}).Draw(t, "requests per second")
+		restarts := rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "restarts per second")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		// Processes misjudge their number by up to 20%, in the worst case all in the same
 		// direction.
-		low := rapid.Float64Range(0.8, 1).Draw(t, "least believed")
-		high := rapid.Float64Range(1, 1.2).Draw(t, "most believed")
+		low := rapid.Float64Range(0.8, 1).Draw(t, "lowest estimate")
+		high := rapid.Float64Range(1, 1.2).Draw(t, "highest estimate")
 		processes := make([]Exposure, count)
 		for position := range processes {
-			off := low + (high-low)*random.Float64()
-			believed := max(int(off*float64(count)), 1)
-			processes[position].limits = NewLimits(bounds, min(int(off*float64(position)), believed-1), believed, true)
+			bias := low + (high-low)*random.Float64()
+			estimate := max(int(bias*float64(count)), 1)
+			processes[position].limits = NewLimits(bounds, min(int(bias*float64(position)), estimate-1), estimate, true)
 		}
 		requests, sent := 0, 0
 		for tick := range ticks {
