--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -9,22 +9,22 @@
 	"github.com/driftstage/driftstage/internal/boottime"
 )
 
-// quiet is an observer and a registry that do nothing.
-type quiet struct{}
+// noop is an observer and a registry that do nothing.
+type noop struct{}
 
-func (quiet) RequestsLost(string, int)                               {}
-func (quiet) RequestDecided(Action)                                  {}
-func (quiet) TrialEnded(TrialResult)                                 {}
-func (quiet) RecordWritten(error)                                    {}
-func (quiet) Write(_ context.Context, record Record) (Record, error) { return record, nil }
-func (quiet) Remove(context.Context, Digest) error                   { return nil }
+func (noop) RequestsLost(string, int)                               {}
+func (noop) RequestDecided(Action)                                  {}
+func (noop) TrialEnded(TrialResult)                                 {}
+func (noop) RecordWritten(error)                                    {}
+func (noop) Write(_ context.Context, record Record) (Record, error) { return record, nil }
+func (noop) Remove(context.Context, Digest) error                   { return nil }
 
-// BenchmarkAdmit is what a request costs that no record is of: with none, with as many as a
-// node keeps, and with a body of 1 MB.
+// BenchmarkAdmit measures the cost for a request without a record: with no records at all, with
+// the maximum number of records, and with a body of 1 MB.
 func BenchmarkAdmit(b *testing.B) {
-	for _, test := range []struct{ records, body int }{{0, 0}, {mostRecords, 0}, {mostRecords, 1 << 20}} {
+	for _, test := range []struct{ records, body int }{{0, 0}, {maxRecords, 0}, {maxRecords, 1 << 20}} {
 		b.Run(fmt.Sprintf("%d records, body of %d", test.records, test.body), func(b *testing.B) {
-			keeper := NewKeeper(Options{Term: testTerm, Registry: quiet{}, Observer: quiet{}, Now: boottime.Now})
+			keeper := NewKeeper(Options{Term: testTerm, Registry: noop{}, Observer: noop{}, Now: boottime.Now})
 			for number := range test.records {
 				loss := Loss{Digest: request(fmt.Sprint("bad-", number)).Digest(), Service: "s", Server: "i", At: time.Now()}
 				keeper.Lost(loss)
--- a/internal/quarantine/decide.go
+++ b/internal/quarantine/decide.go
@@ -6,18 +6,17 @@
 	"github.com/driftstage/driftstage/internal/boottime"
 )
 
-// Action is what becomes of a request.
+// Action is the decision on a request.
 type Action uint8
 
 const (
-	// Proceed carries it out.
+	// Proceed executes it.
 	Proceed Action = iota
-	// Refuse sends nothing of it.
+	// Refuse rejects it without sending anything.
 	Refuse
-	// Await waits for the trial of another request that is the same, or for the time of the
-	// next one.
+	// Await waits for the trial of an identical request, or until the next trial may start.
 	Await
-	// Try sends it to a single server at first, if the permission for that is to be had.
+	// Try sends it to a single server first, if the permission for the trial is granted.
 	Try
 )
 
@@ -26,99 +25,100 @@
 // String returns the name used in logs and metrics.
 func (a Action) String() string { return actionNames[a] }
 
-// Decision is an action with its terms.
+// Decision is an action and its conditions.
 type Decision struct {
 	Action Action
-	// RetryAfter is when a refused request may come again.
+	// RetryAfter is when the client may retry a refused request.
 	RetryAfter time.Duration
-	// Changed is closed when the decision may be another. It is another after Until at the
+	// Changed is closed when the decision may have changed. It changes after Until at the
 	// latest, unless that is zero.
 	Changed <-chan struct{}
 	Until   time.Duration
 }
 
-// Decide tells what becomes of a request. It is refused or tried as a whole: a platform may
-// count whatever it still sends, also to shards whose servers bear it.
+// Decide returns the decision on a request. The request is refused or tried as a whole: a
+// platform may count everything that is still sent for it, even to shards whose servers it
+// does not crash.
 func (r *Register) Decide(digest Digest, variant Variant, now boottime.Instant) Decision {
-	known := r.entries[digest]
-	if known == nil || !known.record.concerns(variant) {
+	e := r.entries[digest]
+	if e == nil || !e.record.covers(variant) {
 		return Decision{}
 	}
-	decision := Decision{Action: Try, Changed: known.changed}
-	term, pause := known.releaseAt(r.term).Sub(now), known.pause(variant, now)
-	made := known.record.blocking(variant, now)
+	decision := Decision{Action: Try, Changed: e.changed}
+	term, pause := e.releaseAt(r.term).Sub(now), e.trialDelay(variant, now)
+	blocker := e.record.blockingTrial(variant, now)
 	switch {
-	case known.record.condemns(variant) && term > 0:
+	case e.record.quarantines(variant) && term > 0:
 		decision.Action, decision.RetryAfter = Refuse, term
 	case pause > 0:
 		decision.Action, decision.Until = Await, pause
-	case !made.none():
-		decision.Action, decision.Until = Await, made.seenAt.Add(trialLease).Sub(now)
+	case !blocker.isZero():
+		decision.Action, decision.Until = Await, blocker.seenAt.Add(trialLease).Sub(now)
 	}
 	return decision
 }
 
-// Permits reports whether a request that was admitted earlier may be sent now. A node whose
-// own request has just lost servers may retry it: most such requests are sound.
+// Permits reports whether a request that was admitted earlier may be sent now. A node whose own
+// request was running when servers crashed may retry it: most such requests are harmless.
 func (r *Register) Permits(digest Digest, variant Variant, trial Trial, now boottime.Instant) bool {
-	known := r.entries[digest]
+	e := r.entries[digest]
 	switch {
-	case known == nil || !known.record.concerns(variant):
+	case e == nil || !e.record.covers(variant):
 		return true
-	case !trial.none():
-		made := known.record.trial(trial)
-		return made != nil && made.underWay(now)
-	case known.record.condemns(variant) || !known.record.blocking(variant, now).none():
+	case !trial.isZero():
+		current := e.record.findTrial(trial)
+		return current != nil && current.active(now)
+	case e.record.quarantines(variant) || !e.record.blockingTrial(variant, now).isZero():
 		return false
 	}
-	return known.charged && known.pause(variant, now) == 0
+	return e.crashedLocally && e.trialDelay(variant, now) == 0
 }
 
-// Begin notes that this node makes a trial, which the store has permitted or could not be
-// asked about. It reports whether nothing known kept it from that.
+// Begin adds a trial of this node, which the store has permitted or could not be asked
+// about. It reports false if another trial excludes it.
 func (r *Register) Begin(digest Digest, trial Trial, now boottime.Instant) bool {
-	known := r.entries[digest]
-	if known == nil || !known.record.blocking(trial.Variant, now).none() {
+	e := r.entries[digest]
+	if e == nil || !e.record.blockingTrial(trial.Variant, now).isZero() {
 		return false
 	}
-	known.record.dropTrials(func(made Trial) bool { return !made.underWay(now) })
+	e.record.dropTrials(func(t Trial) bool { return !t.active(now) })
 	trial.seenAt = now
-	known.record.Trials = append(known.record.Trials, trial)
-	known.notify()
+	e.record.Trials = append(e.record.Trials, trial)
+	e.notify()
 	return true
 }
 
-// Renew notes that this node is still at its trial. It returns the record to be written, and
-// whether the trial is still its own.
+// Renew renews the lease of this node's trial. It returns the record to be written; false if
+// the record no longer holds the trial.
 func (r *Register) Renew(digest Digest, trial Trial, now boottime.Instant) (Record, bool) {
-	known := r.entries[digest]
-	if known == nil {
+	e := r.entries[digest]
+	if e == nil {
 		return Record{}, false
 	}
-	made := known.record.trial(trial)
-	if made == nil {
+	current := e.record.findTrial(trial)
+	if current == nil {
 		return Record{}, false
 	}
-	made.Renewal++
-	made.seenAt = now
-	return known.record.clone(), true
+	current.Renewal++
+	current.seenAt = now
+	return e.record.clone(), true
 }
 
-// End notes the end of this node's trial; failed is how many trials of the variant have ended a
-// server by that, zero if this one has not. It may be repeated. It returns the record to be
-// written.
-func (r *Register) End(digest Digest, made Trial, failed int, now boottime.Instant) (Record, bool) {
-	known := r.entries[digest]
-	if known == nil {
+// End removes this node's trial. Failed is the number of failed trials of the variant including
+// this one; zero if this one did not crash a server. End is idempotent. It returns the record to
+// be written.
+func (r *Register) End(digest Digest, trial Trial, failed int, now boottime.Instant) (Record, bool) {
+	e := r.entries[digest]
+	if e == nil {
 		return Record{}, false
 	}
-	known.record.dropTrials(made.is)
-	if failed > 0 && known.record.name(made.Variant, failed) {
-		known.failedAt = now
-		// The caller writes it at once; if that fails it is written later.
-		known.publishAt = now.Add(publishAgain)
+	e.record.dropTrials(trial.sameAs)
+	if failed > 0 && e.record.addVariant(trial.Variant, failed) {
+		e.lastFailure = now
+		// The caller writes the record immediately; this is the retry if that fails.
+		e.publishAt = now.Add(publishRetryDelay)
 	}
-	known.news = now
-	known.notify()
-	return known.record.clone(), true
+	e.lastChange = now
+	e.notify()
+	return e.record.clone(), true
 }
--- a/internal/quarantine/describe.go
+++ b/internal/quarantine/describe.go
@@ -8,34 +8,35 @@
 	"github.com/driftstage/driftstage/internal/boottime"
 )
 
-// State is what becomes of a request now, for operators.
+// State is the current state of a request, as shown to operators.
 type State string
 
 // States of requests.
 const (
-	// StateSuspected is a request that is tried on one server when it comes again.
+	// StateSuspected is a request that is tried on one server when it is received again.
 	StateSuspected State = "suspected"
-	// StateRefused is one that ends servers, during its term.
+	// StateRefused is a quarantined request during its term.
 	StateRefused State = "refused"
-	// StateProbation is one whose term is over: it is tried when it comes again.
+	// StateProbation is a quarantined request whose term is over: it is tried when it is
+	// received again.
 	StateProbation State = "probation"
 )
 
-// Description is what a node knows of a request under which servers ended.
+// Description is the record of a request in the form shown to operators.
 type Description struct {
 	Digest   Digest
 	State    State
 	Services []string
-	// Servers are how many are named that ended, Variants how many queries and callers.
+	// Servers is the number of crashed servers, Variants that of combinations of query and client.
 	Servers, Variants int
 	FailedTrials      int
-	// SecondsLeft are those of the term.
+	// SecondsLeft is the remaining time of the term.
 	SecondsLeft float64 `json:",omitempty"`
-	// Shared is set if the store has it, so that all nodes know.
+	// Shared is set if the record is in the store, so that all nodes know it.
 	Shared bool
 }
 
-// Describe returns what this node knows, by digest.
+// Describe returns all records known to this node, sorted by digest.
 func (k *Keeper) Describe() []Description {
 	described := []Description{}
 	if k == nil {
@@ -44,8 +45,8 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.Now()
-	for _, known := range k.register.entries {
-		described = append(described, known.describe(k.Term, now))
+	for _, e := range k.register.entries {
+		described = append(described, e.describe(k.Term, now))
 	}
 	slices.SortFunc(described, func(a, b Description) int { return cmp.Compare(a.Digest.String(), b.Digest.String()) })
 	return described
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -13,20 +13,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// prefix is the part of a digest that does not depend on the content of the body, but on
-// its length: it tells most other requests apart at little cost.
+// prefix is the part of a digest that depends on the length of the body but not on its
+// content: a cheap filter that excludes most other requests.
 type prefix [4]byte
 
-// Digest names a request by method, host, path and body: two requests have the same one if
-// they ask for the same. It begins with the prefix; the rest is of a cryptographic hash, so
-// that no caller can make a request that is taken for another one.
+// Digest identifies a request by method, host, path and body: equal requests have the same
+// digest. It begins with the prefix; the rest is taken from a cryptographic hash, so that no
+// client can craft a request that collides with another one.
 type Digest [16]byte
 
-// Variant tells requests of one digest apart by their query and by the address of their
-// caller. A caller that comes again may change either, or others may ask for the same.
+// Variant distinguishes requests of the same digest by their query and by the address of
+// their client. A client that retries may change either, and other clients may send the same.
 type Variant uint64
 
-// MarshalText implements encoding.TextMarshaler: not every reader of JSON keeps 64 bits.
+// MarshalText implements encoding.TextMarshaler: many JSON readers lose precision on 64-bit numbers.
 func (v Variant) MarshalText() ([]byte, error) {
 	return strconv.AppendUint(nil, uint64(v), 16), nil
 }
@@ -53,7 +53,7 @@
 	return err
 }
 
-// ParseDigest reads what String returns.
+// ParseDigest parses a digest in the format of String.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	decoded, err := hex.DecodeString(text)
@@ -64,13 +64,13 @@
 	return digest, nil
 }
 
-// Identity is what makes a request the same when it comes again. Headers are no part of
-// it: ids and times in them are new for each try.
+// Identity holds the parts of a request that are the same when it is sent again. Headers are
+// not included: ids and times in them differ for each attempt.
 type Identity struct {
 	// Line is the request line: method, target and protocol.
 	Line []byte
 	Host string
-	// Caller is the address that the request came from, without port: connections change.
+	// Caller is the address of the client without the port, which differs for each connection.
 	Caller netip.Addr
 	Body   []byte
 
@@ -81,7 +81,7 @@
 // Variant returns which variant of its digest the request is.
 func (i *Identity) Variant() Variant {
 	hash := xxhash.New()
-	// A hash takes whatever is written.
+	// Writing to a hash never fails.
 	_, _ = hash.Write(i.Line)
 	_, _ = hash.Write(i.Caller.AsSlice())
 	return Variant(hash.Sum64())
@@ -93,14 +93,15 @@
 	return bytes.TrimSuffix(path, []byte(" HTTP/1.1"))
 }
 
-// Digest returns the digest, which is computed once: a body of 1 MB takes 1.0 ms
-// (BenchmarkDigest), so it is asked for only where something has been lost or is suspected.
+// Digest returns the digest, which is computed once. Hashing a body of 1 MB takes 1.0 ms
+// (BenchmarkDigest), so Digest is called only if attempts were lost or a request is suspected.
 func (i *Identity) Digest() Digest {
 	i.once.Do(func() { i.digest = i.hash() })
 	return i.digest
 }
 
-// hash writes the length of each part ahead of it: parts can't be shifted into each other.
+// hash writes the length of each part before the part, so that different parts cannot yield
+// the same input.
 func (i *Identity) hash() Digest {
 	hash := sha256.New()
 	for _, part := range [][]byte{i.path(), []byte(i.Host), i.Body} {
@@ -115,13 +116,13 @@
 	return digest
 }
 
-// prefix returns the beginning of the digest without reading the body.
+// prefix returns the start of the digest without reading the body.
 func (i *Identity) prefix() prefix {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(i.Body)))
 	hash := xxhash.New()
 	for _, part := range [][]byte{i.path(), {0}, []byte(i.Host), {0}, length[:]} {
-		// A hash takes whatever is written.
+		// Writing to a hash never fails.
 		_, _ = hash.Write(part)
 	}
 	var start prefix
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestDigestIsReadBack(t *testing.T) {
+func TestParseDigest(t *testing.T) {
 	is := is.New(t)
 	digest := (&Identity{Host: "h"}).Digest()
 	parsed, err := ParseDigest(digest.String())
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,8 +1,11 @@
-// Package quarantine finds the requests under which servers end, and keeps them from
-// further servers.
+// Package quarantine detects requests that crash the servers executing them, and stops
+// sending them to further servers.
 //
-// A request whose content makes every server end that begins to run it looks, to the
-// node that has sent it, like a server that failed: the node sends it to the next one,
-// and its caller sends it to the next node. What is needed to see it lies outlasts the
-// request and is spread over the nodes.
+// To the node that sent it, such a request ("query of death") looks like a failed server:
+// the node retries it on the next server, and the client retries it on the next node.
+// Detecting it takes state that outlives the request and is shared by all nodes.
+//
+// A server counts as crashed once it is gone other than by a planned shutdown. A request
+// under which servers crashed is suspected: it is tried on a single server at a time, and
+// quarantined for a term once enough of these trials have crashed a server too.
 package quarantine
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -15,122 +15,123 @@
 )
 
 const (
-	// lookInterval is how often losses are looked at that no other request has explained.
-	lookInterval = 50 * time.Millisecond
-	// confirmTimeout bounds the question whether a server lives; a new connection to
+	// confirmInterval is how often servers with unexplained losses are checked.
+	confirmInterval = 50 * time.Millisecond
+	// confirmTimeout bounds the check whether a server is alive; a new connection to
 	// another region takes 55 ms.
 	confirmTimeout = 500 * time.Millisecond
-	// mostConfirming bounds the questions under way; the others wait for the next look.
-	mostConfirming = 16
-	// loggedDigests bounds the requests that a line names.
-	loggedDigests = 8
-	// outdatedInterval is how often records are looked at that may be outdated.
-	outdatedInterval = 5 * time.Second
-	// writeTimeout bounds one write to the store, mostWrites how often one is made anew
-	// because another node has changed the record.
-	writeTimeout = 500 * time.Millisecond
-	mostWrites   = 4
-	// writesPerSecond and writesAtOnce bound the writes of a node: each costs the store, and
-	// callers that send ever new requests must not use up what it takes.
+	// maxConfirming bounds the concurrent checks; the others wait for the next interval.
+	maxConfirming = 16
+	// maxLoggedDigests bounds the requests listed in a log line.
+	maxLoggedDigests = 8
+	// expiryInterval is how often outdated records are dropped.
+	expiryInterval = 5 * time.Second
+	// writeTimeout bounds one write to the store, maxWriteAttempts how often a write is tried
+	// if other nodes keep changing the record.
+	writeTimeout     = 500 * time.Millisecond
+	maxWriteAttempts = 4
+	// writesPerSecond and writeBurst limit the writes of a node: each costs the store, and
+	// clients that keep sending new requests must not exhaust its capacity.
 	writesPerSecond = 20
-	writesAtOnce    = 60
-	// awaitLimit is how long a request waits for the trial of another one at the most: until
-	// the lease of a node that has died is over.
-	awaitLimit = trialLease + 100*time.Millisecond
-	// lostStorePause is how long after a write that failed trials are not asked for: their
-	// requests wait.
-	lostStorePause = 3 * time.Second
-	// tellAfter is how long a write may take before other nodes are told besides: the store
-	// usually answers within 30 ms, and a silent one is known for such only after seconds.
-	tellAfter = 100 * time.Millisecond
+	writeBurst      = 60
+	// maxAwait bounds how long a request waits for the trial of another one: until the
+	// lease of a node that has died is over.
+	maxAwait = trialLease + 100*time.Millisecond
+	// storeBackoff is how long after a failed write trials start without asking the store: their
+	// requests would wait for the timeout.
+	storeBackoff = 3 * time.Second
+	// broadcastDelay is how long a write may take before other nodes are notified as well: the
+	// store usually answers within 30 ms, and only after seconds is it clear that it does not.
+	broadcastDelay = 100 * time.Millisecond
 )
 
-// ErrChanged means that a record is another one than was expected.
+// ErrChanged means that the record in the store is not the expected version.
 var ErrChanged = errors.New("the record has changed")
 
-// errTooMany means that the node makes no more writes for the moment.
-var errTooMany = errors.New("too many writes of records")
+// errRateLimited means that this node has used up its rate of writes.
+var errRateLimited = errors.New("rate limit of record writes exceeded")
 
-// Registry keeps the records of all nodes.
+// Registry stores the records of all nodes.
 type Registry interface {
-	// Write makes the record, if its revision is zero, or replaces the one with its revision.
-	// It returns the record as it is after that. Where the error is ErrChanged, that is what
-	// another node has made of it; without a revision if it is gone.
+	// Write creates the record if its revision is zero, or else replaces the stored one, which
+	// must have this revision. It returns the record as stored. With ErrChanged that is the
+	// version of another node; without a revision if the record is gone.
 	Write(ctx context.Context, record Record) (Record, error)
-	// Remove removes the record whatever its revision; one that is not there is no error.
+	// Remove removes the record whatever its revision. A missing record is not an error.
 	Remove(ctx context.Context, digest Digest) error
 }
 
-// Observer is told what the keeper finds and decides. Its methods do not block.
+// Observer receives the findings and decisions of a keeper, for metrics. Its methods do not
+// block.
 type Observer interface {
-	// RequestsLost is told how many attempts were lost because a server of the service ended.
+	// RequestsLost reports how many attempts were lost because a server of the service crashed.
 	RequestsLost(service string, count int)
-	// RequestDecided is told what became of a request that is suspected.
+	// RequestDecided reports the decision on a suspected request.
 	RequestDecided(action Action)
-	// TrialEnded is told how the trial of a request ended.
+	// TrialEnded reports the result of a trial of this node.
 	TrialEnded(result TrialResult)
-	// RecordWritten is told the end of each write or removal of a record.
+	// RecordWritten reports the result of each write or removal of a record.
 	RecordWritten(err error)
 }
 
-// Options are what a keeper works with.
+// Options are the settings and dependencies of a keeper.
 type Options struct {
 	// Node is the name of this node.
 	Node string
-	// Term is how long a request that ends servers is refused; it doubles each time that its
-	// trial after that ends another one. Zero refuses none: the keeper only tells.
+	// Term is how long a request that crashes servers is refused. It doubles each time the trial
+	// after it crashes another server. With zero no request is refused: losses are only reported.
 	Term     time.Duration
 	Registry Registry
-	// Tell hands a notice to other nodes, without waiting for them; nil if there is no way.
+	// Tell sends a notice to other nodes without waiting for them; nil if that is not possible.
 	Tell func(notice Notice)
-	// Refuses reports whether nobody listens at the address (IP:port): the server has ended.
+	// Refuses reports whether the address (IP:port) refuses connections: the server has crashed.
 	Refuses  func(ctx context.Context, address string) bool
 	Observer Observer
-	// Now reads the clock by which terms and leases run.
+	// Now reads the clock for terms and leases.
 	Now func() boottime.Instant
 }
 
-// Keeper finds out under which requests servers end, and decides together with the keepers of
-// all other nodes which get no further ones. It is safe for concurrent use; a nil keeper lets
-// everything pass.
+// Keeper detects requests that crash servers and, together with the keepers of all other
+// nodes, quarantines them. It is safe for concurrent use. A nil keeper admits every request.
 type Keeper struct {
 	Options
+	// confirming is a semaphore for concurrent checks of servers.
 	confirming chan struct{}
 	writes     *rate.Limiter
-	// context ends with Run.
+	// context is canceled when Run returns.
 	context context.Context
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 
-	// losing and suspecting spare requests the lock while there is nothing to decide.
-	losing, suspecting atomic.Bool
-	mutex              sync.Mutex
-	ledger             Ledger
-	register           Register
-	// trials are those that this node makes.
+	// hasLosses and hasRecords let requests skip the lock while there is nothing to decide.
+	hasLosses, hasRecords atomic.Bool
+	mutex                 sync.Mutex
+	ledger                Ledger
+	register              Register
+	// trials are the active trials of this node.
 	trials map[trialKey]*trial
-	// storeLostAt is when a write to the store failed last; zero after one that did not.
-	storeLostAt boottime.Instant
+	// storeFailedAt is when a write to the store last failed; zero after a successful one.
+	storeFailedAt boottime.Instant
 }
 
-// NewKeeper returns a keeper. It works in full only while Run does.
+// NewKeeper returns a keeper. It checks servers and writes records only while Run runs.
 func NewKeeper(options Options) *Keeper {
 	keeper := &Keeper{
 		Options:    options,
-		confirming: make(chan struct{}, mostConfirming),
-		writes:     rate.NewLimiter(writesPerSecond, writesAtOnce),
+		confirming: make(chan struct{}, maxConfirming),
+		writes:     rate.NewLimiter(writesPerSecond, writeBurst),
 		register:   newRegister(options.Term),
 		trials:     make(map[trialKey]*trial),
 	}
-	keeper.context, keeper.end = context.WithCancel(context.Background())
+	keeper.context, keeper.cancel = context.WithCancel(context.Background())
 	return keeper
 }
 
-// Run asks servers whether they live where that matters, and writes records, until ctx ends.
+// Run checks servers that lost attempts, and writes and expires records, until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
-	defer k.end()
-	ticker := time.NewTicker(lookInterval)
+	defer k.cancel()
+	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
-	outdatedAt := k.Now().Add(outdatedInterval)
+	expireAt := k.Now().Add(expiryInterval)
 	for {
 		select {
 		case <-ctx.Done():
@@ -138,75 +139,75 @@
 		case now := <-ticker.C:
 			k.confirm(now)
 			k.publish()
-			if k.Now() >= outdatedAt {
-				outdatedAt = k.Now().Add(outdatedInterval)
-				k.forget()
+			if k.Now() >= expireAt {
+				expireAt = k.Now().Add(expiryInterval)
+				k.expire()
 			}
 		}
 	}
 }
 
-// locked runs a change of what is known, and notes whether there is anything to decide.
+// locked runs the change under the lock and updates the flags that let requests skip it.
 func (k *Keeper) locked(change func(now boottime.Instant)) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	change(k.Now())
-	k.losing.Store(!k.ledger.Empty())
-	k.suspecting.Store(k.register.Count() > 0)
+	k.hasLosses.Store(!k.ledger.Empty())
+	k.hasRecords.Store(k.register.Count() > 0)
 }
 
-// Lost takes in that an attempt was sent and has ended without an answer.
+// Lost records that an attempt was sent and has ended without an answer.
 func (k *Keeper) Lost(loss Loss) {
 	if k == nil {
 		return
 	}
 	k.locked(func(now boottime.Instant) {
 		if k.ledger.Lost(loss) {
-			k.charge([]Loss{loss}, now)
+			k.recordCrash([]Loss{loss}, now)
 			return
 		}
-		if made := k.trials[trialKey{loss.Digest, loss.Variant}]; made.concerns(loss.Service) {
-			made.loss = &loss
+		if t := k.trials[trialKey{loss.Digest, loss.Variant}]; t.concerns(loss.Service) {
+			t.loss = &loss
 		}
 	})
 }
 
-// Alive takes in that the server has answered a request that was sent at the given time.
+// Alive records that the server has answered a request sent at the given time.
 func (k *Keeper) Alive(server ServerID, sent time.Time) {
-	if k == nil || !k.losing.Load() {
+	if k == nil || !k.hasLosses.Load() {
 		return
 	}
 	k.locked(func(boottime.Instant) { k.ledger.Alive(server, sent) })
 }
 
-// Answered takes in that a service has answered the request: it does not end servers there.
+// Answered records that a service has answered the request: it does not crash that service's servers.
 func (k *Keeper) Answered(identity *Identity, service string) {
-	if k == nil || identity == nil || !k.losing.Load() && !k.suspecting.Load() {
+	if k == nil || identity == nil || !k.hasLosses.Load() && !k.hasRecords.Load() {
 		return
 	}
 	digest, variant := identity.Digest(), identity.Variant()
 	k.locked(func(now boottime.Instant) {
 		k.ledger.Answered(digest, variant, service)
-		if made := k.trials[trialKey{digest, variant}]; made.concerns(service) {
-			k.conclude(digest, made, TrialAnswered)
+		if t := k.trials[trialKey{digest, variant}]; t.concerns(service) {
+			k.finish(digest, t, TrialAnswered)
 			return
 		}
 		if k.register.Acquit(digest, variant, service, now) {
-			k.start(func(ctx context.Context) { k.acquit(ctx, digest, variant, service) })
+			k.spawn(func(ctx context.Context) { k.publishAnswer(ctx, digest, variant, service) })
 		}
 	})
 }
 
-// Ended takes in that the server has ended, other than as planned.
+// Ended records that the server is gone other than by a planned shutdown.
 func (k *Keeper) Ended(server ServerID) {
 	if k == nil {
 		return
 	}
-	k.locked(func(now boottime.Instant) { k.charge(k.ledger.Ended(server, time.Now()), now) })
+	k.locked(func(now boottime.Instant) { k.recordCrash(k.ledger.Ended(server, time.Now()), now) })
 }
 
-// charge takes in what was lost by the end of one server.
-func (k *Keeper) charge(losses []Loss, now boottime.Instant) {
+// recordCrash records the attempts that were lost in the crash of one server. The lock is held.
+func (k *Keeper) recordCrash(losses []Loss, now boottime.Instant) {
 	if len(losses) == 0 {
 		return
 	}
@@ -214,8 +215,8 @@
 		if k.Term > 0 {
 			k.register.Charge(loss, now)
 		}
-		if made := k.trials[trialKey{loss.Digest, loss.Variant}]; made.concerns(loss.Service) {
-			k.conclude(loss.Digest, made, TrialFailed)
+		if t := k.trials[trialKey{loss.Digest, loss.Variant}]; t.concerns(loss.Service) {
+			k.finish(loss.Digest, t, TrialFailed)
 		}
 	}
 	k.Observer.RequestsLost(losses[0].Service, len(losses))
@@ -226,22 +227,22 @@
 // digestsOf returns the digests of the first few losses.
 func digestsOf(losses []Loss) []string {
 	var digests []string
-	for _, loss := range losses[:min(len(losses), loggedDigests)] {
+	for _, loss := range losses[:min(len(losses), maxLoggedDigests)] {
 		digests = append(digests, loss.Digest.String())
 	}
 	return digests
 }
 
-// confirm asks the servers that have shown nothing since they lost something.
+// confirm checks the servers that have not answered anything since an attempt was lost there.
 func (k *Keeper) confirm(now time.Time) {
 	var unconfirmed []Loss
 	k.locked(func(boottime.Instant) { unconfirmed = k.ledger.Unconfirmed(now) })
 	for _, loss := range unconfirmed {
 		select {
 		case k.confirming <- struct{}{}:
-			k.start(func(ctx context.Context) {
+			k.spawn(func(ctx context.Context) {
 				defer func() { <-k.confirming }()
-				k.ask(ctx, loss)
+				k.checkServer(ctx, loss)
 			})
 		default:
 			klog.V(1).InfoS("server not asked whether it lives", "server", loss.Server)
@@ -249,8 +250,8 @@
 	}
 }
 
-// ask asks the server of a loss whether it lives.
-func (k *Keeper) ask(ctx context.Context, loss Loss) {
+// checkServer checks whether the server of a loss still accepts connections.
+func (k *Keeper) checkServer(ctx context.Context, loss Loss) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
 	if k.Refuses(ctx, loss.Address) {
@@ -258,7 +259,7 @@
 	}
 }
 
-// Stored returns the records that are in the store, for other nodes.
+// Stored returns the records that are in the store, for nodes that follow this one.
 func (k *Keeper) Stored() []Record {
 	if k == nil {
 		return nil
@@ -268,15 +269,15 @@
 	return slices.DeleteFunc(k.register.Records(), func(record Record) bool { return record.Revision == 0 })
 }
 
-// ReleasePath is where a node's metrics address takes releases, ReleaseDigest the parameter
-// of their query.
+// ReleasePath is the path on a node's metrics address for releasing a request, ReleaseDigest its
+// query parameter.
 const (
 	ReleasePath   = "/quarantine/release"
 	ReleaseDigest = "digest"
 )
 
-// Release lets a request pass again that an operator knows to be sound, on all nodes. It
-// reports whether the request was known.
+// Release ends the quarantine of a request on all nodes, on behalf of an operator. It reports
+// whether this node had a record of it.
 func (k *Keeper) Release(ctx context.Context, digest Digest) (bool, error) {
 	if k == nil {
 		return false, nil
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ServerID names one incarnation of a server.
+// ServerID identifies one incarnation of a server.
 type ServerID string
 
 // Loss is an attempt that was sent and has ended without an answer.
@@ -20,151 +20,152 @@
 }
 
 const (
-	// lossMemory is how long a loss may wait for word of its server's end: the entry of a
-	// silent server goes after three heartbeats, a few seconds, and requests may be given up
-	// before that.
-	lossMemory = 20 * time.Second
-	// confirmAfter is how long a server that has lost something may show by itself that it
-	// lives before it is asked: a node sends a few requests a second to each.
-	confirmAfter = 200 * time.Millisecond
-	// largestAccount and mostAccounts bound what is kept, to 2 MB: where a zone is lost
-	// there are a few losses a server.
-	largestAccount = 16
-	mostAccounts   = 1024
+	// lossRetention is how long a loss is kept until its server is known to have crashed: the
+	// entry of a silent server is removed after three heartbeats, a few seconds, and requests
+	// may be given up before that.
+	lossRetention = 20 * time.Second
+	// confirmDelay is how long after a loss a server is checked, unless it has answered
+	// another request: a node sends a few requests per second to each server.
+	confirmDelay = 200 * time.Millisecond
+	// maxLossesPerServer and maxServersWithLosses bound the memory to 2 MB: when a zone fails,
+	// there are a few losses per server.
+	maxLossesPerServer   = 16
+	maxServersWithLosses = 1024
 )
 
 // Ledger holds the attempts that were lost at each server until it is known whether the
-// server has ended or lives: a lost answer alone says nothing of the request. It does no
-// I/O and reads no clock. The zero value is empty.
+// server has crashed or is alive: a lost answer alone says nothing about the request. It does
+// no I/O and reads no clock. The zero value is empty.
 type Ledger struct {
-	accounts map[ServerID]*account
-	// open counts the losses by request: most answers are of requests that lost nothing.
-	open map[Digest]int
+	servers map[ServerID]*serverLosses
+	// lossesByDigest counts the losses by request, so that answers of requests without losses, the
+	// usual case, cost one lookup.
+	lossesByDigest map[Digest]int
 }
 
-// account is what is known of one server.
-type account struct {
+// serverLosses are the unexplained losses at one server.
+type serverLosses struct {
 	losses []Loss
-	// endedAt is when the server was found to have ended; zero before.
-	endedAt time.Time
-	// asked is set once the server has been asked whether it lives since the latest loss.
-	asked bool
+	// crashedAt is when the server was found to have crashed; zero before.
+	crashedAt time.Time
+	// checked is set once the server has been checked since the latest loss.
+	checked bool
 }
 
-// Lost takes in a loss. It reports whether the server is known to have ended: then the
-// loss counts at once and is not kept.
+// Lost adds a loss. It reports whether the server is known to have crashed: then the loss
+// is attributed to the crash immediately and not kept.
 func (l *Ledger) Lost(loss Loss) bool {
-	kept := l.accounts[loss.Server]
+	s := l.servers[loss.Server]
 	switch {
-	case kept != nil && !kept.endedAt.IsZero():
+	case s != nil && !s.crashedAt.IsZero():
 		return true
-	case kept == nil && len(l.accounts) >= mostAccounts:
+	case s == nil && len(l.servers) >= maxServersWithLosses:
 		return false
-	case kept == nil:
-		kept = l.add(loss.Server)
+	case s == nil:
+		s = l.add(loss.Server)
 	}
-	if len(kept.losses) < largestAccount {
-		kept.losses = append(kept.losses, loss)
-		kept.asked = false
-		l.open[loss.Digest]++
+	if len(s.losses) < maxLossesPerServer {
+		s.losses = append(s.losses, loss)
+		s.checked = false
+		l.lossesByDigest[loss.Digest]++
 	}
 	return false
 }
 
-func (l *Ledger) add(server ServerID) *account {
-	if l.accounts == nil {
-		l.accounts = make(map[ServerID]*account)
-		l.open = make(map[Digest]int)
+func (l *Ledger) add(server ServerID) *serverLosses {
+	if l.servers == nil {
+		l.servers = make(map[ServerID]*serverLosses)
+		l.lossesByDigest = make(map[Digest]int)
 	}
-	added := &account{}
-	l.accounts[server] = added
+	added := &serverLosses{}
+	l.servers[server] = added
 	return added
 }
 
-// Alive takes in that the server has answered a request sent at the given time: what was
-// lost before that was not lost by its end.
+// Alive records that the server has answered a request sent at the given time: earlier losses
+// were not caused by a crash.
 func (l *Ledger) Alive(server ServerID, sent time.Time) {
-	kept := l.accounts[server]
-	if kept == nil || !kept.endedAt.IsZero() {
+	s := l.servers[server]
+	if s == nil || !s.crashedAt.IsZero() {
 		return
 	}
-	l.drop(kept, func(loss Loss) bool { return loss.At.Before(sent) })
-	l.close(server, kept)
+	l.drop(s, func(loss Loss) bool { return loss.At.Before(sent) })
+	l.dropIfEmpty(server, s)
 }
 
-// Answered takes in that a service has answered the request: it ends no server there.
+// Answered records that a service has answered the request: it does not crash that service's servers.
 func (l *Ledger) Answered(digest Digest, variant Variant, service string) {
-	if l.open[digest] == 0 {
+	if l.lossesByDigest[digest] == 0 {
 		return
 	}
-	for server, kept := range l.accounts {
-		l.drop(kept, func(loss Loss) bool {
+	for server, s := range l.servers {
+		l.drop(s, func(loss Loss) bool {
 			return loss.Digest == digest && loss.Variant == variant && loss.Service == service
 		})
-		l.close(server, kept)
+		l.dropIfEmpty(server, s)
 	}
 }
 
-// Ended takes in that the server has ended and returns what was lost by that. What is lost
-// there later counts too: a request at a silent server may be given up after its end is known.
+// Ended records that the server has crashed and returns the attempts lost there. Later losses are
+// attributed to the crash too: a request to a silent server may be given up after the crash is known.
 func (l *Ledger) Ended(server ServerID, now time.Time) []Loss {
-	kept := l.accounts[server]
-	if kept == nil && len(l.accounts) >= mostAccounts {
+	s := l.servers[server]
+	if s == nil && len(l.servers) >= maxServersWithLosses {
 		return nil
 	}
-	if kept == nil {
-		kept = l.add(server)
+	if s == nil {
+		s = l.add(server)
 	}
-	if kept.endedAt.IsZero() {
-		kept.endedAt = now
+	if s.crashedAt.IsZero() {
+		s.crashedAt = now
 	}
-	losses := slices.Clone(kept.losses)
-	l.drop(kept, func(Loss) bool { return true })
+	losses := slices.Clone(s.losses)
+	l.drop(s, func(Loss) bool { return true })
 	return losses
 }
 
-// Unconfirmed returns one loss of each server that has to be asked whether it lives, and
-// forgets what is too old. A server is asked once for its latest loss.
+// Unconfirmed returns one loss of each server that has to be checked, and drops losses that
+// are too old. A server is checked once for its latest loss.
 func (l *Ledger) Unconfirmed(now time.Time) []Loss {
-	var asked []Loss
-	for server, kept := range l.accounts {
-		l.drop(kept, func(loss Loss) bool { return now.Sub(loss.At) > lossMemory })
-		if now.Sub(kept.endedAt) > lossMemory {
-			kept.endedAt = time.Time{}
+	var unconfirmed []Loss
+	for server, s := range l.servers {
+		l.drop(s, func(loss Loss) bool { return now.Sub(loss.At) > lossRetention })
+		if now.Sub(s.crashedAt) > lossRetention {
+			s.crashedAt = time.Time{}
 		}
-		l.close(server, kept)
-		if count := len(kept.losses); count > 0 && !kept.asked && now.Sub(kept.losses[count-1].At) >= confirmAfter {
-			kept.asked = true
-			asked = append(asked, kept.losses[count-1])
+		l.dropIfEmpty(server, s)
+		if count := len(s.losses); count > 0 && !s.checked && now.Sub(s.losses[count-1].At) >= confirmDelay {
+			s.checked = true
+			unconfirmed = append(unconfirmed, s.losses[count-1])
 		}
 	}
-	return asked
+	return unconfirmed
 }
 
-// Has reports whether it is still open what has become of the server of a loss.
+// Has reports whether it is still unknown whether the server of the loss has crashed.
 func (l *Ledger) Has(loss Loss) bool {
-	kept := l.accounts[loss.Server]
-	return kept != nil && slices.Contains(kept.losses, loss)
+	s := l.servers[loss.Server]
+	return s != nil && slices.Contains(s.losses, loss)
 }
 
-// Empty reports whether nothing is kept.
-func (l *Ledger) Empty() bool { return len(l.accounts) == 0 }
+// Empty reports whether no server has unexplained losses or a recent crash.
+func (l *Ledger) Empty() bool { return len(l.servers) == 0 }
 
-// close forgets an account without content.
-func (l *Ledger) close(server ServerID, kept *account) {
-	if len(kept.losses) == 0 && kept.endedAt.IsZero() {
-		delete(l.accounts, server)
+// dropIfEmpty drops the entry of a server without losses or a recent crash.
+func (l *Ledger) dropIfEmpty(server ServerID, s *serverLosses) {
+	if len(s.losses) == 0 && s.crashedAt.IsZero() {
+		delete(l.servers, server)
 	}
 }
 
-// drop removes losses of an account.
-func (l *Ledger) drop(from *account, unwanted func(Loss) bool) {
-	from.losses = slices.DeleteFunc(from.losses, func(loss Loss) bool {
+// drop removes the losses for which unwanted returns true.
+func (l *Ledger) drop(s *serverLosses, unwanted func(Loss) bool) {
+	s.losses = slices.DeleteFunc(s.losses, func(loss Loss) bool {
 		if !unwanted(loss) {
 			return false
 		}
-		if l.open[loss.Digest]--; l.open[loss.Digest] == 0 {
-			delete(l.open, loss.Digest)
+		if l.lossesByDigest[loss.Digest]--; l.lossesByDigest[loss.Digest] == 0 {
+			delete(l.lossesByDigest, loss.Digest)
 		}
 		return true
 	})
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -7,25 +7,25 @@
 	"github.com/driftstage/driftstage/internal/boottime"
 )
 
-// Notice is what a node that can't write to the store tells the others of a record.
+// Notice tells other nodes of a record that the sender could not write to the store.
 type Notice struct {
-	// Node has sent it.
+	// Node is the sender.
 	Node   string `json:"node"`
 	Record Record `json:"record"`
-	// Cleared is set if the request was answered: then the record is only a name.
+	// Cleared is set if the request was answered: then the record holds only the digest.
 	Cleared bool `json:"cleared,omitempty"`
 }
 
-// passOnSpread is the time over which the nodes that were told something write it to the
-// store in place of the node that can't: one of them is enough.
-const passOnSpread = time.Second
+// forwardJitter spreads the writes of the nodes that received a notice, which write it to the
+// store in place of the sender: one of them is enough.
+const forwardJitter = time.Second
 
-// clearedMemory is how long word of others on a record that was cleared is taken for older than that:
-// they repeat what the store can't be told each publishAgain.
-const clearedMemory = 2 * publishAgain
+// clearedRetention is how long notices on a cleared record are considered older than its removal:
+// nodes that cannot write to the store repeat them every publishRetryDelay.
+const clearedRetention = 2 * publishRetryDelay
 
-// tell tells other nodes what could not be written.
-func (k *Keeper) tell(notice Notice) {
+// broadcast sends a notice to other nodes.
+func (k *Keeper) broadcast(notice Notice) {
 	if k.Tell == nil {
 		return
 	}
@@ -33,7 +33,7 @@
 	k.Tell(notice)
 }
 
-// Hear takes in what another node tells.
+// Hear applies a notice of another node.
 func (k *Keeper) Hear(notice Notice) {
 	if k == nil || k.Term == 0 {
 		return
@@ -43,41 +43,42 @@
 			k.register.Release(notice.Record.Digest, now)
 			return
 		}
-		k.register.Hear(notice, now, rand.N(passOnSpread))
+		k.register.Hear(notice, now, rand.N(forwardJitter))
 	})
 }
 
-// Hear takes in what another node knows and could not write. It is written later, unless
-// the store tells of it before.
-func (r *Register) Hear(notice Notice, now boottime.Instant, passOn time.Duration) {
-	told := notice.Record.clone()
-	known := r.entries[told.Digest]
-	if known == nil {
-		if cleared, found := r.removed[told.Digest]; found && now.Sub(cleared) < clearedMemory || !r.makeRoom() {
+// Hear applies a notice of another node. Its content is written to the store after forwardDelay,
+// unless it arrives from there first.
+func (r *Register) Hear(notice Notice, now boottime.Instant, forwardDelay time.Duration) {
+	received := notice.Record.clone()
+	e := r.entries[received.Digest]
+	if e == nil {
+		if cleared, found := r.removed[received.Digest]; found && now.Sub(cleared) < clearedRetention || !r.makeRoom() {
 			return
 		}
-		known = r.put(Record{Digest: told.Digest})
+		e = r.put(Record{Digest: received.Digest})
 	}
-	failed := known.record.Failed()
-	news := known.record.merge(told)
-	if known.record.Failed() > failed {
-		known.failedAt = now
+	failed := e.record.Failed()
+	changed := e.record.merge(received)
+	if e.record.Failed() > failed {
+		e.lastFailure = now
 	}
-	known.hearTrials(notice.Node, told.Trials, now)
-	if news && known.publishAt == 0 {
-		known.publishAt = now.Add(publishAfter + passOn)
+	e.replaceTrialsOf(notice.Node, received.Trials, now)
+	if changed && e.publishAt == 0 {
+		e.publishAt = now.Add(publishDelay + forwardDelay)
 	}
-	known.news = now
-	known.notify()
+	e.lastChange = now
+	e.notify()
 }
 
-// hearTrials takes in which trials a node says that it makes; it can't know of those of others.
-func (e *entry) hearTrials(node string, told []Trial, now boottime.Instant) {
-	e.record.dropTrials(func(made Trial) bool { return made.Node == node })
-	for _, made := range told {
-		if made.Node == node {
-			made.seenAt = now
-			e.record.Trials = append(e.record.Trials, made)
+// replaceTrialsOf replaces the trials of a node by those in its notice. What the notice says about
+// trials of other nodes is ignored, since it may be outdated.
+func (e *entry) replaceTrialsOf(node string, trials []Trial, now boottime.Instant) {
+	e.record.dropTrials(func(t Trial) bool { return t.Node == node })
+	for _, t := range trials {
+		if t.Node == node {
+			t.seenAt = now
+			e.record.Trials = append(e.record.Trials, t)
 		}
 	}
 }
--- a/internal/quarantine/publish.go
+++ b/internal/quarantine/publish.go
@@ -11,22 +11,22 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// start runs a task that ends with Run, or soon after.
-func (k *Keeper) start(task func(ctx context.Context)) {
+// spawn runs a task in the background; its context is canceled when Run returns.
+func (k *Keeper) spawn(task func(ctx context.Context)) {
 	go task(k.context)
 }
 
-// write makes one write to the store.
+// write writes the record to the store once.
 func (k *Keeper) write(ctx context.Context, record Record) (Record, error) {
 	if !k.writes.Allow() {
-		return record, errTooMany
+		return record, errRateLimited
 	}
 	if record.Revision == 0 {
-		// A trial of which another node has told is that node's to write: it may be over.
-		record.dropTrials(func(made Trial) bool { return made.Node != k.Node })
+		// Trials of other nodes are left to these nodes to write: they may have ended.
+		record.dropTrials(func(t Trial) bool { return t.Node != k.Node })
 	}
 	written := record
-	err := k.call(ctx, Notice{Record: record}, func(ctx context.Context) (err error) {
+	err := k.callStore(ctx, Notice{Record: record}, func(ctx context.Context) (err error) {
 		written, err = k.Registry.Write(ctx, record)
 		return err
 	})
@@ -35,77 +35,77 @@
 
 // remove removes a record from the store.
 func (k *Keeper) remove(ctx context.Context, digest Digest) error {
-	return k.call(ctx, Notice{Record: Record{Digest: digest}, Cleared: true}, func(ctx context.Context) error {
+	return k.callStore(ctx, Notice{Record: Record{Digest: digest}, Cleared: true}, func(ctx context.Context) error {
 		return k.Registry.Remove(ctx, digest)
 	})
 }
 
-// call makes one call to the store, and tells other nodes what it is about if the store does
-// not answer soon.
-func (k *Keeper) call(ctx context.Context, notice Notice, call func(ctx context.Context) error) error {
+// callStore makes one call to the store, and broadcasts the notice if the call fails or the store
+// does not answer within broadcastDelay.
+func (k *Keeper) callStore(ctx context.Context, notice Notice, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	slow := time.AfterFunc(tellAfter, func() { k.tell(notice) })
+	timer := time.AfterFunc(broadcastDelay, func() { k.broadcast(notice) })
 	err := call(ctx)
-	untold := slow.Stop()
+	pending := timer.Stop()
 	k.Observer.RecordWritten(err)
-	lost := err != nil && !errors.Is(err, ErrChanged)
+	failed := err != nil && !errors.Is(err, ErrChanged)
 	k.locked(func(now boottime.Instant) {
-		k.storeLostAt = 0
-		if lost {
-			k.storeLostAt = now
+		k.storeFailedAt = 0
+		if failed {
+			k.storeFailedAt = now
 		}
 	})
-	if lost && untold {
-		k.tell(notice)
+	if failed && pending {
+		k.broadcast(notice)
 	}
 	return err
 }
 
-// errStoreLost means that the store has just failed to answer.
-var errStoreLost = errors.New("the store does not answer")
+// errStoreDown means that a recent write to the store has failed.
+var errStoreDown = errors.New("the store does not answer")
 
-// writeUnlessLost is write, unless a write has just failed: then other nodes are told at once.
-func (k *Keeper) writeUnlessLost(ctx context.Context, record Record) (Record, error) {
+// writeUnlessDown is like write, but if a write has failed recently it only notifies other nodes.
+func (k *Keeper) writeUnlessDown(ctx context.Context, record Record) (Record, error) {
 	k.mutex.Lock()
-	lost := k.storeLostAt > 0 && k.Now().Sub(k.storeLostAt) < lostStorePause
+	down := k.storeFailedAt > 0 && k.Now().Sub(k.storeFailedAt) < storeBackoff
 	k.mutex.Unlock()
-	if lost {
-		k.tell(Notice{Record: record})
-		return record, errStoreLost
+	if down {
+		k.broadcast(Notice{Record: record})
+		return record, errStoreDown
 	}
 	return k.write(ctx, record)
 }
 
-// note logs a write that failed; the record is written later, or runs out.
-func (k *Keeper) note(digest Digest, err error) {
+// logWriteError logs a failed write; the record is written later or expires.
+func (k *Keeper) logWriteError(digest Digest, err error) {
 	if err != nil {
 		klog.InfoS("record not written", "digest", digest, "cause", err.Error())
 	}
 }
 
-// publish writes the records that the store lacks.
+// publish writes the records that are due.
 func (k *Keeper) publish() {
 	var due []Record
 	k.locked(func(now boottime.Instant) {
 		due = k.register.Due(now)
 		for _, record := range due {
-			k.register.Postpone(record.Digest, now.Add(publishAgain))
+			k.register.Postpone(record.Digest, now.Add(publishRetryDelay))
 		}
 	})
 	for _, record := range due {
-		k.start(func(ctx context.Context) {
+		k.spawn(func(ctx context.Context) {
 			k.update(ctx, record.Digest, func(boottime.Instant) (Record, bool) { return k.register.Record(record.Digest) })
 		})
 	}
 }
 
-// acquit tells all nodes that a service has answered a request.
-func (k *Keeper) acquit(ctx context.Context, digest Digest, variant Variant, service string) {
+// publishAnswer writes to the store that a service has answered a request.
+func (k *Keeper) publishAnswer(ctx context.Context, digest Digest, variant Variant, service string) {
 	found := false
 	k.locked(func(boottime.Instant) { _, found = k.register.Record(digest) })
 	if !found {
-		k.note(digest, k.remove(ctx, digest))
+		k.logWriteError(digest, k.remove(ctx, digest))
 		return
 	}
 	k.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
@@ -114,10 +114,10 @@
 	})
 }
 
-// update writes what a change makes of a record, and makes the change anew where another
-// node has written the record meanwhile.
+// update applies a change to a record and writes the result. If another node has written the
+// record meanwhile, it applies that version and the change again.
 func (k *Keeper) update(ctx context.Context, digest Digest, change func(now boottime.Instant) (Record, bool)) {
-	for range mostWrites {
+	for range maxWriteAttempts {
 		var record Record
 		var found bool
 		k.locked(func(now boottime.Instant) { record, found = change(now) })
@@ -126,26 +126,26 @@
 		}
 		written, err := k.write(ctx, record)
 		if err != nil && !errors.Is(err, ErrChanged) {
-			k.note(digest, err)
+			k.logWriteError(digest, err)
 			return
 		}
 		k.locked(func(now boottime.Instant) {
 			if err == nil {
 				k.register.Written(written, now)
 			} else {
-				k.learn(digest, written, now)
+				k.applyConflict(digest, written, now)
 			}
 		})
 		if err == nil {
-			logConviction(written)
+			logQuarantined(written)
 			return
 		}
 	}
-	k.note(digest, ErrChanged)
+	k.logWriteError(digest, ErrChanged)
 }
 
-// learn takes in what another node has made of a record.
-func (k *Keeper) learn(digest Digest, record Record, now boottime.Instant) {
+// applyConflict applies the version of a record that another node has written.
+func (k *Keeper) applyConflict(digest Digest, record Record, now boottime.Instant) {
 	if record.Revision == 0 {
 		k.register.Release(digest, now)
 		return
@@ -153,29 +153,29 @@
 	k.register.Learn(record, now)
 }
 
-// logConviction tells that a request is refused from now on.
-func logConviction(record Record) {
+// logQuarantined logs that a request is refused from now on.
+func logQuarantined(record Record) {
 	if record.Convicted() {
 		klog.InfoS("request quarantined", "digest", record.Digest, "services", record.Services(),
 			"servers", record.Ended(), "failed_trials", record.Failed())
 	}
 }
 
-// forget removes the records that have had no news for long.
-func (k *Keeper) forget() {
+// expire removes the records that have not changed for their retention.
+func (k *Keeper) expire() {
 	var outdated []Record
 	k.locked(func(now boottime.Instant) { outdated = k.register.Outdated(now) })
 	for _, record := range outdated {
-		k.start(func(ctx context.Context) { k.note(record.Digest, k.remove(ctx, record.Digest)) })
+		k.spawn(func(ctx context.Context) { k.logWriteError(record.Digest, k.remove(ctx, record.Digest)) })
 	}
 }
 
-// Replace implements catalog.Sink. Nothing of the store's records runs out while it is away.
+// Replace implements catalog.Sink. The store does not expire records, so a list after an outage lacks none.
 func (k *Keeper) Replace(records []Record, _ bool) {
 	k.locked(func(now boottime.Instant) { k.register.Replace(records, now) })
 }
 
-// Restored takes in that the store has come back from a copy.
+// Restored notes that the store was restored from a backup.
 func (k *Keeper) Restored() {
 	if k != nil {
 		k.locked(func(boottime.Instant) { k.register.Restored() })
@@ -192,7 +192,7 @@
 	})
 	klog.InfoS("records of a restored store", "count", len(records), "unwritten", due, "returned", len(returned))
 	for _, digest := range returned {
-		k.start(func(ctx context.Context) { k.note(digest, k.remove(ctx, digest)) })
+		k.spawn(func(ctx context.Context) { k.logWriteError(digest, k.remove(ctx, digest)) })
 	}
 }
 
@@ -203,7 +203,7 @@
 func (k *Keeper) Apply(change catalog.Change[Record]) {
 	if !change.Removed {
 		k.locked(func(now boottime.Instant) { k.register.Learn(change.Value, now) })
-		logConviction(change.Value)
+		logQuarantined(change.Value)
 		return
 	}
 	digest, err := ParseDigest(change.Name)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -9,72 +9,73 @@
 )
 
 const (
-	// leastServers is how many servers have to end under a request, and leastFailed how many
-	// trials among them, before it is refused. An end under the first try proves nothing: where
-	// a zone is lost, hundreds of requests lose several servers at once. A trial goes to one
-	// server, at another moment.
-	leastServers = 3
-	leastFailed  = 2
-	// mostServers bounds the servers that are named for a service, mostVariants the variants
-	// of a request.
-	mostServers  = 8
-	mostVariants = 8
+	// minCrashedServers is how many servers must have crashed under a request, and minFailedTrials
+	// how many of its trials must have crashed one of them, before it is quarantined. Crashes under
+	// the first attempt prove nothing: when a zone fails, hundreds of requests lose several servers
+	// at once. A trial goes to a single server, at a different time.
+	minCrashedServers = 3
+	minFailedTrials   = 2
+	// maxServers bounds the servers listed per service, maxVariants the variants listed per
+	// request.
+	maxServers  = 8
+	maxVariants = 8
 )
 
-// Suspicion is a service whose servers ended under a request. None has answered it since.
+// Suspicion is a service whose servers crashed under a request and that has not answered it since.
 type Suspicion struct {
 	Service string `json:"service"`
-	// Servers are those that ended, the first ones of them.
+	// Servers are the crashed servers; the first maxServers are kept.
 	Servers []ServerID `json:"servers"`
 }
 
-// Suspect is a variant of a request under which servers ended.
+// Suspect is a variant of a request under which servers crashed.
 type Suspect struct {
 	Variant Variant `json:"variant"`
-	// Failed is how many of its trials have ended a server.
+	// Failed is the number of its trials that crashed a server.
 	Failed int `json:"failed,omitempty"`
 }
 
-// Trial is a send of a suspected request to a single server, for which all nodes together
-// have one permission; the zero value is none.
+// Trial is a send of a suspected request to a single server, like the trial call of a
+// half-open circuit breaker. Of all nodes, one at a time has the permission for it. The zero
+// value is no trial.
 type Trial struct {
-	// Node makes the trial, Number tells its trials apart.
+	// Node makes the trial; Number identifies it among the trials of the node.
 	Node   string `json:"node"`
 	Number uint64 `json:"number"`
 	// Variant is that of the request.
 	Variant Variant `json:"variant"`
-	// Renewal rises each time that the node confirms that it is still at it.
+	// Renewal is incremented each time the node renews the lease of the trial.
 	Renewal int `json:"renewal,omitempty"`
-	// seenAt is when this node learned of the trial, or of its latest renewal.
+	// seenAt is when this node learned of the trial or of its latest renewal.
 	seenAt boottime.Instant
 }
 
-// is reports whether both are the same trial, renewed or not.
-func (t Trial) is(other Trial) bool { return t.Node == other.Node && t.Number == other.Number }
+// sameAs reports whether both are the same trial, renewed or not.
+func (t Trial) sameAs(other Trial) bool { return t.Node == other.Node && t.Number == other.Number }
 
-// none reports whether there is no trial.
-func (t Trial) none() bool { return t.Node == "" }
+// isZero reports whether there is no trial.
+func (t Trial) isZero() bool { return t.Node == "" }
 
-// underWay reports whether the trial still keeps others from being made.
-func (t Trial) underWay(now boottime.Instant) bool { return now.Sub(t.seenAt) < trialLease }
+// active reports whether the lease of the trial still excludes other trials.
+func (t Trial) active(now boottime.Instant) bool { return now.Sub(t.seenAt) < trialLease }
 
-// Record is what the nodes know together of a request under which servers ended.
+// Record is what all nodes together know about a request under which servers crashed.
 type Record struct {
 	Digest Digest `json:"digest"`
-	// Revision is that of the record in the store; zero if it is not there.
+	// Revision is the revision of the record in the store; zero if it is not stored.
 	Revision catalog.Revision `json:"revision"`
 	// Suspicions are sorted by service.
 	Suspicions []Suspicion `json:"suspicions"`
-	// Suspects are the variants under which servers ended, the first ones of them.
+	// Suspects are the variants under which servers crashed; the first maxVariants are kept.
 	Suspects []Suspect `json:"suspects"`
-	// Mixed is set once another variant was answered: then only those that are named are
-	// suspected.
+	// Mixed is set once another variant was answered: from then on only the listed variants
+	// are suspected.
 	Mixed bool `json:"mixed,omitempty"`
-	// Trials are those under way, and those of nodes that died at them.
+	// Trials are the active ones, and those of nodes that died before ending them.
 	Trials []Trial `json:"trials,omitempty"`
 }
 
-// Ended returns how many servers are named.
+// Ended returns the number of crashed servers listed.
 func (r Record) Ended() int {
 	count := 0
 	for _, suspicion := range r.Suspicions {
@@ -83,7 +84,7 @@
 	return count
 }
 
-// Failed returns how many trials have ended a server.
+// Failed returns the number of trials that crashed a server.
 func (r Record) Failed() int {
 	count := 0
 	for _, suspect := range r.Suspects {
@@ -92,46 +93,48 @@
 	return count
 }
 
-// Convicted reports whether some variant of the request is known to end servers.
+// Convicted reports whether some variant of the request is known to crash servers.
 func (r Record) Convicted() bool {
-	return r.Ended() >= leastServers && (r.several() || slices.ContainsFunc(r.Suspects, Suspect.condemned))
+	return r.Ended() >= minCrashedServers && (r.coversAllVariants() || slices.ContainsFunc(r.Suspects, Suspect.confirmed))
 }
 
-func (s Suspect) condemned() bool { return s.Failed >= leastFailed }
+// confirmed reports whether enough trials of the variant have failed to quarantine it.
+func (s Suspect) confirmed() bool { return s.Failed >= minFailedTrials }
 
-// several reports whether trials of several variants have ended servers and none was answered:
-// then all of them do.
-func (r Record) several() bool {
+// coversAllVariants reports whether trials of several variants have crashed servers while no
+// variant was answered: then all variants are quarantined.
+func (r Record) coversAllVariants() bool {
 	count := 0
 	for _, suspect := range r.Suspects {
 		if suspect.Failed > 0 {
 			count++
 		}
 	}
-	return !r.Mixed && count >= leastFailed
+	return !r.Mixed && count >= minFailedTrials
 }
 
-// condemns reports whether the variant is known to end servers.
-func (r Record) condemns(variant Variant) bool {
-	suspect := r.suspect(variant)
-	return r.Ended() >= leastServers && (r.several() || suspect != nil && suspect.condemned())
+// quarantines reports whether the variant is known to crash servers.
+func (r Record) quarantines(variant Variant) bool {
+	suspect := r.findSuspect(variant)
+	return r.Ended() >= minCrashedServers && (r.coversAllVariants() || suspect != nil && suspect.confirmed())
 }
 
-// Names reports whether servers ended under the variant.
-func (r Record) Names(variant Variant) bool { return r.suspect(variant) != nil }
+// Names reports whether the variant is listed: servers crashed under it.
+func (r Record) Names(variant Variant) bool { return r.findSuspect(variant) != nil }
 
-// concerns reports whether the variant is suspected.
-func (r Record) concerns(variant Variant) bool { return !r.Mixed || r.Names(variant) }
+// covers reports whether the variant is suspected.
+func (r Record) covers(variant Variant) bool { return !r.Mixed || r.Names(variant) }
 
-// failedOf returns how many trials of the variant have ended a server.
-func (r Record) failedOf(variant Variant) int {
-	if suspect := r.suspect(variant); suspect != nil {
+// failedTrials returns the number of trials of the variant that crashed a server.
+func (r Record) failedTrials(variant Variant) int {
+	if suspect := r.findSuspect(variant); suspect != nil {
 		return suspect.Failed
 	}
 	return 0
 }
 
-func (r Record) suspect(variant Variant) *Suspect {
+// findSuspect returns the listed variant; nil if it is not listed.
+func (r Record) findSuspect(variant Variant) *Suspect {
 	index := slices.IndexFunc(r.Suspects, func(s Suspect) bool { return s.Variant == variant })
 	if index < 0 {
 		return nil
@@ -139,24 +142,25 @@
 	return &r.Suspects[index]
 }
 
-// apart reports whether the variant is tried apart from others: it is judged by its own trials
-// alone, or is likely to be the bad one and not to be waited for.
-func (r Record) apart(variant Variant) bool { return r.Mixed || r.failedOf(variant) > 0 }
-
-// blocking returns the trial under way that keeps the variant from being tried; none if it is free.
-func (r Record) blocking(variant Variant, now boottime.Instant) Trial {
-	for _, made := range r.Trials {
-		together := !r.apart(made.Variant) && !r.apart(variant)
-		if made.underWay(now) && (together || made.Variant == variant) {
-			return made
+// triedSeparately reports whether the variant is tried independently of others: either only its
+// own trials count for it, or it is likely the one that crashes servers and others must not wait
+// for it.
+func (r Record) triedSeparately(variant Variant) bool { return r.Mixed || r.failedTrials(variant) > 0 }
+
+// blockingTrial returns the active trial that excludes one of the variant; the zero value if there is none.
+func (r Record) blockingTrial(variant Variant, now boottime.Instant) Trial {
+	for _, t := range r.Trials {
+		together := !r.triedSeparately(t.Variant) && !r.triedSeparately(variant)
+		if t.active(now) && (together || t.Variant == variant) {
+			return t
 		}
 	}
 	return Trial{}
 }
 
-// trial returns the trial of the record that is the same as the given one; nil if it has ended.
-func (r Record) trial(made Trial) *Trial {
-	index := slices.IndexFunc(r.Trials, made.is)
+// findTrial returns the trial of the record that is the same as the given one; nil if it has ended.
+func (r Record) findTrial(t Trial) *Trial {
+	index := slices.IndexFunc(r.Trials, t.sameAs)
 	if index < 0 {
 		return nil
 	}
@@ -164,7 +168,7 @@
 }
 
 // dropTrials removes the trials for which drop returns true.
-func (r *Record) dropTrials(drop func(made Trial) bool) {
+func (r *Record) dropTrials(drop func(t Trial) bool) {
 	r.Trials = slices.DeleteFunc(slices.Clone(r.Trials), drop)
 }
 
@@ -177,7 +181,7 @@
 	return services
 }
 
-// clone returns a record that shares nothing with this one.
+// clone returns a deep copy of the record.
 func (r Record) clone() Record {
 	r.Suspects = slices.Clone(r.Suspects)
 	r.Trials = slices.Clone(r.Trials)
@@ -188,8 +192,8 @@
 	return r
 }
 
-// add names a server that ended; it reports whether that is new.
-func (r *Record) add(service string, server ServerID) bool {
+// addServer lists a crashed server; it reports whether the record changed.
+func (r *Record) addServer(service string, server ServerID) bool {
 	index, found := slices.BinarySearchFunc(r.Suspicions, service, func(s Suspicion, name string) int {
 		return strings.Compare(s.Service, name)
 	})
@@ -197,19 +201,19 @@
 		r.Suspicions = slices.Insert(r.Suspicions, index, Suspicion{Service: service})
 	}
 	suspicion := &r.Suspicions[index]
-	if slices.Contains(suspicion.Servers, server) || len(suspicion.Servers) >= mostServers {
+	if slices.Contains(suspicion.Servers, server) || len(suspicion.Servers) >= maxServers {
 		return false
 	}
 	suspicion.Servers = append(suspicion.Servers, server)
 	return true
 }
 
-// name names a variant under which servers ended, with at least so many failed trials; it
-// reports whether that is new.
-func (r *Record) name(variant Variant, failed int) bool {
-	suspect := r.suspect(variant)
+// addVariant lists a variant under which servers crashed, with at least the given number of
+// failed trials; it reports whether the record changed.
+func (r *Record) addVariant(variant Variant, failed int) bool {
+	suspect := r.findSuspect(variant)
 	switch {
-	case suspect == nil && len(r.Suspects) >= mostVariants:
+	case suspect == nil && len(r.Suspects) >= maxVariants:
 		return false
 	case suspect == nil:
 		r.Suspects = append(r.Suspects, Suspect{Variant: variant, Failed: failed})
@@ -221,16 +225,16 @@
 	return true
 }
 
-// merge adds what another version of the record names; it reports whether that is new.
+// merge adds what another version of the record lists; it reports whether the record changed.
 func (r *Record) merge(other Record) bool {
 	changed := false
 	for _, suspicion := range other.Suspicions {
 		for _, server := range suspicion.Servers {
-			changed = r.add(suspicion.Service, server) || changed
+			changed = r.addServer(suspicion.Service, server) || changed
 		}
 	}
 	for _, suspect := range other.Suspects {
-		changed = r.name(suspect.Variant, suspect.Failed) || changed
+		changed = r.addVariant(suspect.Variant, suspect.Failed) || changed
 	}
 	if other.Mixed && !r.Mixed {
 		r.Mixed, changed = true, true
@@ -238,28 +242,28 @@
 	return changed
 }
 
-// acquit takes in that a service has answered the variant; it reports whether that is news.
-// A service that has answered the only variant that is named ends no servers under the
-// request; where several are named, the one that was answered is sound.
-func (r *Record) acquit(variant Variant, service string) bool {
+// markAnswered notes that a service has answered the variant; it reports whether the record
+// changed. A service that answered the only listed variant is no longer suspected. If several
+// variants are listed, the answered one is cleared.
+func (r *Record) markAnswered(variant Variant, service string) bool {
 	suspected := slices.Contains(r.Services(), service)
 	switch {
 	case !r.Names(variant):
-		news := !r.Mixed
+		changed := !r.Mixed
 		r.Mixed = true
-		return news
+		return changed
 	case !suspected:
 		return false
 	case len(r.Suspects) > 1:
-		r.clear(variant)
+		r.clearVariant(variant)
 		return true
 	}
 	r.Suspicions = slices.DeleteFunc(r.Suspicions, func(s Suspicion) bool { return s.Service == service })
 	return true
 }
 
-// clear removes a variant that is sound.
-func (r *Record) clear(variant Variant) {
+// clearVariant removes a variant that was answered.
+func (r *Record) clearVariant(variant Variant) {
 	r.Suspects = slices.DeleteFunc(r.Suspects, func(s Suspect) bool { return s.Variant == variant })
 	r.Mixed = true
 }
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -9,42 +9,43 @@
 )
 
 const (
-	// trialLease is how long a trial keeps others from being made without being renewed: its
-	// node may have died, and sound requests wait for its answer. Most trials take as long as
-	// an answer; one whose server says nothing is renewed each trialRenewal.
-	trialLease   = 2 * time.Second
-	trialRenewal = 700 * time.Millisecond
-	// trialPause is the least time between two trials of a request that have ended a server:
-	// servers that crash together for another reason do so within a second or so.
+	// trialLease is how long a trial excludes others without being renewed: its node may have
+	// died, and harmless requests wait for the result. Most trials take as long as an answer;
+	// one whose server stays silent is renewed every trialRenewInterval.
+	trialLease         = 2 * time.Second
+	trialRenewInterval = 700 * time.Millisecond
+	// trialPause is the minimum time between a trial that crashed a server and the next one:
+	// servers that crash together for another reason do so within about a second.
 	trialPause = time.Second
-	// publishAfter is how long a suspicion stays with its node: a request that was lost with
-	// a server that crashed is usually answered by the next one within that.
-	publishAfter = 100 * time.Millisecond
-	// publishSevere takes its place once so many servers have ended that the request may not
-	// reach more: its caller may be back within that.
-	publishSevere = 10 * time.Millisecond
-	// publishAgain is the pause after a write that failed.
-	publishAgain = time.Second
-	// longestTerm bounds the terms of a quarantine, which double.
-	longestTerm = time.Hour
-	// suspectMemory is how long a suspicion is kept without news, termMemory how long a
-	// request that was convicted is remembered after its term, so that it gets a longer one.
-	suspectMemory = 2 * time.Minute
-	termMemory    = 10 * time.Minute
-	// mostRecords bounds the records of a node, to 1 MB.
-	mostRecords = 512
-	// writeGrace is how long a list that lacks what this node has written may be older.
+	// publishDelay is how long a suspicion stays local: a request that was lost when its
+	// server crashed is usually answered by the next server within that time.
+	publishDelay = 100 * time.Millisecond
+	// urgentPublishDelay replaces publishDelay once so many servers have crashed that the
+	// request must not reach more: its client may retry within publishDelay.
+	urgentPublishDelay = 10 * time.Millisecond
+	// publishRetryDelay is the delay after a failed write.
+	publishRetryDelay = time.Second
+	// maxTerm bounds the terms of a quarantine, which double.
+	maxTerm = time.Hour
+	// suspectRetention is how long a suspicion is kept without changes, quarantineRetention how
+	// long a quarantined request is remembered after its term, so that the next term is longer.
+	suspectRetention    = 2 * time.Minute
+	quarantineRetention = 10 * time.Minute
+	// maxRecords bounds the memory of the records of a node to 1 MB.
+	maxRecords = 512
+	// writeGrace is how long after a write of this node a list from the store may predate it.
 	writeGrace = 3 * time.Second
 )
 
-// Register holds the records that a node knows and decides by them. It does no I/O and reads
-// no clock.
+// Register holds the records that a node knows and decides on requests by them. It does no
+// I/O and reads no clock.
 type Register struct {
 	// term is the first term of a quarantine.
-	term     time.Duration
-	entries  map[Digest]*entry
+	term    time.Duration
+	entries map[Digest]*entry
+	// prefixes counts the entries by the prefix of their digest.
 	prefixes map[prefix]int
-	// removed is when records were removed from the store.
+	// removed holds tombstones: when records were removed from the store.
 	removed map[Digest]boottime.Instant
 }
 
@@ -58,48 +59,48 @@
 	}
 }
 
-// Suspects reports whether a record may be of the request.
+// Suspects reports whether there may be a record of the request, without hashing its body.
 func (r *Register) Suspects(identity *Identity) bool { return r.prefixes[identity.prefix()] > 0 }
 
 // Count returns the number of records.
 func (r *Register) Count() int { return len(r.entries) }
 
-// Charge takes in a loss whose server has ended. It reports whether that is news.
+// Charge records a lost attempt whose server has crashed. It reports whether the record changed.
 func (r *Register) Charge(loss Loss, now boottime.Instant) bool {
-	known := r.entries[loss.Digest]
-	if known == nil {
+	e := r.entries[loss.Digest]
+	if e == nil {
 		if !r.makeRoom() {
 			return false
 		}
-		known = r.put(Record{Digest: loss.Digest})
+		e = r.put(Record{Digest: loss.Digest})
 	}
-	known.charged = true
-	named := known.record.name(loss.Variant, 0)
-	if !known.record.add(loss.Service, loss.Server) && !named {
+	e.crashedLocally = true
+	named := e.record.addVariant(loss.Variant, 0)
+	if !e.record.addServer(loss.Service, loss.Server) && !named {
 		return false
 	}
-	known.news = now
-	after := publishAfter
-	if known.record.Ended() >= leastServers {
-		after = publishSevere
+	e.lastChange = now
+	after := publishDelay
+	if e.record.Ended() >= minCrashedServers {
+		after = urgentPublishDelay
 	}
-	if due := now.Add(after); known.publishAt == 0 || due < known.publishAt {
-		known.publishAt = due
+	if due := now.Add(after); e.publishAt == 0 || due < e.publishAt {
+		e.publishAt = due
 	}
-	known.notify()
+	e.notify()
 	return true
 }
 
-// makeRoom forgets the oldest suspicion of which no trial has failed if the register is
-// full; it reports whether there is room.
+// makeRoom evicts an entry if the register is full: of those without failed or active trials, the
+// one that has not changed for the longest time. It reports whether there is room.
 func (r *Register) makeRoom() bool {
-	if len(r.entries) < mostRecords {
+	if len(r.entries) < maxRecords {
 		return true
 	}
 	var oldest *entry
-	for _, known := range r.entries {
-		if known.record.Failed() == 0 && len(known.record.Trials) == 0 && (oldest == nil || known.news < oldest.news) {
-			oldest = known
+	for _, e := range r.entries {
+		if e.record.Failed() == 0 && len(e.record.Trials) == 0 && (oldest == nil || e.lastChange < oldest.lastChange) {
+			oldest = e
 		}
 	}
 	if oldest == nil {
@@ -109,131 +110,131 @@
 	return true
 }
 
-// Acquit takes in that the service has answered the request. It reports whether that has to be
-// written.
+// Acquit notes that the service has answered the request. It reports whether the change has
+// to be written to the store.
 func (r *Register) Acquit(digest Digest, variant Variant, service string, now boottime.Instant) bool {
-	known := r.entries[digest]
-	if known == nil || !known.record.acquit(variant, service) {
+	e := r.entries[digest]
+	if e == nil || !e.record.markAnswered(variant, service) {
 		return false
 	}
-	r.changed(known, now)
-	return known.record.Revision > 0
+	r.changed(e, now)
+	return e.record.Revision > 0
 }
 
-// Clear takes in that a trial of the request was answered.
+// Clear notes that a trial of the request was answered.
 func (r *Register) Clear(digest Digest, variant Variant, now boottime.Instant) {
-	if known := r.entries[digest]; known != nil {
-		known.record.clear(variant)
-		r.changed(known, now)
+	if e := r.entries[digest]; e != nil {
+		e.record.clearVariant(variant)
+		r.changed(e, now)
 	}
 }
 
-// changed lets those look again who wait for a record, and forgets one without suspects.
-func (r *Register) changed(known *entry, now boottime.Instant) {
-	known.news = now
-	known.notify()
-	if known.record.empty() {
-		r.remove(known.record.Digest)
+// changed notifies those who wait for the record, and drops it if nothing is suspected any more.
+func (r *Register) changed(e *entry, now boottime.Instant) {
+	e.lastChange = now
+	e.notify()
+	if e.record.empty() {
+		r.remove(e.record.Digest)
 	}
 }
 
-// Release forgets the request. It returns the record that has to be removed, and whether
-// there was one.
+// Release drops the record of the request. It returns the record that has to be removed from
+// the store, and whether there was one.
 func (r *Register) Release(digest Digest, now boottime.Instant) (Record, bool) {
 	r.removed[digest] = now
-	known := r.entries[digest]
-	if known == nil {
+	e := r.entries[digest]
+	if e == nil {
 		return Record{}, false
 	}
 	r.remove(digest)
-	return known.record, true
+	return e.record, true
 }
 
-// Learn takes in a record as it stands in the store. What this node has found besides stays.
+// Learn applies a record of the store. Unpublished findings of this node are merged into it.
 func (r *Register) Learn(record Record, now boottime.Instant) {
-	known := r.entries[record.Digest]
-	if known == nil {
+	e := r.entries[record.Digest]
+	if e == nil {
 		if !r.makeRoom() {
 			return
 		}
-		known = r.put(Record{Digest: record.Digest})
-		known.take(record, now)
-		known.news, known.failedAt = now, now
+		e = r.put(Record{Digest: record.Digest})
+		e.replaceRecord(record, now)
+		e.lastChange, e.lastFailure = now, now
 		return
 	}
-	if record.Revision <= known.record.Revision {
+	if record.Revision <= e.record.Revision {
 		return
 	}
-	if record.Failed() > known.record.Failed() {
-		known.failedAt = now
+	if record.Failed() > e.record.Failed() {
+		e.lastFailure = now
 	}
-	before := known.record
-	known.take(record, now)
-	if known.publishAt > 0 && !known.record.merge(before) {
-		known.publishAt = 0
+	before := e.record
+	e.replaceRecord(record, now)
+	if e.publishAt > 0 && !e.record.merge(before) {
+		e.publishAt = 0
 	}
-	known.news = now
-	known.notify()
+	e.lastChange = now
+	e.notify()
 }
 
-// Written takes in that this node has written the record.
+// Written notes that this node has written the record.
 func (r *Register) Written(record Record, now boottime.Instant) {
 	r.Learn(record, now)
-	if known := r.entries[record.Digest]; known != nil {
-		known.writtenAt = now
+	if e := r.entries[record.Digest]; e != nil {
+		e.writtenAt = now
 	}
 }
 
-// Gone takes in that the record was removed from the store: it was cleared, or released. What this node
-// has found just now may be newer than that.
+// Gone notes that the record was removed from the store: it was cleared or released. Findings of this
+// node that were not written yet and are younger than publishRetryDelay may be newer, and are kept.
 func (r *Register) Gone(digest Digest, now boottime.Instant) {
 	r.removed[digest] = now
-	known := r.entries[digest]
+	e := r.entries[digest]
 	switch {
-	case known == nil:
-	case known.record.Revision == 0 && known.charged && now.Sub(known.news) < publishAgain:
-		known.record.Trials = nil
-		known.notify()
+	case e == nil:
+	case e.record.Revision == 0 && e.crashedLocally && now.Sub(e.lastChange) < publishRetryDelay:
+		e.record.Trials = nil
+		e.notify()
 	default:
 		r.remove(digest)
 	}
 }
 
-// Replace takes in all records that are in the store.
+// Replace applies a list of all records in the store.
 func (r *Register) Replace(records []Record, now boottime.Instant) {
 	listed := make(map[Digest]bool, len(records))
 	for _, record := range records {
 		listed[record.Digest] = true
 		r.Learn(record, now)
 	}
-	for digest, known := range r.entries {
-		if !listed[digest] && known.record.Revision > 0 && !known.recent(now) {
+	for digest, e := range r.entries {
+		if !listed[digest] && e.record.Revision > 0 && !e.recentlyWritten(now) {
 			r.Gone(digest, now)
 		}
 	}
 }
 
-// Due returns the records that have to be written.
+// Due returns the records that have to be written to the store now.
 func (r *Register) Due(now boottime.Instant) []Record {
 	var due []Record
-	for _, known := range r.entries {
-		if known.publishAt > 0 && now >= known.publishAt {
-			due = append(due, known.record.clone())
+	for _, e := range r.entries {
+		if e.publishAt > 0 && now >= e.publishAt {
+			due = append(due, e.record.clone())
 		}
 	}
 	return due
 }
 
-// Postpone puts the writing of a record off.
+// Postpone delays the write of a record that is still to be written.
 func (r *Register) Postpone(digest Digest, until boottime.Instant) {
-	if known := r.entries[digest]; known != nil && known.publishAt > 0 {
-		known.publishAt = until
+	if e := r.entries[digest]; e != nil && e.publishAt > 0 {
+		e.publishAt = until
 	}
 }
 
-// Outdated forgets the records that have had no news for long and returns those that have to
-// be removed from the store. The node that wrote a record last removes it; others do so
-// later, since it may be gone.
+// Outdated drops the records that have not changed for their retention and returns those that
+// have to be removed from the store. The node that last wrote a record removes it; others do so
+// later, in case that node is gone.
 func (r *Register) Outdated(now boottime.Instant) []Record {
 	var outdated []Record
 	for digest, removed := range r.removed {
@@ -241,26 +242,26 @@
 			delete(r.removed, digest)
 		}
 	}
-	for digest, known := range r.entries {
-		age, memory := now.Sub(known.news), known.memory(r.term)
-		mine := known.writtenAt > 0 || known.record.Revision == 0
+	for digest, e := range r.entries {
+		age, memory := now.Sub(e.lastChange), e.retention(r.term)
+		mine := e.writtenAt > 0 || e.record.Revision == 0
 		if age < memory || !mine && age < 2*memory+rand.N(memory) {
 			continue
 		}
 		r.remove(digest)
-		if known.record.Revision > 0 {
+		if e.record.Revision > 0 {
 			r.removed[digest] = now
-			outdated = append(outdated, known.record)
+			outdated = append(outdated, e.record)
 		}
 	}
 	return outdated
 }
 
-// Records returns all records that are in the store, or are to be.
+// Records returns all records, including those that are not stored yet.
 func (r *Register) Records() []Record {
 	records := make([]Record, 0, len(r.entries))
-	for _, known := range r.entries {
-		records = append(records, known.record.clone())
+	for _, e := range r.entries {
+		records = append(records, e.record.clone())
 	}
 	return records
 }
@@ -273,22 +274,22 @@
 }
 
 func (r *Register) remove(digest Digest) {
-	known := r.entries[digest]
-	if known == nil {
+	e := r.entries[digest]
+	if e == nil {
 		return
 	}
 	delete(r.entries, digest)
 	if r.prefixes[digest.prefix()]--; r.prefixes[digest.prefix()] == 0 {
 		delete(r.prefixes, digest.prefix())
 	}
-	known.notify()
+	e.notify()
 }
 
 // Record returns the record of a request, and whether there is one.
 func (r *Register) Record(digest Digest) (Record, bool) {
-	known := r.entries[digest]
-	if known == nil {
+	e := r.entries[digest]
+	if e == nil {
 		return Record{}, false
 	}
-	return known.record.clone(), true
+	return e.record.clone(), true
 }
--- a/internal/quarantine/restored.go
+++ b/internal/quarantine/restored.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// rewritePatience, and a random part of rewriteSpread, is how long a record that a restored store
-	// lacks is left to the node that wrote it last.
-	rewritePatience = 2 * time.Second
-	rewriteSpread   = 4 * time.Second
+	// rewriteDelay plus a random part of rewriteJitter is how long a record that is missing from a
+	// restored store is left to the node that last wrote it.
+	rewriteDelay  = 2 * time.Second
+	rewriteJitter = 4 * time.Second
 )
 
-// Restored takes in that the store has come back from a copy: what it permitted before is no
-// permission any more.
+// Restored notes that the store was restored from a backup: its permissions for trials from
+// before are void.
 func (r *Register) Restored() {
-	for _, known := range r.entries {
-		if len(known.record.Trials) > 0 {
-			known.record.Trials = nil
-			known.notify()
+	for _, e := range r.entries {
+		if len(e.record.Trials) > 0 {
+			e.record.Trials = nil
+			e.notify()
 		}
 	}
 }
 
-// ReplaceRestored takes in the records of a store that has come back from a copy. What is known besides
-// stays, and is written again. It returns the records that the copy has brought back and that have to be
-// removed again.
+// ReplaceRestored applies the list of all records of a store that was restored from a backup. Other known
+// records are kept and written again. It returns the digests of removed records that the backup has
+// brought back and that have to be removed again.
 func (r *Register) ReplaceRestored(records []Record, now boottime.Instant) (returned []Digest) {
 	listed := make(map[Digest]bool, len(records))
 	for _, record := range records {
 		listed[record.Digest] = true
 		_, removed := r.removed[record.Digest]
-		switch known := r.entries[record.Digest]; {
-		case known != nil:
-			known.carry(record, now)
+		switch e := r.entries[record.Digest]; {
+		case e != nil:
+			e.mergeRestored(record, now)
 		case removed:
 			returned = append(returned, record.Digest)
 		default:
@@ -43,17 +43,17 @@
 			r.Learn(record, now)
 		}
 	}
-	for digest, known := range r.entries {
-		if !listed[digest] && known.record.Revision > 0 {
-			known.record.Revision, known.record.Trials = 0, nil
-			known.publishAt = known.rewriteAt(now)
+	for digest, e := range r.entries {
+		if !listed[digest] && e.record.Revision > 0 {
+			e.record.Revision, e.record.Trials = 0, nil
+			e.publishAt = e.rewriteAt(now)
 		}
 	}
 	return returned
 }
 
-// carry goes on with a record in a later era of the store.
-func (e *entry) carry(record Record, now boottime.Instant) {
+// mergeRestored replaces the record by its version in the restored store, and merges what was known before.
+func (e *entry) mergeRestored(record Record, now boottime.Instant) {
 	before := e.record
 	e.record = record.clone()
 	e.record.Trials = nil
@@ -63,19 +63,19 @@
 	e.notify()
 }
 
-// rewriteAt returns when a record that a restored store lacks is to be written.
+// rewriteAt returns when a record that is missing from a restored store is written again.
 func (e *entry) rewriteAt(now boottime.Instant) boottime.Instant {
 	if e.writtenAt > 0 {
 		return now
 	}
-	return now.Add(rewritePatience + rand.N(rewriteSpread))
+	return now.Add(rewriteDelay + rand.N(rewriteJitter))
 }
 
-// unpublished returns how many records the store lacks.
+// unpublished returns the number of records that have to be written.
 func (r *Register) unpublished() int {
 	count := 0
-	for _, known := range r.entries {
-		if known.publishAt > 0 {
+	for _, e := range r.entries {
+		if e.publishAt > 0 {
 			count++
 		}
 	}
--- a/internal/quarantine/restored_test.go
+++ b/internal/quarantine/restored_test.go
@@ -9,10 +9,10 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// convicted returns a register that refuses a request, whose record is in the store at a revision
-// of the first era, and an earlier state of the record.
-func convicted() (Register, Record) {
-	register := charged("a", "b")
+// quarantined returns a register that refuses a request, whose record is in the store at a revision
+// of the first era, and an earlier version of the record.
+func quarantined() (Register, Record) {
+	register := suspected("a", "b")
 	earlier, _ := register.Record(bad)
 	earlier.Revision = catalog.NewRevision(2, 20)
 	failTrial(&register, "a2", 1, at(time.Second))
@@ -23,24 +23,24 @@
 	return register, earlier
 }
 
-// Guards against requests that end servers and are sent once more because a restored store does not
-// know of them.
-func TestConvictionOutlastsTheStore(t *testing.T) {
-	for name, copied := range map[string]bool{"the copy has an earlier record": true, "the copy has none": false} {
+// Guards against quarantined requests that are sent again because a restored store has no record of
+// them.
+func TestQuarantineOutlivesRestore(t *testing.T) {
+	for name, inBackup := range map[string]bool{"the backup has an earlier record": true, "the backup has none": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			register, earlier := convicted()
+			register, earlier := quarantined()
 			now := at(3 * time.Second)
 			is.Equal(register.Decide(bad, 1, now).Action, Refuse)
 			register.Restored()
 			var listed []Record
 			revision := catalog.Revision(0)
-			if copied {
+			if inBackup {
 				listed, revision = []Record{earlier}, earlier.Revision
 			}
 			is.Equal(len(register.ReplaceRestored(listed, now)), 0)
 			is.Equal(register.Decide(bad, 1, now).Action, Refuse)
-			due := register.Due(now) // by the node that wrote it last, at once
+			due := register.Due(now) // the node that last wrote it does so immediately
 			is.Equal(len(due), 1)
 			is.Equal(due[0].Failed(), 2)
 			is.Equal(due[0].Revision, revision)
@@ -51,40 +51,41 @@
 	}
 }
 
-// A record that another node wrote is left to it for a while, and is not written again by all.
-func TestRecordsOfOthersAreLeftToThem(t *testing.T) {
+// After a restore, a record is left for some time to the node that last wrote it, so that not all
+// nodes write it again.
+func TestRecordsOfOthersAreNotRewrittenImmediately(t *testing.T) {
 	is := is.New(t)
-	source, _ := convicted()
+	source, _ := quarantined()
 	record, _ := source.Record(bad)
 	register := newRegister(testTerm)
 	register.Learn(record, at(0))
 	register.ReplaceRestored(nil, at(0))
-	is.Equal(len(register.Due(at(rewritePatience-1))), 0)
+	is.Equal(len(register.Due(at(rewriteDelay-1))), 0)
 	record.Revision = catalog.NewRevision(2, 21)
 	register.Learn(record, at(time.Second))
 	is.Equal(len(register.Due(at(time.Hour))), 0)
 }
 
-// Guards against a request that was found sound and is suspected again because of a copy.
+// Guards against a released request that is suspected again because the backup still has its record.
 func TestRemovedRecordStaysRemoved(t *testing.T) {
 	is := is.New(t)
-	register, earlier := convicted()
+	register, earlier := quarantined()
 	register.Release(bad, at(3*time.Second))
 	is.Equal(register.ReplaceRestored([]Record{earlier}, at(4*time.Second)), []Digest{bad})
 	is.Equal(register.Decide(bad, 1, at(4*time.Second)).Action, Proceed)
 }
 
-// Guards against a trial by the permission of an earlier era, and against requests that wait for it.
+// Guards against a trial with a permission of an earlier era, and against requests that wait for it.
 func TestTrialEndsWithItsEra(t *testing.T) {
 	is := is.New(t)
-	register, earlier := convicted()
+	register, earlier := quarantined()
 	known, _ := register.Record(bad)
 	known.Trials, known.Revision = []Trial{testTrial}, catalog.NewRevision(1, 31)
 	register.Learn(known, at(3*time.Second))
 	is.True(register.Permits(bad, 1, testTrial, at(3*time.Second)))
 	register.Restored()
 	is.True(!register.Permits(bad, 1, testTrial, at(3*time.Second)))
-	earlier.Trials = []Trial{testTrial} // the copy has it
+	earlier.Trials = []Trial{testTrial} // the backup has the trial
 	register.ReplaceRestored([]Record{earlier}, at(4*time.Second))
 	is.True(!register.Permits(bad, 1, testTrial, at(4*time.Second)))
 }
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -12,15 +12,16 @@
 	"github.com/driftstage/driftstage/internal/boottime"
 )
 
-// TrialResult is how a trial ended.
+// TrialResult is the result of a trial.
 type TrialResult uint8
 
 const (
-	// TrialUnknown is a trial that reached no server, or of whose server nothing is known.
+	// TrialUnknown means that the trial reached no server, or that its server is neither known to
+	// be alive nor to have crashed.
 	TrialUnknown TrialResult = iota
-	// TrialAnswered is one that its server has answered.
+	// TrialAnswered means that the server has answered.
 	TrialAnswered
-	// TrialFailed is one under which its server has ended.
+	// TrialFailed means that the server has crashed.
 	TrialFailed
 )
 
@@ -29,49 +30,49 @@
 // String returns the name used in logs and metrics.
 func (t TrialResult) String() string { return trialNames[t] }
 
-// resolveLimit is how long it may take to learn what has become of the server of a trial:
-// the entry of a silent one goes after three heartbeats.
-const resolveLimit = 6 * time.Second
+// resolveTimeout bounds how long the result of a trial is waited for: the entry of a silent
+// server is removed after three heartbeats.
+const resolveTimeout = 6 * time.Second
 
-// resolvePause is the pause before the server is asked again, which doubles.
-const resolvePause = 50 * time.Millisecond
+// resolveBackoff is the initial delay between checks of the server of a trial; it doubles.
+const resolveBackoff = 50 * time.Millisecond
 
-// trialKey names what a node makes one trial of at a time.
+// trialKey identifies a trial of this node, which makes at most one per key at a time.
 type trialKey struct {
 	digest  Digest
 	variant Variant
 }
 
-// trial is one that this node makes. It is guarded by the keeper's lock.
+// trial is a trial of this node. It is guarded by the keeper's lock.
 type trial struct {
 	Trial
-	// services are those that were suspected: what others do tells nothing.
+	// services are those that were suspected at the start; only events at these decide the result.
 	services []string
-	// failed is how many trials of the variant had ended a server when it began. Trials that
-	// were made at the same time, by nodes that could not ask the store, count as one: servers
-	// that crash together for another reason would fail them all.
+	// failed is the number of failed trials of the variant at the start. Concurrent trials of
+	// nodes that could not reach the store count as one: servers that crash together for another
+	// reason would fail all of them.
 	failed int
-	// loss is what was lost by it; nil as long as nothing is.
+	// loss is the lost attempt of the trial; nil if there is none.
 	loss *Loss
-	// told is set if other nodes were told of it beside the store.
-	told bool
+	// announced is set if other nodes were notified of the trial besides the store.
+	announced bool
 }
 
-// concerns reports whether what happens at a service tells of the trial. A nil trial
-// concerns none.
+// concerns reports whether events at a service decide the result of the trial. A nil trial
+// concerns no service.
 func (t *trial) concerns(service string) bool {
 	return t != nil && slices.Contains(t.services, service)
 }
 
-// Admission is the permission for one request. The zero value permits everything.
+// Admission is the decision on one request. The zero value permits everything.
 type Admission struct {
 	// Action is Proceed, Refuse or Try.
 	Action Action
-	// Suspects are the services that a trial is about.
+	// Suspects are the suspected services that a trial goes to first.
 	Suspects []string
-	// RetryAfter is when a refused request may come again.
+	// RetryAfter is when the client may retry a refused request.
 	RetryAfter time.Duration
-	// Unusable is set if it is refused because no server of the suspected services is there
+	// Unusable is set if the request is refused because the suspected services have no server
 	// to try it on.
 	Unusable bool
 
@@ -80,15 +81,15 @@
 	trial    Trial
 }
 
-// Admit decides on a request before anything of it is sent. It waits for a trial of the same
-// request that is under way, for no longer than the patience. Usable reports whether one of
-// the services has a server that a trial could reach.
-func (k *Keeper) Admit(ctx context.Context, identity *Identity, patience time.Duration, usable func(services []string) bool) Admission {
+// Admit decides on a request before anything of it is sent. If a trial of an identical request
+// is active, it waits for the result, for maxWait at most. Usable reports whether one of the
+// services has a server that can be tried.
+func (k *Keeper) Admit(ctx context.Context, identity *Identity, maxWait time.Duration, usable func(services []string) bool) Admission {
 	admission := Admission{keeper: k, identity: identity}
-	if !k.suspects(identity) {
+	if !k.mayBeSuspected(identity) {
 		return admission
 	}
-	expired := time.NewTimer(min(patience, awaitLimit))
+	expired := time.NewTimer(min(maxWait, maxAwait))
 	defer expired.Stop()
 	for {
 		decision, record := k.decide(identity)
@@ -107,17 +108,17 @@
 				k.Observer.RequestDecided(Try)
 				return admission
 			}
-			if errors.Is(err, errTooMany) {
-				return k.decline(admission)
+			if errors.Is(err, errRateLimited) {
+				return k.refuseWaiting(admission)
 			}
 		}
 		if !await(ctx, decision, expired.C) {
-			return k.decline(admission)
+			return k.refuseWaiting(admission)
 		}
 	}
 }
 
-// await waits until a decision may be another; false if that takes too long.
+// await waits until a decision may have changed. It returns false on timeout.
 func await(ctx context.Context, decision Decision, expired <-chan time.Time) bool {
 	var until <-chan time.Time
 	if decision.Until > 0 {
@@ -134,16 +135,16 @@
 	return true
 }
 
-// decline refuses a request that has waited for a trial in vain.
-func (k *Keeper) decline(admission Admission) Admission {
+// refuseWaiting refuses a request whose wait for a trial was unsuccessful.
+func (k *Keeper) refuseWaiting(admission Admission) Admission {
 	k.Observer.RequestDecided(Await)
 	admission.Action, admission.RetryAfter = Refuse, trialPause
 	return admission
 }
 
-// suspects reports whether there may be a record of the request.
-func (k *Keeper) suspects(identity *Identity) bool {
-	if k == nil || identity == nil || !k.suspecting.Load() {
+// mayBeSuspected reports whether there may be a record of the request.
+func (k *Keeper) mayBeSuspected(identity *Identity) bool {
+	if k == nil || identity == nil || !k.hasRecords.Load() {
 		return false
 	}
 	k.mutex.Lock()
@@ -158,25 +159,25 @@
 	return k.register.Decide(identity.Digest(), identity.Variant(), k.Now()), record
 }
 
-// begin asks the store for the permission to make a trial, which one node at a time has. A
-// node that can't ask makes one trial at a time by itself. After ErrChanged another node was
-// first, and what is known of the request has changed.
+// begin requests the permission for a trial from the store, which grants it to one node at a
+// time. A node that cannot reach the store makes one trial at a time on its own. ErrChanged
+// means that another node was first and its version of the record was applied.
 func (k *Keeper) begin(ctx context.Context, admission *Admission) error {
 	digest := admission.identity.Digest()
-	made := &trial{Trial: Trial{Node: k.Node, Number: rand.Uint64() >> 12, Variant: admission.identity.Variant()}}
-	record, free := k.reserve(digest, made)
+	t := &trial{Trial: Trial{Node: k.Node, Number: rand.Uint64() >> 12, Variant: admission.identity.Variant()}}
+	record, free := k.reserve(digest, t)
 	if !free {
 		return ErrChanged
 	}
 	begun := k.Now()
-	written, err := k.writeUnlessLost(ctx, record)
-	k.locked(func(now boottime.Instant) { made.told = err != nil || now.Sub(begun) >= tellAfter })
-	if errors.Is(err, ErrChanged) || errors.Is(err, errTooMany) {
+	written, err := k.writeUnlessDown(ctx, record)
+	k.locked(func(now boottime.Instant) { t.announced = err != nil || now.Sub(begun) >= broadcastDelay })
+	if errors.Is(err, ErrChanged) || errors.Is(err, errRateLimited) {
 		k.locked(func(now boottime.Instant) {
-			delete(k.trials, trialKey{digest, made.Variant})
-			k.register.End(digest, made.Trial, 0, now)
+			delete(k.trials, trialKey{digest, t.Variant})
+			k.register.End(digest, t.Trial, 0, now)
 			if errors.Is(err, ErrChanged) {
-				k.learn(digest, written, now)
+				k.applyConflict(digest, written, now)
 			}
 		})
 		return err
@@ -184,15 +185,15 @@
 	if err == nil {
 		k.locked(func(now boottime.Instant) { k.register.Written(written, now) })
 	}
-	admission.trial, admission.Suspects = made.Trial, made.services
-	k.start(func(ctx context.Context) { k.renew(ctx, digest, made.Trial) })
-	klog.InfoS("request trial", "digest", digest, "variant", made.Variant, "services", record.Services(), "failed", record.Failed(), "asked_store", err == nil)
+	admission.trial, admission.Suspects = t.Trial, t.services
+	k.spawn(func(ctx context.Context) { k.renew(ctx, digest, t.Trial) })
+	klog.InfoS("request trial", "digest", digest, "variant", t.Variant, "services", record.Services(), "failed", record.Failed(), "asked_store", err == nil)
 	return nil
 }
 
-// renew confirms a trial to the other nodes as long as it lasts.
-func (k *Keeper) renew(ctx context.Context, digest Digest, made Trial) {
-	ticker := time.NewTicker(trialRenewal)
+// renew renews the lease of a trial until the trial ends.
+func (k *Keeper) renew(ctx context.Context, digest Digest, t Trial) {
+	ticker := time.NewTicker(trialRenewInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -200,41 +201,41 @@
 			return
 		case <-ticker.C:
 		}
-		if !k.makes(digest, made) {
+		if !k.isActive(digest, t) {
 			return
 		}
-		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) { return k.register.Renew(digest, made, now) })
+		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) { return k.register.Renew(digest, t, now) })
 	}
 }
 
-// makes reports whether this node is still at the trial.
-func (k *Keeper) makes(digest Digest, made Trial) bool {
+// isActive reports whether this node's trial has not ended yet.
+func (k *Keeper) isActive(digest Digest, t Trial) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	under := k.trials[trialKey{digest, made.Variant}]
-	return under != nil && under.Trial == made
+	current := k.trials[trialKey{digest, t.Variant}]
+	return current != nil && current.Trial == t
 }
 
-// reserve keeps other requests of this node from a trial of the same request. It returns
-// the record to be written.
-func (k *Keeper) reserve(digest Digest, made *trial) (record Record, free bool) {
+// reserve registers a trial of this node, which excludes further trials of the same request. It
+// returns the record to be written.
+func (k *Keeper) reserve(digest Digest, t *trial) (record Record, free bool) {
 	k.locked(func(now boottime.Instant) {
-		key := trialKey{digest, made.Variant}
-		if k.trials[key] != nil || !k.register.Begin(digest, made.Trial, now) {
+		key := trialKey{digest, t.Variant}
+		if k.trials[key] != nil || !k.register.Begin(digest, t.Trial, now) {
 			return
 		}
 		record, free = k.register.Record(digest)
-		made.failed, made.services = record.failedOf(made.Variant), record.Services()
-		k.trials[key] = made
+		t.failed, t.services = record.failedTrials(t.Variant), record.Services()
+		k.trials[key] = t
 	})
 	return record, free
 }
 
-// Permits reports whether the request may still be sent. It is asked right before each send:
-// what is known may have changed while the request waited, or while the machine stood still.
+// Permits reports whether the request may still be sent. It is called right before each send:
+// the record may have changed while the request waited or the machine was suspended.
 func (a *Admission) Permits() bool {
 	k := a.keeper
-	if !k.suspects(a.identity) {
+	if !k.mayBeSuspected(a.identity) {
 		return true
 	}
 	k.mutex.Lock()
@@ -243,31 +244,31 @@
 }
 
 // Tries reports whether the request is a trial.
-func (a *Admission) Tries() bool { return !a.trial.none() }
+func (a *Admission) Tries() bool { return !a.trial.isZero() }
 
-// Close is called once nothing more of the request is sent. What became of the server of a
-// trial may be learned after that.
+// Close is called once nothing more of the request is sent. The result of a trial may become
+// known after that.
 func (a *Admission) Close() {
 	if !a.Tries() {
 		return
 	}
-	a.keeper.start(func(ctx context.Context) { a.keeper.resolve(ctx, a.identity.Digest(), a.trial) })
+	a.keeper.spawn(func(ctx context.Context) { a.keeper.resolve(ctx, a.identity.Digest(), a.trial) })
 }
 
 // resolve ends a trial as soon as its result is known.
-func (k *Keeper) resolve(ctx context.Context, digest Digest, made Trial) {
-	began, pause := k.Now(), resolvePause
+func (k *Keeper) resolve(ctx context.Context, digest Digest, t Trial) {
+	began, pause := k.Now(), resolveBackoff
 	for {
-		loss, open := k.open(digest, made)
-		if !open || k.Now().Sub(began) > resolveLimit {
+		loss, open := k.pendingLoss(digest, t)
+		if !open || k.Now().Sub(began) > resolveTimeout {
 			k.locked(func(boottime.Instant) {
-				if under := k.trials[trialKey{digest, made.Variant}]; under != nil && under.Trial == made {
-					k.conclude(digest, under, TrialUnknown)
+				if current := k.trials[trialKey{digest, t.Variant}]; current != nil && current.Trial == t {
+					k.finish(digest, current, TrialUnknown)
 				}
 			})
 			return
 		}
-		k.ask(ctx, loss)
+		k.checkServer(ctx, loss)
 		select {
 		case <-ctx.Done():
 			return
@@ -277,52 +278,52 @@
 	}
 }
 
-// open returns what a trial has lost, and whether it may still be learned what has become
-// of the server.
-func (k *Keeper) open(digest Digest, made Trial) (Loss, bool) {
+// pendingLoss returns the lost attempt of a trial, and whether it is still unknown whether the
+// server has crashed.
+func (k *Keeper) pendingLoss(digest Digest, t Trial) (Loss, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	under := k.trials[trialKey{digest, made.Variant}]
-	if under == nil || under.Trial != made || under.loss == nil {
+	current := k.trials[trialKey{digest, t.Variant}]
+	if current == nil || current.Trial != t || current.loss == nil {
 		return Loss{}, false
 	}
-	return *under.loss, k.ledger.Has(*under.loss)
+	return *current.loss, k.ledger.Has(*current.loss)
 }
 
-// conclude ends a trial and tells all nodes its result. The lock is held.
-func (k *Keeper) conclude(digest Digest, made *trial, result TrialResult) {
-	delete(k.trials, trialKey{digest, made.Variant})
+// finish ends a trial and publishes its result to all nodes. The lock is held.
+func (k *Keeper) finish(digest Digest, t *trial, result TrialResult) {
+	delete(k.trials, trialKey{digest, t.Variant})
 	k.Observer.TrialEnded(result)
-	klog.InfoS("request trial ended", "digest", digest, "variant", made.Variant, "result", result.String())
+	klog.InfoS("request trial ended", "digest", digest, "variant", t.Variant, "result", result.String())
 	if result == TrialAnswered {
-		k.register.Clear(digest, made.Variant, k.Now())
+		k.register.Clear(digest, t.Variant, k.Now())
 	}
 	if _, suspected := k.register.Record(digest); !suspected {
-		k.tellEnd(made, Notice{Record: Record{Digest: digest}, Cleared: true})
-		k.start(func(ctx context.Context) { k.note(digest, k.remove(ctx, digest)) })
+		k.broadcastEnd(t, Notice{Record: Record{Digest: digest}, Cleared: true})
+		k.spawn(func(ctx context.Context) { k.logWriteError(digest, k.remove(ctx, digest)) })
 		return
 	}
 	failed := 0
 	if result == TrialFailed {
-		failed = made.failed + 1
+		failed = t.failed + 1
 	}
-	if record, found := k.register.End(digest, made.Trial, failed, k.Now()); found {
-		k.tellEnd(made, Notice{Record: record})
+	if record, found := k.register.End(digest, t.Trial, failed, k.Now()); found {
+		k.broadcastEnd(t, Notice{Record: record})
 	}
-	k.start(func(ctx context.Context) {
+	k.spawn(func(ctx context.Context) {
 		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
 			if result == TrialAnswered {
-				k.register.Clear(digest, made.Variant, now)
+				k.register.Clear(digest, t.Variant, now)
 			}
-			return k.register.End(digest, made.Trial, failed, now)
+			return k.register.End(digest, t.Trial, failed, now)
 		})
 	})
 }
 
-// tellEnd tells the end of a trial to the nodes that were told of it: they would wait for it until its lease
-// is over.
-func (k *Keeper) tellEnd(made *trial, notice Notice) {
-	if made.told {
-		k.tell(notice)
+// broadcastEnd notifies the nodes that were notified of a trial of its end: they would otherwise wait until
+// its lease is over.
+func (k *Keeper) broadcastEnd(t *trial, notice Notice) {
+	if t.announced {
+		k.broadcast(notice)
 	}
 }
