--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -8,14 +8,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errNobodyToAsk means that there is no other node whose address is known.
-var errNobodyToAsk = errors.New("there is no other node to ask")
+// errNoPeers means that no address of another node is known.
+var errNoPeers = errors.New("no peer address is known")
 
-// askAny asks the nodes at the addresses (IP:port) in random order until one answers, so many at the most.
-func askAny[T any](addresses []string, most int, ask func(address string) (T, error)) (answer T, err error) {
-	err = errNobodyToAsk
+// askAny calls ask for the addresses (IP:port) in random order, at most for the given number of them, until
+// one call succeeds.
+func askAny[T any](addresses []string, limit int, ask func(address string) (T, error)) (answer T, err error) {
+	err = errNoPeers
 	order := rand.Perm(len(addresses))
-	for _, index := range order[:min(most, len(order))] {
+	for _, index := range order[:min(limit, len(order))] {
 		if answer, err = ask(addresses[index]); err == nil {
 			return answer, nil
 		}
@@ -23,9 +24,9 @@
 	return *new(T), err
 }
 
-// askOnce makes one call to the node at the address over a connection of its own. The answer is only valid
-// while receive runs. Without one the error is marked errSilent.
-func askOnce(address, path string, receive func(response *fasthttp.Response) error) error {
+// getOnce sends one GET request to the node at the address over a new connection. The response is only valid
+// while receive runs. If there is no response, the error is marked with errNoResponse.
+func getOnce(address, path string, receive func(response *fasthttp.Response) error) error {
 	client := newClient(address, 1)
 	defer client.CloseIdleConnections()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -33,21 +34,21 @@
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + address + path)
 	request.SetConnectionClose()
-	if err := client.DoTimeout(request, response, askTimeout); err != nil {
-		return errors.Mark(err, errSilent)
+	if err := client.DoTimeout(request, response, requestTimeout); err != nil {
+		return errors.Mark(err, errNoResponse)
 	}
 	return receive(response)
 }
 
-// bodyOf returns the body of an answer that must be a success.
+// bodyOf returns the body of a response, or an error if its status is not OK.
 func bodyOf(response *fasthttp.Response) ([]byte, error) {
 	if status := response.StatusCode(); status != fasthttp.StatusOK {
-		return nil, errors.Newf("the peer answered %d", status)
+		return nil, errors.Newf("the peer returned status %d", status)
 	}
 	return response.BodyUncompressed()
 }
 
-// decodeBody decodes the JSON body of an answer that must be a success.
+// decodeBody decodes the JSON body of a response, or returns an error if its status is not OK.
 func decodeBody(response *fasthttp.Response, into any) error {
 	body, err := bodyOf(response)
 	if err != nil {
--- a/internal/peers/codec.go
+++ b/internal/peers/codec.go
@@ -6,7 +6,7 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// PlainCodec encodes values that JSON carries as they are.
+// PlainCodec encodes values that can be converted to JSON directly.
 type PlainCodec[T any] struct{}
 
 // Encode implements Codec.
@@ -21,7 +21,7 @@
 	return value, err
 }
 
-// TableCodec encodes configurations.
+// TableCodec encodes configurations as routing documents.
 type TableCodec struct{}
 
 // Encode implements Codec.
--- a/internal/peers/compress.go
+++ b/internal/peers/compress.go
@@ -7,10 +7,10 @@
 )
 
 // compressedFrom is the size in bytes from which bodies are compressed: many nodes
-// may ask one for the same, over links that are slow.
+// may request the same body from one node over slow network links.
 const compressedFrom = 1 << 10
 
-// gzipMagic begins every compressed body.
+// gzipMagic is the prefix of every compressed body.
 var gzipMagic = []byte{0x1f, 0x8b}
 
 // compress returns the body, compressed if it is large.
@@ -21,17 +21,17 @@
 	return fasthttp.AppendGzipBytesLevel(nil, plain, fasthttp.CompressBestSpeed)
 }
 
-// writeBody answers with JSON that compress has returned.
+// writeBody responds with JSON returned by compress.
 func writeBody(ctx *fasthttp.RequestCtx, body []byte) {
 	ctx.SetContentType("application/json")
 	if bytes.HasPrefix(body, gzipMagic) {
 		ctx.Response.Header.SetContentEncoding("gzip")
 	}
-	// The body is shared by all answers, and never changed.
+	// The body is shared by all responses and never modified.
 	ctx.Response.SetBodyRaw(body)
 }
 
-// setBody sends JSON that compress has returned.
+// setBody sets the body of a request to JSON returned by compress.
 func setBody(request *fasthttp.Request, body []byte) {
 	request.Header.SetContentType("application/json")
 	if bytes.HasPrefix(body, gzipMagic) {
--- a/internal/peers/configuration.go
+++ b/internal/peers/configuration.go
@@ -13,12 +13,12 @@
 
 const configurationPath = "/v1/configuration"
 
-// mostCompared is how many other nodes are asked for a newer configuration until one answers.
-const mostCompared = 3
+// maxCompared is how many other nodes are asked for a newer configuration until one answers.
+const maxCompared = 3
 
-// ConfigurationServer tells other nodes the configuration in force, if it is newer than theirs.
+// ConfigurationServer serves the current configuration to other nodes if it is newer than theirs.
 type ConfigurationServer struct {
-	// Table returns it; nil if none is known.
+	// Table returns the current configuration; nil if there is none.
 	Table func() *routing.Table
 }
 
@@ -44,16 +44,16 @@
 	writeBody(ctx, compress(encoded))
 }
 
-// AskConfiguration asks the nodes at the addresses (IP:port) in random order, until one answers,
-// for a configuration of a later version; nil if it has none.
+// AskConfiguration requests a configuration of a later version from the nodes at the addresses
+// (IP:port), in random order until one answers; nil if that node has none.
 func AskConfiguration(addresses []string, after uint64) (*routing.Table, error) {
-	return askAny(addresses, mostCompared, func(address string) (*routing.Table, error) { return askConfiguration(address, after) })
+	return askAny(addresses, maxCompared, func(address string) (*routing.Table, error) { return askConfiguration(address, after) })
 }
 
 func askConfiguration(address string, after uint64) (*routing.Table, error) {
 	query := url.Values{paramAfter: {strconv.FormatUint(after, 10)}}
 	var table *routing.Table
-	err := askOnce(address, configurationPath+"?"+query.Encode(), func(response *fasthttp.Response) error {
+	err := getOnce(address, configurationPath+"?"+query.Encode(), func(response *fasthttp.Response) error {
 		if response.StatusCode() == fasthttp.StatusNoContent {
 			return nil
 		}
--- a/internal/peers/contact.go
+++ b/internal/peers/contact.go
@@ -8,10 +8,10 @@
 
 const contactPath = "/v1/contact"
 
-// Contact tells other nodes whether this one is in touch with the store, itself or by
-// the node that it follows.
+// Contact reports to other nodes whether this one gets current data from the store, directly
+// or through the node that it follows.
 type Contact struct {
-	// InTouch is called for each question.
+	// InTouch is called for each request.
 	InTouch func() bool
 }
 
@@ -24,13 +24,13 @@
 	})
 }
 
-// askContact returns whether the node at the address (IP:port) is in touch with the
+// askConnected returns whether the node at the address (IP:port) gets current data from the
 // store; an error if it does not answer.
-func askContact(address string) (bool, error) {
-	inTouch := false
-	err := askOnce(address, contactPath, func(response *fasthttp.Response) error {
-		inTouch = response.StatusCode() == fasthttp.StatusOK
+func askConnected(address string) (bool, error) {
+	connected := false
+	err := getOnce(address, contactPath, func(response *fasthttp.Response) error {
+		connected = response.StatusCode() == fasthttp.StatusOK
 		return nil
 	})
-	return inTouch, errors.Wrap(err, "ask for contact")
+	return connected, errors.Wrap(err, "ask whether the node is connected to the store")
 }
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -16,16 +16,16 @@
 
 const (
 	changesPath = "/v1/changes/"
-	// oldestAnswer is the greatest age of what another node tells that is of use.
-	// Together with the time after which a silent node is given up it stays below
-	// the time within which a configuration has to be in force.
-	oldestAnswer = 1200 * time.Millisecond
-	// maxWait bounds how long a follower may make this node wait.
+	// maxDataAge is the maximum age of data from another node that is accepted. Together with the
+	// timeout for an unresponsive node it stays below the time within which a configuration
+	// must take effect.
+	maxDataAge = 1200 * time.Millisecond
+	// maxWait bounds how long the request of a follower may wait.
 	maxWait = 10 * time.Second
-	// linkIdle is how long an unused connection to another node is kept.
-	linkIdle = 5 * time.Second
-	// linkConnections bounds the connections to one node.
-	linkConnections = 2
+	// connectionIdleTimeout is how long an unused connection to another node is kept.
+	connectionIdleTimeout = 5 * time.Second
+	// followConnections bounds the connections to a followed node.
+	followConnections = 2
 )
 
 // Codec encodes the objects of one kind.
@@ -34,7 +34,7 @@
 	Decode(encoded json.RawMessage) (T, error)
 }
 
-// change is one change on the wire.
+// change is the wire format of a change.
 type change struct {
 	Name       string
 	Removed    bool            `json:",omitempty"`
@@ -42,7 +42,7 @@
 	Value      json.RawMessage `json:",omitempty"`
 }
 
-// Names of the headers of an answer; its body lists the changes.
+// Headers of a response; its body lists the changes.
 const (
 	headerRevision = "Driftstage-Revision"
 	headerAge      = "Driftstage-Age"
@@ -50,57 +50,57 @@
 	headerWhole    = "Driftstage-Whole"
 )
 
-// encoded is the body of an answer, kept because all followers ask for the same.
-type encoded struct {
+// cachedBody is the cached body of a response; all followers request the same one.
+type cachedBody struct {
 	after, revision catalog.Revision
 	body            []byte
 }
 
-// Link connects the followers of one kind of objects on all nodes: it publishes
-// what this one learns from the store and follows another one where the selector
-// says so.
+// Link connects the followers of one kind of objects on all nodes: it publishes the
+// changes that this node reads from the store, and follows another node if the selector
+// picks one.
 type Link[T any] struct {
 	kind      string
 	codec     Codec[T]
 	selector  *Selector
 	publisher Publisher[T]
-	// eras are told to other nodes and heard from them.
+	// eras are exchanged with other nodes.
 	eras *catalog.Eras
 
 	mutex sync.Mutex
-	// client calls the node that was followed last.
+	// client calls the node followed last.
 	client *fasthttp.HostClient
 	// followed is the node that answered last; empty for the store.
 	followed string
-	// latest is the body that was encoded last.
-	latest encoded
+	// latest is the latest encoded body.
+	latest cachedBody
 }
 
-// NewLink returns a link for a kind of objects; the kind is part of the path.
+// NewLink returns a link for a kind of objects. The kind is part of the HTTP path.
 func NewLink[T any](kind string, codec Codec[T], selector *Selector) *Link[T] {
 	return &Link[T]{kind: kind, codec: codec, selector: selector, eras: &catalog.Eras{}}
 }
 
-// ShareEras lets the node hear of a restored store from others, and they from it.
+// ShareEras makes the link exchange the store's era with other nodes, so that they notice a restored store.
 func (l *Link[T]) ShareEras(eras *catalog.Eras) { l.eras = eras }
 
-// HandOver lets the link tell the whole state to followers whose revision is older than
-// the changes that this node remembers. The state has to hold what is published.
+// HandOver makes the link send the whole state to followers whose revision is older than
+// the changes that this node keeps. The state must include everything that was published.
 func (l *Link[T]) HandOver(state func() []T) { l.publisher.state = state }
 
-// CountSuspensions lets what this node knows grow older while its machine is suspended.
+// CountSuspensions makes the published data age while the machine of this node is suspended.
 func (l *Link[T]) CountSuspensions(suspended func() time.Duration) { l.publisher.suspended = suspended }
 
 // Publish implements catalog.Relay.
-func (l *Link[T]) Publish(after catalog.Revision, told catalog.Changes[T], fresh bool) {
-	l.publisher.Publish(after, told, fresh)
+func (l *Link[T]) Publish(after catalog.Revision, changes catalog.Changes[T], fresh bool) {
+	l.publisher.Publish(after, changes, fresh)
 }
 
 // StoreFailed implements catalog.Relay.
 func (l *Link[T]) StoreFailed() { l.selector.StoreFailed(time.Now()) }
 
-// Followed implements catalog.Relay. A node that others are about to follow has to know as much as
-// they will ask for.
+// Followed implements catalog.Relay. It also reports true for a reader that is not followed yet: it must
+// have the data that its followers will request.
 func (l *Link[T]) Followed() bool { return l.publisher.Followed() || l.selector.Reads() }
 
 // Reads implements catalog.Relay.
@@ -108,25 +108,25 @@
 
 // Source implements catalog.Relay.
 func (l *Link[T]) Source() catalog.Watcher[T] {
-	member, found := l.selector.Next(l.latestSource(), time.Now())
+	member, found := l.selector.Next(l.lastFollowed(), time.Now())
 	if !found {
-		l.note("")
+		l.setFollowed("")
 		return nil
 	}
 	return source[T]{link: l, member: member}
 }
 
-// latestSource returns the name of the node that answered last; empty for the store.
-func (l *Link[T]) latestSource() string {
+// lastFollowed returns the name of the node that answered last; empty for the store.
+func (l *Link[T]) lastFollowed() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.followed
 }
 
-// note logs when another node has answered than the one that was followed before;
-// empty for the store. A node that does not answer is no line: while the store is
-// away for all, every node tries many.
-func (l *Link[T]) note(name string) {
+// setFollowed records and logs the node that answered, if it has changed; empty for the
+// store. Nodes that do not answer are not logged: while the store is down for all nodes,
+// every node tries many others.
+func (l *Link[T]) setFollowed(name string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.followed != name {
@@ -135,19 +135,19 @@
 	}
 }
 
-// Route adds the answers to other nodes' questions.
+// Route implements Routed.
 func (l *Link[T]) Route(routes *router.Router) {
 	routes.GET(changesPath+l.kind, l.serve)
 }
 
 func (l *Link[T]) serve(ctx *fasthttp.RequestCtx) {
-	asked, err := parseQuestion(ctx.QueryArgs())
+	query, err := parseWatchQuery(ctx.QueryArgs())
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	l.eras.Hear(asked.era)
-	found, err := l.publisher.answer(ctx, asked)
+	l.eras.Hear(query.era)
+	changes, err := l.publisher.answer(ctx, query)
 	switch {
 	case errors.Is(err, catalog.ErrHistoryGone):
 		ctx.Error(err.Error(), fasthttp.StatusGone)
@@ -156,44 +156,44 @@
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
-	body, err := l.body(asked.after, found)
+	body, err := l.body(query.after, changes)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	ctx.Response.Header.Set(headerRevision, strconv.FormatUint(uint64(found.Revision), 10))
-	ctx.Response.Header.Set(headerAge, found.Age.String())
-	ctx.Response.Header.Set(headerFreshAge, found.FreshAge.String())
-	if found.Whole {
+	ctx.Response.Header.Set(headerRevision, strconv.FormatUint(uint64(changes.Revision), 10))
+	ctx.Response.Header.Set(headerAge, changes.Age.String())
+	ctx.Response.Header.Set(headerFreshAge, changes.FreshAge.String())
+	if changes.Whole {
 		ctx.Response.Header.Set(headerWhole, strconv.FormatBool(true))
 	}
 	writeBody(ctx, body)
 }
 
-// body returns the encoded changes after a revision; empty for none.
-func (l *Link[T]) body(after catalog.Revision, found catalog.Changes[T]) ([]byte, error) {
-	if len(found.Changes) == 0 {
+// body returns the encoded changes after a revision; nil if there are none.
+func (l *Link[T]) body(after catalog.Revision, changes catalog.Changes[T]) ([]byte, error) {
+	if len(changes.Changes) == 0 {
 		return nil, nil
 	}
-	if found.Whole {
-		after = 0 // the same for whatever revision was asked for
+	if changes.Whole {
+		after = 0 // the body does not depend on the requested revision
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.latest.after == after && l.latest.revision == found.Revision {
+	if l.latest.after == after && l.latest.revision == changes.Revision {
 		return l.latest.body, nil
 	}
-	plain, err := l.encode(found)
+	plain, err := l.encode(changes)
 	if err != nil {
 		return nil, err
 	}
-	l.latest = encoded{after: after, revision: found.Revision, body: compress(plain)}
+	l.latest = cachedBody{after: after, revision: changes.Revision, body: compress(plain)}
 	return l.latest.body, nil
 }
 
-func (l *Link[T]) encode(found catalog.Changes[T]) ([]byte, error) {
-	entries := make([]change, 0, len(found.Changes))
-	for _, item := range found.Changes {
+func (l *Link[T]) encode(changes catalog.Changes[T]) ([]byte, error) {
+	entries := make([]change, 0, len(changes.Changes))
+	for _, item := range changes.Changes {
 		entry := change{Name: item.Name, Removed: item.Removed, Unreadable: item.Unreadable}
 		if !item.Removed {
 			value, err := l.codec.Encode(item.Value)
@@ -208,9 +208,9 @@
 }
 
 func (l *Link[T]) decode(response *fasthttp.Response) (catalog.Changes[T], error) {
-	found, err := decodeHeaders[T](&response.Header)
+	changes, err := decodeHeaders[T](&response.Header)
 	if err != nil || len(response.Body()) == 0 {
-		return found, err
+		return changes, err
 	}
 	body, err := response.BodyUncompressed()
 	if err != nil {
@@ -221,19 +221,19 @@
 		return catalog.Changes[T]{}, err
 	}
 	for _, entry := range entries {
-		l.add(&found, entry)
+		l.add(&changes, entry)
 	}
-	return found, nil
+	return changes, nil
 }
 
-// add adds a change. One that can't be understood does not keep the others from being read.
-func (l *Link[T]) add(found *catalog.Changes[T], entry change) {
+// add adds a change. An entry that cannot be decoded does not prevent the others from being read.
+func (l *Link[T]) add(changes *catalog.Changes[T], entry change) {
 	item := catalog.Change[T]{Name: entry.Name, Removed: entry.Removed, Unreadable: entry.Unreadable}
 	if !entry.Removed {
 		value, err := l.codec.Decode(entry.Value)
 		if err != nil {
-			found.Flaws = append(found.Flaws, catalog.Flaw{Name: entry.Name, Cause: err.Error()})
-			if found.Whole {
+			changes.Flaws = append(changes.Flaws, catalog.Flaw{Name: entry.Name, Cause: err.Error()})
+			if changes.Whole {
 				return
 			}
 			item.Removed, item.Unreadable = true, true
@@ -241,7 +241,7 @@
 			item.Value = value
 		}
 	}
-	found.Changes = append(found.Changes, item)
+	changes.Changes = append(changes.Changes, item)
 }
 
 func decodeHeaders[T any](header *fasthttp.ResponseHeader) (catalog.Changes[T], error) {
--- a/internal/peers/link_test.go
+++ b/internal/peers/link_test.go
@@ -17,26 +17,26 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// put is the change that a server was written.
+// put returns the change for a written server.
 func put(id string) catalog.Change[endpoints.Server] {
 	return catalog.Change[endpoints.Server]{Name: id, Value: endpoints.Server{ID: id, Service: "s", Slots: 3, Draining: true}}
 }
 
-func told(revision catalog.Revision, changes ...catalog.Change[endpoints.Server]) catalog.Changes[endpoints.Server] {
+func changesAt(revision catalog.Revision, changes ...catalog.Change[endpoints.Server]) catalog.Changes[endpoints.Server] {
 	return catalog.Changes[endpoints.Server]{Changes: changes, Revision: revision}
 }
 
-func TestPublisherAnswersAtOnceWhenSomethingChanges(t *testing.T) {
+func TestPublisherAnswersImmediatelyOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var publisher Publisher[endpoints.Server]
-		publisher.Publish(5, told(7), true)
+		publisher.Publish(5, changesAt(7), true)
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			publisher.Publish(7, told(9, put("a")), false)
+			publisher.Publish(7, changesAt(9, put("a")), false)
 		}()
 		begun := time.Now()
-		got, err := publisher.answer(t.Context(), question{after: 7, wait: time.Second, oldest: time.Second})
+		got, err := publisher.answer(t.Context(), watchQuery{after: 7, wait: time.Second, maxAge: time.Second})
 		is.NoErr(err)
 		is.Equal(time.Since(begun), 200*time.Millisecond)
 		is.Equal(got.Revision, catalog.Revision(9))
@@ -49,29 +49,29 @@
 	})
 }
 
-// A node that has lost the store tells so as soon as what it knows is too old, not
+// A node that has lost the store returns an error as soon as its data is too old, not
 // at the end of the wait.
-func TestPublisherThatHearsNothingSaysSo(t *testing.T) {
+func TestPublisherRejectsStaleData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var publisher Publisher[endpoints.Server]
-		publisher.Publish(5, told(7), true)
+		publisher.Publish(5, changesAt(7), true)
 		begun := time.Now()
-		_, err := publisher.answer(t.Context(), question{after: 7, wait: time.Hour, oldest: time.Second})
-		is.True(errors.Is(err, errNotReading))
+		_, err := publisher.answer(t.Context(), watchQuery{after: 7, wait: time.Hour, maxAge: time.Second})
+		is.True(errors.Is(err, errStale))
 		is.True(time.Since(begun) < time.Second+10*time.Millisecond)
-		_, err = publisher.answer(t.Context(), question{after: 7, wait: time.Hour, oldest: time.Second})
-		is.True(errors.Is(err, errNotReading))
+		_, err = publisher.answer(t.Context(), watchQuery{after: 7, wait: time.Hour, maxAge: time.Second})
+		is.True(errors.Is(err, errStale))
 	})
 }
 
-func TestPublisherThatNeverReadIsNotFollowed(t *testing.T) {
+func TestPublisherWithoutDataIsNotFollowed(t *testing.T) {
 	var publisher Publisher[endpoints.Server]
-	_, err := publisher.answer(t.Context(), question{wait: time.Second, oldest: time.Hour})
-	is.New(t).True(errors.Is(err, errNotReading))
+	_, err := publisher.answer(t.Context(), watchQuery{wait: time.Second, maxAge: time.Hour})
+	is.New(t).True(errors.Is(err, errStale))
 }
 
-// linked returns a link that reads and the source by which another one follows it.
+// linked returns the link of a reader, and the source and selector by which another node follows it.
 func linked[T any](t *testing.T, codec Codec[T]) (reader *Link[T], source catalog.Watcher[T], selector *Selector) {
 	t.Helper()
 	reader = NewLink("kind", codec, NewSelector(members.Member{Name: "reader"}, inRegion))
@@ -86,12 +86,12 @@
 	return reader, NewLink("kind", codec, selector).Source(), selector
 }
 
-func TestServersArriveAtFollowers(t *testing.T) {
+func TestFollowersReceiveServers(t *testing.T) {
 	is := is.New(t)
 	reader, source, selector := linked(t, PlainCodec[endpoints.Server]{})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	reader.Publish(5, told(7, put("a"), catalog.Change[endpoints.Server]{Name: "b", Removed: true}), true)
+	reader.Publish(5, changesAt(7, put("a"), catalog.Change[endpoints.Server]{Name: "b", Removed: true}), true)
 	got, err := source.Watch(ctx, catalog.WatchRequest{After: 5, Wait: time.Second})
 	is.NoErr(err)
 	is.Equal(got.Revision, catalog.Revision(7))
@@ -102,10 +102,10 @@
 	_, err = source.Watch(ctx, catalog.WatchRequest{After: 2, Wait: time.Second})
 	is.True(errors.Is(err, catalog.ErrHistoryGone))
 	_, found := selector.Pick(time.Now())
-	is.True(!found) // it is passed over for a while
+	is.True(!found) // avoided for some time
 }
 
-// All followers ask for the same: it is encoded once, and large answers are
+// All followers request the same body: it is encoded once, and large bodies are
 // compressed.
 func TestAnswersAreEncodedOnce(t *testing.T) {
 	is := is.New(t)
@@ -116,23 +116,23 @@
 	for number := range 100 {
 		many = append(many, put(fmt.Sprint("server-", number)))
 	}
-	reader.Publish(5, told(7, many...), true)
+	reader.Publish(5, changesAt(7, many...), true)
 	request := catalog.WatchRequest{After: 5, Wait: time.Second}
 	got, err := source.Watch(ctx, request)
 	is.NoErr(err)
 	is.Equal(got.Changes, many)
-	is.True(len(reader.latest.body) < 2000) // 100 bytes and more each
+	is.True(len(reader.latest.body) < 2000) // at least 100 bytes each when uncompressed
 	kept := &reader.latest.body[0]
 	_, err = source.Watch(ctx, request)
 	is.NoErr(err)
 	is.Equal(&reader.latest.body[0], kept)
-	reader.Publish(7, told(9, put("next")), true)
+	reader.Publish(7, changesAt(9, put("next")), true)
 	got, err = source.Watch(ctx, request)
 	is.NoErr(err)
 	is.Equal(len(got.Changes), 101)
 }
 
-func TestConfigurationsArriveAtFollowers(t *testing.T) {
+func TestFollowersReceiveConfigurations(t *testing.T) {
 	is := is.New(t)
 	reader, source, _ := linked(t, TableCodec{})
 	route := routing.Route{Name: "r", Host: "a.example", PathPrefix: "/a/", Shards: []string{"s", "u"}, Timeout: time.Second, Repeatable: true}
@@ -146,7 +146,7 @@
 	is.Equal(got.Changes[0].Value.Document(), table.Document())
 }
 
-func TestNodeThatDoesNotAnswerIsNotNoted(t *testing.T) {
+func TestUnresponsiveNodeIsNotRecordedAsFollowed(t *testing.T) {
 	is := is.New(t)
 	reader, source, selector := linked(t, PlainCodec[endpoints.Server]{})
 	link := source.(interface {
@@ -155,9 +155,9 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	_, err := source.Watch(ctx, catalog.WatchRequest{After: 5, Wait: time.Millisecond})
-	is.True(err != nil) // it has read nothing yet
+	is.True(err != nil) // the reader has read nothing yet
 	is.Equal(link.followed, "")
-	reader.Publish(5, told(7), true)
+	reader.Publish(5, changesAt(7), true)
 	_, err = source.Watch(ctx, catalog.WatchRequest{After: 5, Wait: time.Millisecond})
 	is.NoErr(err)
 	is.Equal(link.followed, "reader")
@@ -168,7 +168,7 @@
 
 func (s source[T]) owner() *Link[T] { return s.link }
 
-func TestWrongQuestionsAreRejected(t *testing.T) {
+func TestInvalidQueriesAreRejected(t *testing.T) {
 	for _, query := range []string{"", "after=x&wait=1s&age=1s", "after=1&wait=1&age=1s", "after=1&wait=1s", "after=-1&wait=1s&age=1s"} {
 		is := is.New(t)
 		_, source, _ := linked(t, PlainCodec[endpoints.Server]{})
@@ -181,16 +181,16 @@
 
 func (s source[T]) address() string { return s.member.Address }
 
-// A node that follows from a revision that the reader no longer remembers gets the whole
-// state, if it asks for it.
-func TestWholeStateIsHandedOver(t *testing.T) {
+// A follower whose revision is older than the changes kept by the reader gets the whole state
+// if it requests it.
+func TestWholeStateIsServed(t *testing.T) {
 	is := is.New(t)
 	reader, source, selector := linked(t, PlainCodec[endpoints.Server]{})
 	state := []endpoints.Server{{ID: "a", Service: "s", Slots: 3}, {ID: "b", Service: "s"}}
 	reader.HandOver(func() []endpoints.Server { return state })
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	reader.Publish(5, told(7, put("a")), true)
+	reader.Publish(5, changesAt(7, put("a")), true)
 	for _, after := range []catalog.Revision{2, 3} {
 		got, err := source.Watch(ctx, catalog.WatchRequest{After: after, Wait: time.Second})
 		is.NoErr(err)
@@ -202,18 +202,18 @@
 	}
 	got, err := source.Watch(ctx, catalog.WatchRequest{After: 5, Wait: time.Second})
 	is.NoErr(err)
-	is.True(!got.Whole) // the changes are enough
+	is.True(!got.Whole) // the changes suffice
 	is.Equal(got.Changes, []catalog.Change[endpoints.Server]{put("a")})
-	_, err = reader.publisher.answer(ctx, question{after: 2, wait: time.Second, oldest: time.Hour})
-	is.True(errors.Is(err, catalog.ErrHistoryGone)) // one that did not ask for the whole
+	_, err = reader.publisher.answer(ctx, watchQuery{after: 2, wait: time.Second, maxAge: time.Hour})
+	is.True(errors.Is(err, catalog.ErrHistoryGone)) // the whole state was not requested
 	state = nil
-	reader.Publish(8, told(9), true) // forgets what was before
+	reader.Publish(8, changesAt(9), true) // drops the earlier changes
 	got, err = source.Watch(ctx, catalog.WatchRequest{After: 2, Wait: time.Second})
 	is.NoErr(err)
 	is.True(got.Whole)
 	is.Equal(len(got.Changes), 0)
 	_, found := selector.Again("reader", time.Now())
-	is.True(found) // it goes on being followed while the store fails
+	is.True(found) // still followed while the store fails
 	selector.Failed("reader", time.Now())
 	_, found = selector.Again("reader", time.Now())
 	is.True(!found)
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -13,13 +13,13 @@
 
 const membersPath = "/v1/members"
 
-// membersReuse is how long encoded announcements are told: where many nodes start together, all
-// ask for the same at once.
+// membersReuse is how long encoded announcements are reused: many nodes that start together request
+// the same ones at once.
 const membersReuse = time.Second
 
-// MemberServer tells other nodes the announcements that this one has read.
+// MemberServer serves the announcements read by this node to other nodes.
 type MemberServer struct {
-	// Latest returns them; false if there are none of use.
+	// Latest returns the announcements; false if there are none or they are outdated.
 	Latest func() ([]members.Member, bool)
 
 	mutex     sync.Mutex
@@ -42,8 +42,8 @@
 	}
 }
 
-// encoded returns the announcements as they are told; nil if there are none of use. One caller at
-// a time encodes them: hundreds at once would take hundreds of megabytes.
+// encoded returns the encoded announcements; nil if Latest has none. One request at a time encodes
+// them: hundreds in parallel would take hundreds of megabytes.
 func (s *MemberServer) encoded(now time.Time) ([]byte, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,13 +62,13 @@
 	return s.body, nil
 }
 
-// AskMembers returns the announcements that one of the nodes at the addresses (IP:port) has read.
+// AskMembers requests the announcements read by one of the nodes at the addresses (IP:port).
 func AskMembers(addresses []string) ([]members.Member, error) {
 	return askAny(addresses, len(addresses), askMembers)
 }
 
 func askMembers(address string) ([]members.Member, error) {
 	var found []members.Member
-	err := askOnce(address, membersPath, func(response *fasthttp.Response) error { return decodeBody(response, &found) })
+	err := getOnce(address, membersPath, func(response *fasthttp.Response) error { return decodeBody(response, &found) })
 	return found, err
 }
--- a/internal/peers/members_test.go
+++ b/internal/peers/members_test.go
@@ -12,8 +12,8 @@
 	"github.com/driftstage/driftstage/internal/members"
 )
 
-// Hundreds of nodes that start together ask a seed at once: it encodes its list once for them.
-func TestMembersAreEncodedOnceForManyAskers(t *testing.T) {
+// Guards against a seed that encodes its list for each of hundreds of nodes that start together.
+func TestMembersAreEncodedOnceForManyRequests(t *testing.T) {
 	is := is.New(t)
 	known, calls := nodes("near", 900), 0
 	server := &MemberServer{Latest: func() ([]members.Member, bool) {
@@ -34,9 +34,9 @@
 	response.SetBody(first)
 	plain, err := response.BodyUncompressed()
 	is.NoErr(err)
-	var told []members.Member
-	is.NoErr(json.Unmarshal(plain, &told))
-	is.Equal(fmt.Sprint(told), fmt.Sprint(known))
+	var received []members.Member
+	is.NoErr(json.Unmarshal(plain, &received))
+	is.Equal(fmt.Sprint(received), fmt.Sprint(known))
 	known = known[1:]
 	_, err = server.encoded(now.Add(membersReuse))
 	is.NoErr(err)
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -11,10 +11,10 @@
 
 const quarantinePath = "/v1/quarantine"
 
-// NoticeServer takes what other nodes tell of requests that end servers while they can't
-// write it to the store.
+// NoticeServer receives the notices of nodes that cannot write records of suspected requests
+// to the store.
 type NoticeServer struct {
-	// Hear takes a notice in.
+	// Hear handles a notice.
 	Hear func(quarantine.Notice)
 }
 
@@ -31,7 +31,7 @@
 	ctx.SetBodyString("{}")
 }
 
-// Tell hands a notice to the node at the address (IP:port).
+// Tell sends a notice to the node at the address (IP:port).
 func (c *ReportClient) Tell(ctx context.Context, address string, notice quarantine.Notice) error {
 	return c.post(ctx, address, quarantinePath, notice, &struct{}{})
 }
--- a/internal/peers/publisher.go
+++ b/internal/peers/publisher.go
@@ -10,42 +10,43 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// followedFor is how long after a question a node counts as followed.
+// followedFor is how long after a request a node counts as followed.
 const followedFor = 3 * time.Second
 
-// errNotReading means that this node has not heard of the store for too long to
-// be followed.
-var errNotReading = errors.New("this node has no recent answer of the store")
+// errStale means that this node has had no answer from the store for too long to be
+// followed.
+var errStale = errors.New("this node has no recent data from the store")
 
-// Publisher tells other nodes what this one learns from the store of one kind of
-// objects. The zero value has learned nothing. It is safe for concurrent use.
+// Publisher serves the changes of one kind of objects, as read from the store, to other
+// nodes. The zero value has read nothing. It is safe for concurrent use.
 type Publisher[T any] struct {
 	mutex sync.Mutex
 	log   catalog.Log[T]
-	// state returns all objects, as new as what was published at least; nil if
-	// changes alone are told.
+	// state returns all objects, at least as new as the published changes; nil if only
+	// changes are served.
 	state func() []T
-	// toldAt is when the store answered last, freshAt when it did so without lag.
-	toldAt, freshAt time.Time
-	askedAt         time.Time
-	// suspended returns for how long the machine has been suspended; nil for never. What is
-	// known grows older meanwhile.
+	// answeredAt is when the store last answered, freshAt when it last did so without lag.
+	answeredAt, freshAt time.Time
+	// requestedAt is when a follower last sent a request.
+	requestedAt time.Time
+	// suspended returns for how long the machine has been suspended; nil for never. The
+	// data grows older meanwhile.
 	suspended func() time.Duration
-	// changed is closed when the log grows, told when the store has told anything.
-	changed, told chan struct{}
+	// changed is closed when the log grows, answered when the store has answered.
+	changed, answered chan struct{}
 }
 
-// Publish takes over what the store has answered.
+// Publish adds an answer of the store.
 func (p *Publisher[T]) Publish(after catalog.Revision, changes catalog.Changes[T], fresh bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.toldAt = p.now()
+	p.answeredAt = p.now()
 	restored := p.log.Last().Precedes(changes.Revision)
-	p.log.Append(after, changes, p.toldAt)
+	p.log.Append(after, changes, p.answeredAt)
 	if fresh {
-		p.freshAt = p.toldAt
+		p.freshAt = p.answeredAt
 	}
-	notify(&p.told)
+	notify(&p.answered)
 	if len(changes.Changes) > 0 || restored {
 		notify(&p.changed)
 	}
@@ -62,34 +63,34 @@
 func (p *Publisher[T]) Followed() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.now().Sub(p.askedAt) < followedFor
+	return p.now().Sub(p.requestedAt) < followedFor
 }
 
-// question is what a follower asks.
-type question struct {
+// watchQuery is a request of a follower.
+type watchQuery struct {
 	after catalog.Revision
-	// wait is how long it waits for changes.
+	// wait is how long the request waits for changes.
 	wait time.Duration
-	// patience is how long it waits for an answer that is of use.
-	patience time.Duration
-	// oldest is the greatest age of an answer that is of use.
-	oldest time.Duration
-	// whole asks for the whole state where the changes are no longer known.
+	// freshTimeout is how long the request waits for data that is recent enough.
+	freshTimeout time.Duration
+	// maxAge is the maximum age of the data that the follower accepts.
+	maxAge time.Duration
+	// whole requests the whole state if the changes are no longer available.
 	whole bool
-	// era is the latest that the follower has heard of: older answers are of no use.
+	// era is the latest era known to the follower; data of older eras is rejected.
 	era catalog.Era
 }
 
 // answer returns the changes after a revision as soon as there are any, none after the wait, or an
-// error if what is known has become too old and nothing newer comes within the patience.
-func (p *Publisher[T]) answer(ctx context.Context, q question) (catalog.Changes[T], error) {
+// error if the data has become too old and no newer data arrives within the freshTimeout.
+func (p *Publisher[T]) answer(ctx context.Context, q watchQuery) (catalog.Changes[T], error) {
 	begun := time.Now()
 	for {
-		changes, news, err := p.look(q)
+		changes, more, err := p.current(q)
 		until := begun.Add(q.wait)
 		switch {
-		case errors.Is(err, errNotReading):
-			until = begun.Add(q.patience)
+		case errors.Is(err, errStale):
+			until = begun.Add(q.freshTimeout)
 		case err != nil || changes.Whole || len(changes.Changes) > 0:
 			return changes, err
 		}
@@ -98,54 +99,54 @@
 			return changes, err
 		}
 		if err == nil {
-			left = min(left, q.oldest-changes.Age+time.Millisecond)
+			left = min(left, q.maxAge-changes.Age+time.Millisecond)
 		}
 		select {
 		case <-ctx.Done():
 			return changes, ctx.Err()
-		case <-news:
+		case <-more:
 		case <-time.After(left):
 		}
 	}
 }
 
-// look returns what is known now, and a channel that is closed when there is more. With errNotReading
-// it is closed when the store has told anything.
-func (p *Publisher[T]) look(q question) (catalog.Changes[T], <-chan struct{}, error) {
+// current returns the current changes, and a channel that is closed when there are more. With errStale
+// the channel is closed when the store has answered.
+func (p *Publisher[T]) current(q watchQuery) (catalog.Changes[T], <-chan struct{}, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := p.now()
-	p.askedAt = now
-	tooOld := p.toldAt.IsZero() || now.Sub(p.toldAt) > q.oldest
+	p.requestedAt = now
+	tooOld := p.answeredAt.IsZero() || now.Sub(p.answeredAt) > q.maxAge
 	if tooOld || p.log.Last().Era() < q.era {
-		return catalog.Changes[T]{}, channel(&p.told), errNotReading
+		return catalog.Changes[T]{}, channel(&p.answered), errStale
 	}
 	changes, err := p.log.Since(q.after)
 	if errors.Is(err, catalog.ErrHistoryGone) && q.whole && p.state != nil {
 		changes, err = p.whole(), nil
 	}
-	changes.Age = now.Sub(p.toldAt)
+	changes.Age = now.Sub(p.answeredAt)
 	changes.FreshAge = now.Sub(p.freshAt)
 	return changes, channel(&p.changed), err
 }
 
-// channel returns the channel, a new one if it is nil.
-func channel(known *chan struct{}) <-chan struct{} {
-	if *known == nil {
-		*known = make(chan struct{})
+// channel returns the channel, after creating it if it is nil.
+func channel(ch *chan struct{}) <-chan struct{} {
+	if *ch == nil {
+		*ch = make(chan struct{})
 	}
-	return *known
+	return *ch
 }
 
-// notify closes the channel if anybody waits for it.
-func notify(known *chan struct{}) {
-	if *known != nil {
-		close(*known)
-		*known = nil
+// notify closes the channel if it exists, which wakes up all waiters.
+func notify(ch *chan struct{}) {
+	if *ch != nil {
+		close(*ch)
+		*ch = nil
 	}
 }
 
-// whole returns the state up to the latest revision that was published.
+// whole returns the whole state at the latest published revision.
 func (p *Publisher[T]) whole() catalog.Changes[T] {
 	whole := catalog.Changes[T]{Revision: p.log.Last(), Whole: true}
 	for _, value := range p.state() {
--- a/internal/peers/recovery_test.go
+++ b/internal/peers/recovery_test.go
@@ -16,56 +16,56 @@
 )
 
 const (
-	// recoveryBound is how long after the end of a cut a node may be without what was
+	// recoveryBound is how long after the end of a partition a node may lack what was
 	// written during it.
 	recoveryBound = 1500 * time.Millisecond
-	// outageBound takes its place where the store was away for all: there is no sign of its
-	// return but an answer to a call, and nodes call it each 2.4 s at the least.
+	// outageBound replaces recoveryBound if the store was down for all nodes: then only the answer
+	// to a call shows its return, and the nodes call it at least every 2.4 s.
 	outageBound = 3500 * time.Millisecond
-	// recoveryFleet is the size of the fleet that the nodes of the test are told: pauses
-	// between calls to the store grow with it.
-	recoveryFleet = 300
-	recoveryNodes = 8
-	cutLength     = 12 * time.Second
-	// recoveryPlays is how often each cut is played: pauses are drawn at random.
-	recoveryPlays = 20
+	// recoveryFleet is the fleet size that the nodes of the test assume: delays between
+	// calls to the store grow with it.
+	recoveryFleet   = 300
+	recoveryNodes   = 8
+	partitionLength = 12 * time.Second
+	// recoveryRuns is how often each partition is run, since delays are random.
+	recoveryRuns = 20
 )
 
-var errSilence = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// onePerKind is a store with one object of a kind, which is its latest revision.
-type onePerKind struct {
+// kindStore simulates the store of one kind, which has one object: its latest revision.
+type kindStore struct {
 	mutex    sync.Mutex
 	revision catalog.Revision
-	// oldest is the oldest revision from which a watch can go on.
+	// oldest is the oldest revision from which a watch can continue.
 	oldest  catalog.Revision
 	changed chan struct{}
 }
 
-func (o *onePerKind) write() {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.revision++
-	close(o.changed)
-	o.changed = make(chan struct{})
+func (s *kindStore) write() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.revision++
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (o *onePerKind) forget() {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.oldest = o.revision
+func (s *kindStore) dropHistory() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.oldest = s.revision
 }
 
-func (o *onePerKind) look() (revision, oldest catalog.Revision, changed <-chan struct{}) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.revision, o.oldest, o.changed
+func (s *kindStore) current() (revision, oldest catalog.Revision, changed <-chan struct{}) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.revision, s.oldest, s.changed
 }
 
-// network says who reaches whom.
+// network simulates which nodes can reach the store and each other.
 type network struct {
 	mutex sync.Mutex
-	// store and peers report whether a way is open; nil if all are.
+	// store and peers report whether a connection is possible; nil if all are.
 	store func(node int) bool
 	peers func(from, to int) bool
 }
@@ -88,30 +88,30 @@
 	return n.peers == nil || n.peers(from, to)
 }
 
-// recoveryNode is a node that keeps two kinds of objects current.
+// recoveryNode simulates a node that follows two kinds of objects.
 type recoveryNode struct {
 	number   int
-	world    *recoveryWorld
+	cluster  *recoveryCluster
 	selector *Selector
 	backoff  catalog.Backoff
 	kinds    [2]recoveryKind
 }
 
-// recoveryKind is what a node knows of a kind; it is the feed, relay and sink of the
-// node's follower.
+// recoveryKind is a node's state of one kind. It is the feed, relay and sink of the
+// follower of that kind.
 type recoveryKind struct {
 	node      *recoveryNode
 	index     int
 	publisher Publisher[catalog.Revision]
 	mutex     sync.Mutex
-	known     catalog.Revision
+	revision  catalog.Revision
 	// followed is the node that answered last.
 	followed string
 }
 
-type recoveryWorld struct {
+type recoveryCluster struct {
 	network network
-	kinds   [2]*onePerKind
+	kinds   [2]*kindStore
 	nodes   []*recoveryNode
 }
 
@@ -121,38 +121,38 @@
 func (k *recoveryKind) latest() catalog.Revision {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.known
+	return k.revision
 }
 
-func (k *recoveryKind) learn(known catalog.Revision) {
+func (k *recoveryKind) update(known catalog.Revision) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.known = max(k.known, known)
+	k.revision = max(k.revision, known)
 }
 
-func (k *recoveryKind) source() string {
+func (k *recoveryKind) lastFollowed() string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.followed
 }
 
-func (k *recoveryKind) follow(name string) {
+func (k *recoveryKind) setFollowed(name string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.followed = name
 }
 
-// reached waits for the deadline if the store is out of reach.
+// reached returns an error after the deadline if the store cannot be reached.
 func (k *recoveryKind) reached(ctx context.Context) error {
-	if k.node.world.network.toStore(k.node.number) {
+	if k.node.cluster.network.toStore(k.node.number) {
 		return nil
 	}
 	<-ctx.Done()
-	return errSilence
+	return errNoAnswer
 }
 
 func (k *recoveryKind) List(ctx context.Context, _ string) (catalog.Page[catalog.Revision], error) {
-	revision, _, _ := k.node.world.kinds[k.index].look()
+	revision, _, _ := k.node.cluster.kinds[k.index].current()
 	return catalog.Page[catalog.Revision]{Items: []catalog.Revision{revision}, Revision: revision}, k.reached(ctx)
 }
 
@@ -163,7 +163,7 @@
 		if err := k.reached(ctx); err != nil {
 			return none, err
 		}
-		revision, oldest, changed := k.node.world.kinds[k.index].look()
+		revision, oldest, changed := k.node.cluster.kinds[k.index].current()
 		switch {
 		case request.After < oldest:
 			return none, catalog.ErrHistoryGone
@@ -181,22 +181,22 @@
 	}
 }
 
-func (k *recoveryKind) Replace(items []catalog.Revision, _ bool) { k.learn(items[0]) }
+func (k *recoveryKind) Replace(items []catalog.Revision, _ bool) { k.update(items[0]) }
 func (k *recoveryKind) Resumed()                                 {}
 func (k *recoveryKind) Apply(change catalog.Change[catalog.Revision]) {
-	k.learn(change.Value)
+	k.update(change.Value)
 }
 
-func (k *recoveryKind) Publish(after catalog.Revision, told catalog.Changes[catalog.Revision], fresh bool) {
-	k.publisher.Publish(after, told, fresh)
+func (k *recoveryKind) Publish(after catalog.Revision, changes catalog.Changes[catalog.Revision], fresh bool) {
+	k.publisher.Publish(after, changes, fresh)
 }
 func (k *recoveryKind) StoreFailed()   { k.node.selector.StoreFailed(time.Now()) }
 func (k *recoveryKind) Followed() bool { return k.publisher.Followed() }
 
 func (k *recoveryKind) Source() catalog.Watcher[catalog.Revision] {
-	member, found := k.node.selector.Next(k.source(), time.Now())
+	member, found := k.node.selector.Next(k.lastFollowed(), time.Now())
 	if !found {
-		k.follow("")
+		k.setFollowed("")
 		return nil
 	}
 	return recoverySource{kind: k, member: member}
@@ -212,24 +212,24 @@
 	found, err := s.ask(ctx, request)
 	s.kind.node.selector.Judge(ctx, s.member.Name, err, time.Now())
 	if err == nil {
-		s.kind.follow(s.member.Name)
+		s.kind.setFollowed(s.member.Name)
 	}
 	return found, err
 }
 
 func (s recoverySource) ask(ctx context.Context, request catalog.WatchRequest) (catalog.Changes[catalog.Revision], error) {
 	node := s.kind.node
-	other := node.world.byAddress(s.member.Address)
-	if !node.world.network.toPeer(node.number, other.number) {
+	other := node.cluster.byAddress(s.member.Address)
+	if !node.cluster.network.toPeer(node.number, other.number) {
 		<-ctx.Done()
-		return catalog.Changes[catalog.Revision]{}, errSilence
+		return catalog.Changes[catalog.Revision]{}, errNoAnswer
 	}
-	asked := question{after: request.After, wait: request.Wait, patience: request.Patience, oldest: oldestAnswer, whole: true}
-	return other.kinds[s.kind.index].publisher.answer(ctx, asked)
+	query := watchQuery{after: request.After, wait: request.Wait, freshTimeout: request.Patience, maxAge: maxDataAge, whole: true}
+	return other.kinds[s.kind.index].publisher.answer(ctx, query)
 }
 
-func (w *recoveryWorld) byAddress(address string) *recoveryNode {
-	for _, node := range w.nodes {
+func (c *recoveryCluster) byAddress(address string) *recoveryNode {
+	for _, node := range c.nodes {
 		if nodeName(node.number) == address {
 			return node
 		}
@@ -239,27 +239,27 @@
 
 func nodeName(number int) string { return fmt.Sprint("node-", number) }
 
-// newRecoveryWorld starts nodes that all know the first revision; half of them stand in
-// each of two zones of a region.
-func newRecoveryWorld(ctx context.Context, count int) *recoveryWorld {
-	world := &recoveryWorld{nodes: make([]*recoveryNode, count)}
-	for index := range world.kinds {
-		world.kinds[index] = &onePerKind{revision: 1, changed: make(chan struct{})}
+// newRecoveryCluster starts nodes that all have the first revision; half of them are in each of
+// the two zones of a region.
+func newRecoveryCluster(ctx context.Context, count int) *recoveryCluster {
+	cluster := &recoveryCluster{nodes: make([]*recoveryNode, count)}
+	for index := range cluster.kinds {
+		cluster.kinds[index] = &kindStore{revision: 1, changed: make(chan struct{})}
 	}
 	var all []members.Member
 	for number := range count {
 		all = append(all, members.Member{Name: nodeName(number), Address: nodeName(number), Zone: fmt.Sprint("near-", number%2)})
 	}
 	for number := range count {
-		node := &recoveryNode{number: number, world: world, selector: NewSelector(all[number], inRegion)}
+		node := &recoveryNode{number: number, cluster: cluster, selector: NewSelector(all[number], inRegion)}
 		node.selector.SetMembers(all)
 		node.backoff.SetCallers(recoveryFleet)
-		world.nodes[number] = node
+		cluster.nodes[number] = node
 	}
-	for _, node := range world.nodes {
+	for _, node := range cluster.nodes {
 		node.run(ctx)
 	}
-	return world
+	return cluster
 }
 
 func (n *recoveryNode) run(ctx context.Context) {
@@ -267,36 +267,36 @@
 		kind := &n.kinds[index]
 		kind.node, kind.index = n, index
 		kind.publisher.state = func() []catalog.Revision { return []catalog.Revision{kind.latest()} }
-		follower := catalog.NewFollower("kind", kind, kind, unobserved{})
+		follower := catalog.NewFollower("kind", kind, kind, noopObserver{})
 		follower.Share(kind)
 		follower.ShareBackoff(&n.backoff)
 		go follower.Run(ctx)
 	}
-	search := Search{Selector: n.selector, Lost: n.backoff.Lost, Found: n.backoff.Wake, ask: n.askContact}
+	search := Search{Selector: n.selector, Lost: n.backoff.Lost, Found: n.backoff.Wake, ask: n.askConnected}
 	go search.Run(ctx)
 }
 
-func (n *recoveryNode) askContact(address string) (bool, error) {
-	other := n.world.byAddress(address)
-	if !n.world.network.toPeer(n.number, other.number) {
-		time.Sleep(askTimeout)
-		return false, errSilence
+func (n *recoveryNode) askConnected(address string) (bool, error) {
+	other := n.cluster.byAddress(address)
+	if !n.cluster.network.toPeer(n.number, other.number) {
+		time.Sleep(requestTimeout)
+		return false, errNoAnswer
 	}
 	return other.backoff.InTouch(time.Now()), nil
 }
 
-type unobserved struct{}
+type noopObserver struct{}
 
-func (unobserved) ObjectUnreadable(string, catalog.Flaw) {}
+func (noopObserver) ObjectUnreadable(string, catalog.Flaw) {}
 
-func (unobserved) StoreCalled(string, error) {}
+func (noopObserver) StoreCalled(string, error) {}
 
-// behind returns the nodes that do not know the latest revision of all kinds.
-func (w *recoveryWorld) behind() []int {
+// behind returns the nodes that lack the latest revision of any kind.
+func (c *recoveryCluster) behind() []int {
 	var found []int
-	for _, node := range w.nodes {
+	for _, node := range c.nodes {
 		for index := range node.kinds {
-			if node.kinds[index].latest() < w.kinds[index].revision {
+			if node.kinds[index].latest() < c.kinds[index].revision {
 				found = append(found, node.number)
 				break
 			}
@@ -305,9 +305,9 @@
 	return found
 }
 
-// Nodes that were cut off know what was written during the cut soon after its end,
-// whatever it has left open and whether or not the store has forgotten its history.
-func TestNodesRecoverSoonAfterACut(t *testing.T) {
+// Soon after a network partition ends, the nodes that were cut off have what was written during it,
+// for different partitions and whether or not the store has kept its history.
+func TestNodesRecoverSoonAfterPartition(t *testing.T) {
 	none := func(int) bool { return false }
 	lower := func(node int) bool { return node >= recoveryNodes/2 }
 	otherZone := func(node int) bool { return node%2 == 1 }
@@ -315,7 +315,7 @@
 	apart := func(reached func(int) bool) func(from, to int) bool {
 		return func(from, to int) bool { return reached(from) && reached(to) }
 	}
-	for _, cut := range []struct {
+	for _, partition := range []struct {
 		name  string
 		store func(node int) bool
 		peers func(from, to int) bool
@@ -327,59 +327,59 @@
 		{"one zone, from the other and the store", otherZone, sameZone, recoveryBound},
 		{"all nodes, from the store", none, nil, outageBound},
 	} {
-		for _, forgotten := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, history forgotten %t", cut.name, forgotten), func(t *testing.T) {
-				for range recoveryPlays {
-					synctest.Test(t, func(t *testing.T) { playCut(t, cut.store, cut.peers, forgotten, cut.bound) })
+		for _, historyDropped := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, history dropped %t", partition.name, historyDropped), func(t *testing.T) {
+				for range recoveryRuns {
+					synctest.Test(t, func(t *testing.T) { runPartition(t, partition.store, partition.peers, historyDropped, partition.bound) })
 				}
 			})
 		}
 	}
 }
 
-// playCut writes during a cut and checks that all nodes know of it in time once the cut has ended.
-func playCut(t *testing.T, store func(node int) bool, peers func(from, to int) bool, forgotten bool, bound time.Duration) {
+// runPartition writes during a partition and checks that all nodes have the changes in time after its end.
+func runPartition(t *testing.T, store func(node int) bool, peers func(from, to int) bool, historyDropped bool, bound time.Duration) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	world := newRecoveryWorld(ctx, recoveryNodes)
+	c := newRecoveryCluster(ctx, recoveryNodes)
 	time.Sleep(10 * time.Second)
-	is.New(t).Equal(len(world.behind()), 0)
-	world.network.set(store, peers)
-	time.Sleep(cutLength / 2)
-	for _, kind := range world.kinds {
+	is.New(t).Equal(len(c.behind()), 0)
+	c.network.set(store, peers)
+	time.Sleep(partitionLength / 2)
+	for _, kind := range c.kinds {
 		kind.write()
-		if forgotten {
-			kind.forget()
+		if historyDropped {
+			kind.dropHistory()
 		}
 	}
-	time.Sleep(cutLength / 2)
-	world.network.set(nil, nil)
+	time.Sleep(partitionLength / 2)
+	c.network.set(nil, nil)
 	time.Sleep(bound)
-	is.New(t).Equal(world.behind(), nil)
+	is.New(t).Equal(c.behind(), nil)
 }
 
-// Guards against nodes without a way to the store that ask the same few others of these again and again, and
-// never come to one that hears of it: they know within contactBound what is written meanwhile.
-func TestNodesCutOffFromTheStoreFindOneThatHearsOfIt(t *testing.T) {
+// Guards against nodes cut off from the store that keep asking the same few others, which are cut off too, and
+// never reach a connected one: they must have new changes within contactBound.
+func TestNodesCutOffFromStoreFindConnectedNode(t *testing.T) {
 	const contactBound = 10 * time.Second
 	for _, count := range []int{20, 60, 200} {
 		t.Run(fmt.Sprint(count, " nodes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				world := newRecoveryWorld(ctx, count)
+				c := newRecoveryCluster(ctx, count)
 				reached := make(map[int]bool)
-				for _, member := range world.nodes[0].selector.region[count/2:] {
-					reached[world.byAddress(member.Address).number] = true
+				for _, member := range c.nodes[0].selector.region[count/2:] {
+					reached[c.byAddress(member.Address).number] = true
 				}
 				time.Sleep(10 * time.Second)
-				world.network.set(func(node int) bool { return reached[node] }, nil)
-				time.Sleep(cutLength / 2)
-				for _, kind := range world.kinds {
+				c.network.set(func(node int) bool { return reached[node] }, nil)
+				time.Sleep(partitionLength / 2)
+				for _, kind := range c.kinds {
 					kind.write()
 				}
 				time.Sleep(contactBound)
-				is.New(t).Equal(len(world.behind()), 0)
+				is.New(t).Equal(len(c.behind()), 0)
 			})
 		})
 	}
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -15,18 +15,18 @@
 
 const (
 	rolloutsPath = "/v1/rollouts"
-	// maximumReportBytes bounds a report and its answer: a few hundred orders of a hundred
-	// routes each.
-	maximumReportBytes = 4 << 20
-	// reportConnections bounds the connections that carry reports to one node.
+	// maxMessageBytes bounds a message and its answer; reports hold up to a few hundred orders
+	// of a hundred routes each.
+	maxMessageBytes = 4 << 20
+	// reportConnections bounds the connections for messages to one node.
 	reportConnections = 2
-	// reportIdle is how long a node that gets no more reports keeps its client.
-	reportIdle = 30 * time.Second
+	// clientIdleTimeout is how long the client for a node is kept without messages.
+	clientIdleTimeout = 30 * time.Second
 )
 
-// ReportServer answers the reports of other nodes.
+// ReportServer receives the rollout reports of other nodes.
 type ReportServer struct {
-	// Take takes a report in; nil where there are no roll-outs.
+	// Take handles a report; nil if rollouts are disabled.
 	Take func(rollout.Report) ([]rollout.Ruling, error)
 }
 
@@ -56,24 +56,24 @@
 	writeBody(ctx, compress(encoded))
 }
 
-// decodeMessage reads what another node has posted.
+// decodeMessage decodes the JSON body of a request of another node.
 func decodeMessage(request *fasthttp.Request, message any) error {
-	body, err := request.BodyUncompressedWithLimit(maximumReportBytes)
+	body, err := request.BodyUncompressedWithLimit(maxMessageBytes)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(body, message)
 }
 
-// ReportClient sends reports to other nodes over connections that it keeps. The zero
-// value is ready. It is safe for concurrent use.
+// ReportClient sends rollout reports and other messages to other nodes over persistent
+// connections. The zero value is ready to use. It is safe for concurrent use.
 type ReportClient struct {
 	mutex   sync.Mutex
-	clients map[string]*reportTarget
+	clients map[string]*messageTarget
 }
 
-// reportTarget is a node that gets reports.
-type reportTarget struct {
+// messageTarget is a node that receives messages.
+type messageTarget struct {
 	client *fasthttp.HostClient
 	usedAt time.Time
 }
@@ -85,10 +85,10 @@
 	return rulings, err
 }
 
-// post hands a message to the node at the address and decodes its answer.
+// post sends a message to the node at the address and decodes the response.
 func (c *ReportClient) post(ctx context.Context, address, path string, message, answer any) error {
-	deadline, bounded := ctx.Deadline()
-	if !bounded {
+	deadline, ok := ctx.Deadline()
+	if !ok {
 		return errors.New("a message to another node needs a deadline")
 	}
 	encoded, err := json.Marshal(message)
@@ -105,31 +105,31 @@
 		return err
 	}
 	if status := response.StatusCode(); status != fasthttp.StatusOK {
-		return errors.Newf("the node answered %d", status)
+		return errors.Newf("the node returned status %d", status)
 	}
-	body, err := response.BodyUncompressedWithLimit(maximumReportBytes)
+	body, err := response.BodyUncompressedWithLimit(maxMessageBytes)
 	if err != nil {
 		return err
 	}
 	return json.Unmarshal(body, answer)
 }
 
-// client returns the client for an address, and forgets those that are not used.
+// client returns the client for an address, and closes idle ones.
 func (c *ReportClient) client(address string, now time.Time) *fasthttp.HostClient {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for known, target := range c.clients {
-		if known != address && now.Sub(target.usedAt) > reportIdle {
+	for key, target := range c.clients {
+		if key != address && now.Sub(target.usedAt) > clientIdleTimeout {
 			target.client.CloseIdleConnections()
-			delete(c.clients, known)
+			delete(c.clients, key)
 		}
 	}
 	target := c.clients[address]
 	if target == nil {
-		target = &reportTarget{client: newClient(address, reportConnections)}
-		target.client.MaxIdleConnDuration = linkIdle
+		target = &messageTarget{client: newClient(address, reportConnections)}
+		target.client.MaxIdleConnDuration = connectionIdleTimeout
 		if c.clients == nil {
-			c.clients = make(map[string]*reportTarget)
+			c.clients = make(map[string]*messageTarget)
 		}
 		c.clients[address] = target
 	}
--- a/internal/peers/reports_test.go
+++ b/internal/peers/reports_test.go
@@ -13,7 +13,7 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// serveReports starts a server that takes reports and returns its address.
+// serveReports starts a server that receives reports and returns its address.
 func serveReports(t *testing.T, take func(rollout.Report) ([]rollout.Ruling, error)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -31,7 +31,7 @@
 	return client.Send(ctx, address, report)
 }
 
-// reportOf returns a report of so many orders.
+// reportOf returns a report with the given number of orders.
 func reportOf(orders int) rollout.Report {
 	report := rollout.Report{Node: "node-1", Process: 1 << 63, Sequence: 7}
 	for index := range orders {
@@ -47,8 +47,8 @@
 	return report
 }
 
-// Reports and rulings arrive as they were sent, large ones too.
-func TestReportsAreTakenAndAnswered(t *testing.T) {
+// Reports and their responses are delivered unchanged, including large ones.
+func TestReportsAreDeliveredAndAnswered(t *testing.T) {
 	for _, orders := range []int{0, 1, 200} {
 		t.Run(fmt.Sprint(orders), func(t *testing.T) {
 			is := is.New(t)
@@ -88,13 +88,13 @@
 	is.True(err != nil) // no deadline
 }
 
-// Clients of nodes that get no more reports are forgotten.
-func TestReportClientsAreForgotten(t *testing.T) {
+// Clients of nodes that receive no more reports are dropped.
+func TestIdleClientsAreDropped(t *testing.T) {
 	is := is.New(t)
 	var client ReportClient
 	now := time.Now()
 	first := client.client("first:1", now)
 	is.Equal(client.client("first:1", now), first)
-	client.client("second:1", now.Add(reportIdle+time.Second))
+	client.client("second:1", now.Add(clientIdleTimeout+time.Second))
 	is.Equal(len(client.clients), 1)
 }
--- a/internal/peers/retries.go
+++ b/internal/peers/retries.go
@@ -13,10 +13,10 @@
 
 const retriesPath = "/v1/retries"
 
-// RetryServer grants extra sends to the nodes that share this one's pool.
+// RetryServer grants retries to the nodes that share the retry budget of this one.
 type RetryServer struct {
 	Pool *retrybudget.Pool
-	// Now is the clock by which grants run out; it goes on while the machine is suspended.
+	// Now is the clock for the expiry of grants; it advances while the machine is suspended.
 	Now func() time.Time
 }
 
@@ -37,7 +37,7 @@
 	writeBody(ctx, compress(encoded))
 }
 
-// AskRetries asks the node at the address (IP:port) for extra sends.
+// AskRetries requests retries from the budget of the node at the address (IP:port).
 func (c *ReportClient) AskRetries(ctx context.Context, address string, wants retrybudget.Wants) (retrybudget.Wants, error) {
 	var granted retrybudget.Wants
 	err := c.post(ctx, address, retriesPath, wants, &granted)
--- a/internal/peers/search.go
+++ b/internal/peers/search.go
@@ -9,85 +9,86 @@
 )
 
 const (
-	// searchInterval is the time between two questions: the way back is found within
-	// it, a round trip and a new connection. Further questions do not wait for answers
-	// that may never come.
-	searchInterval = 250 * time.Millisecond
-	// searchRest is the pause after an answer that is no sign: nodes that are reached and
-	// not in touch either will hardly be so at once.
-	searchRest = 700 * time.Millisecond
-	// silenceOfCut is how many questions in a row have to remain without answer for the
-	// next answer to show that this node itself was cut off.
-	silenceOfCut = 3
-	// firstSignPause is how long a further sign of the same sort is not taken for one. It
-	// doubles with each until the node hears something of the store, up to longestSignPause:
-	// a store that turns this node alone away is not called more often for it, nor
-	// one that is away for nodes that were cut off together.
-	firstSignPause   = 2 * time.Second
-	longestSignPause = 30 * time.Second
+	// probeInterval is the time between two probes: recovery is detected within this interval
+	// plus a round trip and a new connection. Probes do not wait for the responses to earlier
+	// ones, which may never arrive.
+	probeInterval = 250 * time.Millisecond
+	// probeBackoff is the delay after a response that does not indicate recovery: a reachable
+	// node that is not connected to the store either will hardly be so immediately.
+	probeBackoff = 700 * time.Millisecond
+	// minUnanswered is how many consecutive probes must stay unanswered for the next response
+	// to show that this node itself was cut off.
+	minUnanswered = 3
+	// initialSignalBackoff is how long further recovery signals of the same kind are ignored. It
+	// doubles with each signal until the store answers, up to maxSignalBackoff: such signals must
+	// not cause more calls to a store that rejects only this node, or that cannot be reached by a
+	// group of nodes that were cut off together.
+	initialSignalBackoff = 2 * time.Second
+	maxSignalBackoff     = 30 * time.Second
 )
 
-// Search asks other nodes, one after the other, while this one hears nothing of the store,
-// for a sign that the way to it is back: an answer after silence, or a node that is in
-// touch with the store. Questions to other nodes are cheap, calls to the store are not.
+// Search probes other nodes, one after the other, while the store does not answer this node.
+// It looks for a signal that the store can be reached again: a response after several unanswered
+// probes, or a node that is connected to the store. Probes are cheap, calls to the store are not.
 type Search struct {
 	Selector *Selector
-	// Lost reports whether nothing has been heard of the store for a while.
+	// Lost reports whether the store has not answered for some time.
 	Lost func(now time.Time) bool
-	// Found is told of a sign.
+	// Found is called on a recovery signal.
 	Found func(now time.Time)
-	// ask replaces askContact in tests.
+	// ask replaces askConnected in tests.
 	ask func(address string) (bool, error)
 
 	mutex sync.Mutex
-	// silent is how many questions in a row had no answer.
-	silent int
-	// restUntil is when the next question is due after an answer that is no sign.
-	restUntil time.Time
-	// answers are signs by an answer after silence, contacts those by a node in touch.
-	answers, contacts signs
+	// unanswered is the number of consecutive probes without a response.
+	unanswered int
+	// backoffUntil is when the next probe is due after a response that does not indicate recovery.
+	backoffUntil time.Time
+	// responses limits signals by a response after unanswered probes, connections those by a node
+	// that is connected to the store.
+	responses, connections signalLimiter
 }
 
-// signs are signs of one sort.
-type signs struct {
-	pause time.Duration
-	until time.Time
+// signalLimiter limits recovery signals of one kind by an exponential backoff.
+type signalLimiter struct {
+	backoff time.Duration
+	until   time.Time
 }
 
-// take reports whether a sign counts, or comes too soon after the one before.
-func (s *signs) take(now time.Time) bool {
+// allow reports whether a signal counts, or follows the previous one too soon.
+func (s *signalLimiter) allow(now time.Time) bool {
 	if now.Before(s.until) {
 		return false
 	}
-	s.pause = min(max(2*s.pause, firstSignPause), longestSignPause)
-	s.until = now.Add(s.pause)
+	s.backoff = min(max(2*s.backoff, initialSignalBackoff), maxSignalBackoff)
+	s.until = now.Add(s.backoff)
 	return true
 }
 
-// Run searches whenever that is due, until ctx ends.
+// Run probes other nodes while the store is lost, until ctx is done.
 func (s *Search) Run(ctx context.Context) {
 	if s.ask == nil {
-		s.ask = askContact
+		s.ask = askConnected
 	}
-	ticker := time.NewTicker(searchInterval)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.step(now)
+			s.probe(now)
 		}
 	}
 }
 
-// step asks one node if that is due.
-func (s *Search) step(now time.Time) {
+// probe probes one node if that is due.
+func (s *Search) probe(now time.Time) {
 	if !s.Lost(now) {
 		s.reset()
 		return
 	}
-	if s.rests(now) {
+	if s.backingOff(now) {
 		return
 	}
 	member, found := s.Selector.Distant()
@@ -95,12 +96,12 @@
 		return
 	}
 	go func() {
-		inTouch, err := s.ask(member.Address)
-		if inTouch {
+		connected, err := s.ask(member.Address)
+		if connected {
 			s.Selector.Prefer(member.Name)
 		}
-		if s.isSign(inTouch, err, time.Now()) {
-			klog.InfoS("way to the store may be back", "peer", member.Name, "in_touch", inTouch)
+		if s.isSignal(connected, err, time.Now()) {
+			klog.InfoS("way to the store may be back", "peer", member.Name, "in_touch", connected)
 			s.Selector.Forgive()
 			s.Found(time.Now())
 		}
@@ -110,29 +111,29 @@
 func (s *Search) reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silent, s.restUntil = 0, time.Time{}
-	s.answers, s.contacts = signs{}, signs{}
+	s.unanswered, s.backoffUntil = 0, time.Time{}
+	s.responses, s.connections = signalLimiter{}, signalLimiter{}
 }
 
-func (s *Search) rests(now time.Time) bool {
+func (s *Search) backingOff(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return now.Before(s.restUntil)
+	return now.Before(s.backoffUntil)
 }
 
-// isSign reports whether what came of a question is a sign that the way is back.
-func (s *Search) isSign(inTouch bool, err error, now time.Time) bool {
+// isSignal reports whether the result of a probe indicates that the store can be reached again.
+func (s *Search) isSignal(connected bool, err error, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err != nil {
-		s.silent++
+		s.unanswered++
 		return false
 	}
-	wasCut := s.silent >= silenceOfCut
-	s.silent = 0
-	if inTouch {
-		return s.contacts.take(now)
+	wasCutOff := s.unanswered >= minUnanswered
+	s.unanswered = 0
+	if connected {
+		return s.connections.allow(now)
 	}
-	s.restUntil = now.Add(searchRest)
-	return wasCut && s.answers.take(now)
+	s.backoffUntil = now.Add(probeBackoff)
+	return wasCutOff && s.responses.allow(now)
 }
--- a/internal/peers/search_test.go
+++ b/internal/peers/search_test.go
@@ -15,140 +15,140 @@
 	"github.com/driftstage/driftstage/internal/members"
 )
 
-// searched is what a search meets.
-type searched struct {
-	mutex    sync.Mutex
-	lost     bool
-	silent   bool
-	inTouch  bool
-	asked    int
-	found    int
-	selector *Selector
+// searchEnvironment simulates the peers and the store state that a search observes.
+type searchEnvironment struct {
+	mutex     sync.Mutex
+	lost      bool
+	silent    bool
+	connected bool
+	probes    int
+	signals   int
+	selector  *Selector
 }
 
-func (s *searched) set(change func()) {
+func (s *searchEnvironment) set(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change()
 }
 
-func (s *searched) ask(string) (bool, error) {
+func (s *searchEnvironment) ask(string) (bool, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asked++
+	s.probes++
 	if s.silent {
 		return false, errors.New("silent")
 	}
-	return s.inTouch, nil
+	return s.connected, nil
 }
 
-// searching runs a search among twenty nodes.
-func searching(t *testing.T, test func(is *is.I, met *searched)) {
+// runSearch runs a test with a search among twenty nodes.
+func runSearch(t *testing.T, test func(is *is.I, env *searchEnvironment)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		all := nodes("near", 20)
-		met := &searched{selector: NewSelector(all[0], inRegion)}
-		met.selector.SetMembers(all)
+		env := &searchEnvironment{selector: NewSelector(all[0], inRegion)}
+		env.selector.SetMembers(all)
 		search := Search{
-			Selector: met.selector,
+			Selector: env.selector,
 			Lost: func(time.Time) (lost bool) {
-				met.set(func() { lost = met.lost })
+				env.set(func() { lost = env.lost })
 				return lost
 			},
-			Found: func(time.Time) { met.set(func() { met.found++ }) },
-			ask:   met.ask,
+			Found: func(time.Time) { env.set(func() { env.signals++ }) },
+			ask:   env.ask,
 		}
 		go search.Run(ctx)
-		test(is.New(t), met)
+		test(is.New(t), env)
 	})
 }
 
-func TestNobodyIsAskedWhileTheNodeIsInTouch(t *testing.T) {
-	searching(t, func(is *is.I, met *searched) {
+func TestNoProbesWhileConnected(t *testing.T) {
+	runSearch(t, func(is *is.I, env *searchEnvironment) {
 		time.Sleep(time.Minute)
-		met.set(func() { is.Equal(met.asked, 0) })
+		env.set(func() { is.Equal(env.probes, 0) })
 	})
 }
 
-func TestAnswerAfterSilenceIsASign(t *testing.T) {
-	searching(t, func(is *is.I, met *searched) {
-		met.set(func() { met.lost, met.silent = true, true })
-		met.selector.Failed("near-node-1", time.Now())
+func TestResponseAfterUnansweredProbesIsSignal(t *testing.T) {
+	runSearch(t, func(is *is.I, env *searchEnvironment) {
+		env.set(func() { env.lost, env.silent = true, true })
+		env.selector.Failed("near-node-1", time.Now())
 		time.Sleep(12 * time.Second)
-		met.set(func() {
-			is.Equal(met.found, 0)
-			met.silent = false
+		env.set(func() {
+			is.Equal(env.signals, 0)
+			env.silent = false
 		})
-		time.Sleep(searchInterval + time.Millisecond)
-		met.set(func() { is.Equal(met.found, 1) })
-		is.Equal(len(met.selector.avoided), 0) // all get a new chance
+		time.Sleep(probeInterval + time.Millisecond)
+		env.set(func() { is.Equal(env.signals, 1) })
+		is.Equal(len(env.selector.avoided), 0) // the avoidance was cleared
 		time.Sleep(time.Minute)
-		met.set(func() { is.Equal(met.found, 1) }) // further answers say nothing new
+		env.set(func() { is.Equal(env.signals, 1) }) // further answers are no signal
 	})
 }
 
-// While the store is away for all, the others answer that they hear nothing either: it
-// is not called more often for that.
-func TestOthersThatAreNotInTouchAreNoSign(t *testing.T) {
-	searching(t, func(is *is.I, met *searched) {
-		met.set(func() { met.lost = true })
+// While the store is down for all nodes, the others answer that they are not connected either.
+// That must not cause more calls to the store.
+func TestUnconnectedPeersAreNoSignal(t *testing.T) {
+	runSearch(t, func(is *is.I, env *searchEnvironment) {
+		env.set(func() { env.lost = true })
 		time.Sleep(time.Minute)
-		met.set(func() {
-			is.Equal(met.found, 0)
-			is.True(met.asked <= int(time.Minute/searchRest)) // and they are asked less often
+		env.set(func() {
+			is.Equal(env.signals, 0)
+			is.True(env.probes <= int(time.Minute/probeBackoff)) // and the nodes are probed less often
 		})
 	})
 }
 
-func TestNodeInTouchIsASign(t *testing.T) {
-	searching(t, func(is *is.I, met *searched) {
-		met.set(func() { met.lost = true })
+func TestConnectedPeerIsSignal(t *testing.T) {
+	runSearch(t, func(is *is.I, env *searchEnvironment) {
+		env.set(func() { env.lost = true })
 		time.Sleep(10 * time.Second)
-		met.set(func() { met.inTouch = true })
-		time.Sleep(searchRest + searchInterval)
-		met.set(func() { is.Equal(met.found, 1) })
+		env.set(func() { env.connected = true })
+		time.Sleep(probeBackoff + probeInterval)
+		env.set(func() { is.Equal(env.signals, 1) })
 	})
 }
 
-// Nodes that were cut off together reach each other now and then: that does not hide the
-// sign that counts.
-func TestAnswersOfNodesThatAreCutOffTooHideNothing(t *testing.T) {
-	searching(t, func(is *is.I, met *searched) {
-		met.set(func() { met.lost, met.silent = true, true })
+// Nodes that were cut off together reach each other from time to time. These responses must not
+// suppress the signal of a node that is connected to the store.
+func TestResponsesOfCutOffPeersDoNotSuppressSignal(t *testing.T) {
+	runSearch(t, func(is *is.I, env *searchEnvironment) {
+		env.set(func() { env.lost, env.silent = true, true })
 		for range 6 {
-			time.Sleep(silenceOfCut * searchInterval)
-			met.set(func() { met.silent = false })
-			time.Sleep(searchInterval)
-			met.set(func() { met.silent = true })
+			time.Sleep(minUnanswered * probeInterval)
+			env.set(func() { env.silent = false })
+			time.Sleep(probeInterval)
+			env.set(func() { env.silent = true })
 		}
-		met.set(func() {
-			is.True(met.found <= 3) // 2 s, 4 s
-			met.found, met.silent, met.inTouch = 0, false, true
+		env.set(func() {
+			is.True(env.signals <= 3) // 2 s, 4 s
+			env.signals, env.silent, env.connected = 0, false, true
 		})
-		time.Sleep(searchRest + searchInterval)
-		met.set(func() { is.Equal(met.found, 1) })
+		time.Sleep(probeBackoff + probeInterval)
+		env.set(func() { is.Equal(env.signals, 1) })
 	})
 }
 
-// A store that turns away this node alone is not called much more often because others
-// are in touch with it.
-func TestSignsThatDoNotHelpBecomeRare(t *testing.T) {
-	searching(t, func(is *is.I, met *searched) {
-		met.set(func() { met.lost, met.inTouch = true, true })
+// A store that rejects only this node must not be called much more often because other nodes
+// are connected to it.
+func TestIneffectiveSignalsBackOff(t *testing.T) {
+	runSearch(t, func(is *is.I, env *searchEnvironment) {
+		env.set(func() { env.lost, env.connected = true, true })
 		time.Sleep(4 * time.Minute)
-		met.set(func() {
-			is.True(met.found <= 12) // 2, 4, 8, 16 s, then each 30 s
-			met.lost = false
+		env.set(func() {
+			is.True(env.signals <= 12) // after 2, 4, 8, 16 s, then every 30 s
+			env.lost = false
 		})
 		time.Sleep(time.Second)
-		met.set(func() { met.lost, met.found = true, 0 })
-		time.Sleep(searchInterval + time.Millisecond)
-		met.set(func() { is.Equal(met.found, 1) }) // at once in another outage
+		env.set(func() { env.lost, env.signals = true, 0 })
+		time.Sleep(probeInterval + time.Millisecond)
+		env.set(func() { is.Equal(env.signals, 1) }) // immediately in another outage
 	})
 }
 
-func TestNodesOfOtherZonesAreAskedForContact(t *testing.T) {
+func TestPeersOfOtherZonesAreProbed(t *testing.T) {
 	is := is.New(t)
 	own := members.Member{Name: "own", Zone: "near-1"}
 	s := NewSelector(own, inRegion)
@@ -166,34 +166,33 @@
 	}
 }
 
-// The question for contact does not make a node one that is followed: it would read the
-// store more often.
-func TestContactIsToldToOthers(t *testing.T) {
+// A probe must not make a node count as followed: it would then read the store more often.
+func TestStoreStatusIsServed(t *testing.T) {
 	is := is.New(t)
 	var mutex sync.Mutex
-	inTouch := false
+	connected := false
 	link := NewLink("kind", PlainCodec[endpoints.Server]{}, NewSelector(members.Member{}, inRegion))
 	contact := Contact{InTouch: func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return inTouch
+		return connected
 	}}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
 	server := NewServer(Asker{}, func() (Snapshot, bool) { return Snapshot{}, false }, link, contact)
 	go func() { _ = server.Serve(listener) }()
-	got, err := askContact(listener.Addr().String())
+	got, err := askConnected(listener.Addr().String())
 	is.NoErr(err)
 	is.True(!got)
 	mutex.Lock()
-	inTouch = true
+	connected = true
 	mutex.Unlock()
-	got, err = askContact(listener.Addr().String())
+	got, err = askConnected(listener.Addr().String())
 	is.NoErr(err)
 	is.True(got)
 	is.True(!link.Followed())
 	listener.Close()
-	_, err = askContact(listener.Addr().String())
+	_, err = askConnected(listener.Addr().String())
 	is.True(err != nil)
 }
--- a/internal/peers/selector.go
+++ b/internal/peers/selector.go
@@ -15,54 +15,54 @@
 )
 
 const (
-	// relayNodes is the least number of nodes in a region from which some read the
-	// store for all: with fewer, their calls cost little.
-	relayNodes = 8
-	// readerNodes is how many nodes of a region share a reader.
-	readerNodes = 48
-	// firstAvoidance is how long a node that did not answer is not asked; it
-	// doubles up to longestAvoidance.
-	firstAvoidance   = 2 * time.Second
-	longestAvoidance = time.Minute
-	// refusalAvoidance takes their place for a node that answers and has heard nothing of the store lately.
-	refusalAvoidance = 600 * time.Millisecond
-	// storeAvoidance is how long other nodes are followed after the store failed: until
-	// it is called again at the latest.
+	// minRelayNodes is the minimum number of nodes in a region for some of them to read the
+	// store for all: with fewer nodes, their calls cost little.
+	minRelayNodes = 8
+	// nodesPerReader is the number of nodes in a region that share a reader.
+	nodesPerReader = 48
+	// initialAvoidance is how long a node that did not answer is avoided; it doubles with
+	// each failure, up to maxAvoidance.
+	initialAvoidance = 2 * time.Second
+	maxAvoidance     = time.Minute
+	// staleAvoidance is how long a node that answers but has no recent data is avoided.
+	staleAvoidance = 600 * time.Millisecond
+	// storeAvoidance is how long other nodes are followed after the store failed; the store
+	// is called again by then at the latest.
 	storeAvoidance = 3 * time.Second
 )
 
-// avoidance is a node that did not answer.
+// avoidance is the backoff of a node that did not answer.
 type avoidance struct {
 	until  time.Time
 	length time.Duration
 }
 
-// Selector picks the node that this one follows in place of the store. All nodes
-// of a region order its members alike; the first ones read the store, the others
-// follow one of these. A node that does not answer is passed over, so that the
-// next one in order reads. It does no I/O and reads no clock; it is safe for
+// Selector picks the node that this one follows instead of reading from the store. All
+// nodes of a region sort its members in the same order; the first ones read from the store,
+// the others follow one of these. A node that does not answer is skipped, so that the next
+// one in order becomes a reader. Selector does no I/O and reads no clock; it is safe for
 // concurrent use.
 type Selector struct {
-	own  members.Member
-	near func(zone string) bool
+	self       members.Member
+	sameRegion func(zone string) bool
 
 	mutex sync.Mutex
-	// region are the live members of the own region, others all besides, both in
-	// the common order.
+	// region are the live members of this node's region, others those of other regions, both
+	// in the common order.
 	region, others []members.Member
 	avoided        map[string]avoidance
 	storeFailedAt  time.Time
-	// preferred is a node that was in touch with the store lately; empty for none.
+	// preferred is a node that was recently connected to the store; empty for none.
 	preferred string
 }
 
-// NewSelector returns a selector that knows no other node; near reports whether a
-// zone is in the own region.
-func NewSelector(own members.Member, near func(zone string) bool) *Selector {
-	return &Selector{own: own, near: near, avoided: make(map[string]avoidance)}
+// NewSelector returns a selector without members; sameRegion reports whether a zone is in this
+// node's region.
+func NewSelector(self members.Member, sameRegion func(zone string) bool) *Selector {
+	return &Selector{self: self, sameRegion: sameRegion, avoided: make(map[string]avoidance)}
 }
 
-// SetMembers replaces the live members, this node included or not.
+// SetMembers replaces the live members, which may include this node.
 func (s *Selector) SetMembers(live []members.Member) {
 	ordered := slices.Clone(live)
 	slices.SortFunc(ordered, func(a, b members.Member) int {
@@ -73,8 +73,8 @@
 	s.region, s.others = nil, nil
 	for _, member := range ordered {
 		switch {
-		case member.Address == "" && member.Name != s.own.Name:
-		case s.near(member.Zone):
+		case member.Address == "" && member.Name != s.self.Name:
+		case s.sameRegion(member.Zone):
 			s.region = append(s.region, member)
 		default:
 			s.others = append(s.others, member)
@@ -82,18 +82,18 @@
 	}
 }
 
-// Pick returns the node to follow; false if the store is to be asked.
+// Pick returns the node to follow; false if the store is to be read.
 func (s *Selector) Pick(now time.Time) (members.Member, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.storeFails(now) {
-		return s.anyone(now)
+		return s.fallback(now)
 	}
 	return s.relay(now)
 }
 
-// Next returns the node to follow after the one that was followed last: that one again as long as the store
-// does not answer, else as Pick.
+// Next returns the node to follow next: while the store fails, the one followed last if it is not avoided;
+// otherwise the one returned by Pick.
 func (s *Selector) Next(followed string, now time.Time) (members.Member, bool) {
 	if member, found := s.Again(followed, now); found {
 		return member, true
@@ -101,9 +101,9 @@
 	return s.Pick(now)
 }
 
-// relay returns the reader that this node follows while the store answers; false if it reads for itself.
+// relay returns the reader that this node follows while the store answers; false if it reads from the store.
 func (s *Selector) relay(now time.Time) (members.Member, bool) {
-	if len(s.region) < relayNodes {
+	if len(s.region) < minRelayNodes {
 		return members.Member{}, false
 	}
 	return s.reader(now)
@@ -115,31 +115,31 @@
 	count := readerCount(len(s.region))
 	readers := make([]members.Member, 0, count)
 	for _, member := range s.region {
-		if member.Name == s.own.Name {
+		if member.Name == s.self.Name {
 			return members.Member{}, false
 		}
 		if !s.avoids(member, now) {
 			readers = append(readers, member)
 		}
 		if len(readers) == count {
-			return readers[xxhash.Sum64String(s.own.Name)%uint64(count)], true
+			return readers[xxhash.Sum64String(s.self.Name)%uint64(count)], true
 		}
 	}
 	return members.Member{}, false
 }
 
-// readerCount returns how many of so many nodes read the store.
-func readerCount(nodes int) int { return 1 + nodes/readerNodes }
+// readerCount returns how many of the given number of nodes read from the store.
+func readerCount(nodes int) int { return 1 + nodes/nodesPerReader }
 
-// Reads reports whether this node reads the store for others.
+// Reads reports whether this node reads from the store for others.
 func (s *Selector) Reads() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.region) < relayNodes {
+	if len(s.region) < minRelayNodes {
 		return false
 	}
 	first := s.region[:readerCount(len(s.region))]
-	return slices.ContainsFunc(first, func(member members.Member) bool { return member.Name == s.own.Name })
+	return slices.ContainsFunc(first, func(member members.Member) bool { return member.Name == s.self.Name })
 }
 
 // Follows reports whether this node follows a reader of its region while the store answers.
@@ -150,7 +150,7 @@
 	return found
 }
 
-// Holder returns the node that keeps the pool of retries of this one; false if that is this
+// Holder returns the node that manages the retry budget of this one; false if that is this
 // node itself.
 func (s *Selector) Holder(now time.Time) (members.Member, bool) {
 	s.mutex.Lock()
@@ -158,11 +158,10 @@
 	return s.reader(now)
 }
 
-// anyone returns a node to follow while the store does not answer this one: one that is known to be in
-// touch with it, else one of those that read it, each node another first, so that all of them together
-// do not turn to the same one, else any.
-func (s *Selector) anyone(now time.Time) (members.Member, bool) {
-	if member, found := s.named(s.preferred, now); found {
+// fallback returns a node to follow while the store does not answer this one: the preferred one, else one
+// of the readers, else any. Nodes start with different readers, so that they do not all follow the same one.
+func (s *Selector) fallback(now time.Time) (members.Member, bool) {
+	if member, found := s.byName(s.preferred, now); found {
 		return member, true
 	}
 	for _, group := range [][]members.Member{s.region, s.others} {
@@ -170,42 +169,42 @@
 			continue
 		}
 		readers := readerCount(len(group))
-		first := int(xxhash.Sum64String(s.own.Name) % uint64(readers))
-		if free := s.free(slices.Concat(group[first:readers], group[:first]), now); len(free) > 0 {
-			return free[0], true
+		first := int(xxhash.Sum64String(s.self.Name) % uint64(readers))
+		if available := s.available(slices.Concat(group[first:readers], group[:first]), now); len(available) > 0 {
+			return available[0], true
 		}
-		if others := s.free(group[readers:], now); len(others) > 0 {
+		if others := s.available(group[readers:], now); len(others) > 0 {
 			return others[rand.IntN(len(others))], true
 		}
 	}
 	return members.Member{}, false
 }
 
-// free returns the other ones of the members that may be asked now.
-func (s *Selector) free(of []members.Member, now time.Time) []members.Member {
-	free := make([]members.Member, 0, len(of))
-	for _, member := range of {
-		if member.Name != s.own.Name && !s.avoids(member, now) {
-			free = append(free, member)
+// available returns those of the members that are neither avoided nor this node.
+func (s *Selector) available(candidates []members.Member, now time.Time) []members.Member {
+	available := make([]members.Member, 0, len(candidates))
+	for _, member := range candidates {
+		if member.Name != s.self.Name && !s.avoids(member, now) {
+			available = append(available, member)
 		}
 	}
-	return free
+	return available
 }
 
-// Again returns the node of the name if the store does not answer this one, and if the
-// other may be followed still.
+// Again returns the node of the given name if the store does not answer this one and that
+// node may still be followed.
 func (s *Selector) Again(name string, now time.Time) (members.Member, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.storeFails(now) {
 		return members.Member{}, false
 	}
-	return s.named(name, now)
+	return s.byName(name, now)
 }
 
-// named returns another node by its name, if it may be followed.
-func (s *Selector) named(name string, now time.Time) (members.Member, bool) {
-	if name == "" || name == s.own.Name {
+// byName returns another node by its name, if it may be followed.
+func (s *Selector) byName(name string, now time.Time) (members.Member, bool) {
+	if name == "" || name == s.self.Name {
 		return members.Member{}, false
 	}
 	for _, member := range slices.Concat(s.region, s.others) {
@@ -216,8 +215,8 @@
 	return members.Member{}, false
 }
 
-// Prefer is told of a node that is in touch with the store. Where many are not, the order by which others are
-// asked may not come to one that is.
+// Prefer sets a node that is connected to the store. If many nodes are not connected, trying them in order
+// may not reach one that is.
 func (s *Selector) Prefer(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -228,90 +227,90 @@
 	return now.Before(s.avoided[member.Name].until)
 }
 
-// Others returns the other live members that have an address, those of the own region first.
+// Others returns the other live members that have an address, those of this node's region first.
 func (s *Selector) Others() []members.Member {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return slices.DeleteFunc(slices.Concat(s.region, s.others), func(member members.Member) bool { return member.Name == s.own.Name })
+	return slices.DeleteFunc(slices.Concat(s.region, s.others), func(member members.Member) bool { return member.Name == s.self.Name })
 }
 
-// Distant returns any other node, of another zone if there is one: the nodes of a zone are
-// often cut off together.
+// Distant returns a random other node, in another zone if there is one: the nodes of a zone
+// are often cut off together.
 func (s *Selector) Distant() (members.Member, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	var zone, elsewhere []members.Member
+	var sameZone, otherZones []members.Member
 	for _, member := range slices.Concat(s.region, s.others) {
 		switch {
-		case member.Name == s.own.Name:
-		case member.Zone == s.own.Zone:
-			zone = append(zone, member)
+		case member.Name == s.self.Name:
+		case member.Zone == s.self.Zone:
+			sameZone = append(sameZone, member)
 		default:
-			elsewhere = append(elsewhere, member)
+			otherZones = append(otherZones, member)
 		}
 	}
-	if len(elsewhere) == 0 {
-		elsewhere = zone
+	if len(otherZones) == 0 {
+		otherZones = sameZone
 	}
-	if len(elsewhere) == 0 {
+	if len(otherZones) == 0 {
 		return members.Member{}, false
 	}
-	return elsewhere[rand.IntN(len(elsewhere))], true
+	return otherZones[rand.IntN(len(otherZones))], true
 }
 
-// Forgive lets nodes be followed again that did not answer.
+// Forgive clears the avoidance of all nodes.
 func (s *Selector) Forgive() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	clear(s.avoided)
 }
 
-// StoreFailed makes the node follow any other for a while.
+// StoreFailed records a failure of the store; for storeAvoidance, other nodes are followed.
 func (s *Selector) StoreFailed(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.storeFailedAt = now
 }
 
-// storeFails reports whether the store has failed lately.
+// storeFails reports whether the store has failed recently.
 func (s *Selector) storeFails(now time.Time) bool {
 	return now.Sub(s.storeFailedAt) < storeAvoidance
 }
 
-// Judge takes in how a question to a node ended; nothing if it was given up.
+// Judge records the result of a request to a node; a canceled request is ignored.
 func (s *Selector) Judge(ctx context.Context, name string, err error, now time.Time) {
 	switch {
 	case err == nil:
 		s.Answered(name)
 	case errors.Is(ctx.Err(), context.Canceled):
-	case errors.Is(err, errNotReading):
+	case errors.Is(err, errStale):
 		s.Refused(name, now)
 	default:
 		s.Failed(name, now)
 	}
 }
 
-// Failed is told that a node did not answer.
+// Failed records that a node did not answer.
 func (s *Selector) Failed(name string, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	length := min(max(2*s.avoided[name].length, firstAvoidance), longestAvoidance)
+	length := min(max(2*s.avoided[name].length, initialAvoidance), maxAvoidance)
 	if s.storeFails(now) {
-		// Nobody may have an answer of the store now; that says little of the node.
-		length = firstAvoidance
+		// Possibly no node has recent data now, so the failure says little about this one.
+		length = initialAvoidance
 	}
 	s.avoided[name] = avoidance{until: now.Add(length), length: length}
 }
 
-// Refused is told that a node has answered that it knows nothing recent.
+// Refused records that a node has answered that it has no recent data.
 func (s *Selector) Refused(name string, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.avoided[name] = avoidance{until: now.Add(refusalAvoidance)}
+	s.avoided[name] = avoidance{until: now.Add(staleAvoidance)}
 }
 
-// Callers returns how many of so many nodes call the store as long as it answers; for a node that
-// follows another one these are all, since they call it when nobody else does.
+// Callers returns how many of the given number of nodes call the store while it answers. For a node that
+// follows another one it returns all of them, since followers call the store only when no other node does.
 func (s *Selector) Callers(nodes int) int {
 	if !s.Reads() {
 		return nodes
@@ -319,8 +318,8 @@
 	return readerCount(nodes)
 }
 
-// Answered is told that a node answered and knows something recent: of one kind of objects, so that it
-// is asked for others too.
+// Answered records that a node answered with recent data of one kind of objects; it is then preferred for
+// all kinds.
 func (s *Selector) Answered(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/peers/selector_test.go
+++ b/internal/peers/selector_test.go
@@ -11,11 +11,11 @@
 	"github.com/driftstage/driftstage/internal/members"
 )
 
-var epoch = time.Unix(1_000_000, 0)
+var testTime = time.Unix(1_000_000, 0)
 
 func inRegion(zone string) bool { return strings.HasPrefix(zone, "near") }
 
-// nodes returns so many members of a zone.
+// nodes returns the given number of members of a zone.
 func nodes(zone string, count int) []members.Member {
 	all := make([]members.Member, count)
 	for index := range all {
@@ -25,7 +25,7 @@
 	return all
 }
 
-// picks returns whom each of the members follows; empty for the store.
+// picks returns the node that each of the members follows; empty for the store.
 func picks(all []members.Member, prepare func(s *Selector), now time.Time) map[string]string {
 	picked := make(map[string]string)
 	for _, own := range all {
@@ -40,7 +40,7 @@
 	return picked
 }
 
-// readers returns the members that ask the store.
+// readers returns the members that read from the store.
 func readers(picked map[string]string) []string {
 	var found []string
 	for name, followed := range picked {
@@ -53,11 +53,11 @@
 
 func TestFewNodesReadTheStore(t *testing.T) {
 	for _, test := range []struct{ nodes, readers int }{
-		{1, 1}, {relayNodes - 1, relayNodes - 1}, // few enough to read by themselves
-		{relayNodes, 1}, {40, 1}, {60, 2}, {720, 16},
+		{1, 1}, {minRelayNodes - 1, minRelayNodes - 1}, // few enough for all to read
+		{minRelayNodes, 1}, {40, 1}, {60, 2}, {720, 16},
 	} {
 		is := is.New(t)
-		picked := picks(nodes("near", test.nodes), nil, epoch)
+		picked := picks(nodes("near", test.nodes), nil, testTime)
 		reading := readers(picked)
 		is.Equal(len(reading), test.readers)
 		followers := make(map[string]int)
@@ -65,10 +65,10 @@
 			followers[followed]++
 		}
 		for _, name := range reading {
-			is.True(followers[name] <= 2*readerNodes) // shared about evenly
+			is.True(followers[name] <= 2*nodesPerReader) // roughly balanced
 		}
 		for _, followed := range picked {
-			is.True(followed == "" || picked[followed] == "") // nobody follows a follower
+			is.True(followed == "" || picked[followed] == "") // no node follows a follower
 		}
 	}
 }
@@ -78,49 +78,49 @@
 	own := nodes("near", 10)
 	s := NewSelector(own[0], inRegion)
 	s.SetMembers(append(nodes("far", 30), own...))
-	if followed, found := s.Pick(epoch); found {
+	if followed, found := s.Pick(testTime); found {
 		is.Equal(followed.Zone, "near")
 	}
 }
 
-func TestNodeThatDoesNotAnswerIsPassedOver(t *testing.T) {
+func TestUnresponsiveNodeIsSkipped(t *testing.T) {
 	is := is.New(t)
 	all := nodes("near", 20)
-	first := readers(picks(all, nil, epoch))[0]
-	fail := func(s *Selector) { s.Failed(first, epoch) }
-	second := picks(all, fail, epoch.Add(time.Second))
+	first := readers(picks(all, nil, testTime))[0]
+	fail := func(s *Selector) { s.Failed(first, testTime) }
+	second := picks(all, fail, testTime.Add(time.Second))
 	for name, followed := range second {
 		is.True(followed != first || name == first)
 	}
-	is.Equal(len(readers(second)), 2)                                          // the first one and the next in order
-	is.Equal(readers(picks(all, fail, epoch.Add(2*firstAvoidance)))[0], first) // tried again
+	is.Equal(len(readers(second)), 2)                                               // the first one and the next in order
+	is.Equal(readers(picks(all, fail, testTime.Add(2*initialAvoidance)))[0], first) // tried again
 }
 
-func TestAvoidanceGrowsUntilAnAnswer(t *testing.T) {
+func TestAvoidanceGrowsUntilAnswer(t *testing.T) {
 	is := is.New(t)
 	s := NewSelector(members.Member{Name: "own"}, inRegion)
-	now := epoch
+	now := testTime
 	for range 10 {
 		s.Failed("other", now)
 	}
-	is.Equal(s.avoided["other"].length, longestAvoidance)
+	is.Equal(s.avoided["other"].length, maxAvoidance)
 	s.Answered("other")
 	s.Failed("other", now)
-	is.Equal(s.avoided["other"].length, firstAvoidance)
+	is.Equal(s.avoided["other"].length, initialAvoidance)
 }
 
-// While the store is away for all, nobody has recent answers. The readers have to be
-// found again soon after.
-func TestOutageOfTheStoreAvoidsNobodyForLong(t *testing.T) {
+// While the store is down for all nodes, none has recent data. The readers must be used again
+// soon after it returns.
+func TestStoreOutageCausesOnlyShortAvoidance(t *testing.T) {
 	is := is.New(t)
 	s := NewSelector(members.Member{Name: "own"}, inRegion)
-	now := epoch
+	now := testTime
 	for range 10 {
 		s.StoreFailed(now)
 		s.Failed("other", now)
 		now = now.Add(time.Second)
 	}
-	is.Equal(s.avoided["other"].length, firstAvoidance)
+	is.Equal(s.avoided["other"].length, initialAvoidance)
 }
 
 func TestAnyNodeIsFollowedWhileTheStoreFails(t *testing.T) {
@@ -128,30 +128,30 @@
 	own := nodes("near", 1)[0]
 	s := NewSelector(own, inRegion)
 	s.SetMembers(append(nodes("far", 1), own))
-	_, found := s.Pick(epoch)
+	_, found := s.Pick(testTime)
 	is.True(!found)
-	s.StoreFailed(epoch)
-	followed, found := s.Pick(epoch.Add(time.Second))
+	s.StoreFailed(testTime)
+	followed, found := s.Pick(testTime.Add(time.Second))
 	is.True(found)
 	is.Equal(followed.Zone, "far")
-	_, found = s.Pick(epoch.Add(storeAvoidance))
-	is.True(!found) // the store gets its turn
-	s.StoreFailed(epoch.Add(storeAvoidance))
-	s.Failed(followed.Name, epoch.Add(storeAvoidance))
-	_, found = s.Pick(epoch.Add(storeAvoidance))
-	is.True(!found) // nobody is left
+	_, found = s.Pick(testTime.Add(storeAvoidance))
+	is.True(!found) // the store is tried again
+	s.StoreFailed(testTime.Add(storeAvoidance))
+	s.Failed(followed.Name, testTime.Add(storeAvoidance))
+	_, found = s.Pick(testTime.Add(storeAvoidance))
+	is.True(!found) // no node is left
 }
 
 func TestMembersWithoutAddressAreNotFollowed(t *testing.T) {
 	is := is.New(t)
-	all := nodes("near", relayNodes+2)
+	all := nodes("near", minRelayNodes+2)
 	for index := range all {
 		all[index].Address = ""
 	}
-	is.Equal(len(readers(picks(all, nil, epoch))), len(all))
+	is.Equal(len(readers(picks(all, nil, testTime))), len(all))
 }
 
-// While the store fails for all, the nodes of a region must not all follow the same one.
+// While the store fails for all nodes, the nodes of a region must not all follow the same one.
 func TestFollowersSpreadWhileTheStoreFails(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -170,21 +170,21 @@
 			followers[picked.Name]++
 		}
 		for _, count := range followers {
-			is.True(count <= 2*readerNodes)
+			is.True(count <= 2*nodesPerReader)
 		}
 	}
 }
 
-// Exactly the nodes that the others follow know that they read the store for them.
-func TestReadersKnowThatTheyAre(t *testing.T) {
+// Reads is true for exactly those nodes that the others follow.
+func TestReadsIsTrueForReadersOnly(t *testing.T) {
 	is := is.New(t)
-	for _, count := range []int{relayNodes - 1, relayNodes, 200, 985} {
+	for _, count := range []int{minRelayNodes - 1, minRelayNodes, 200, 985} {
 		all := nodes("near", count)
 		followed, readers := make(map[string]bool), make(map[string]bool)
 		for _, own := range all {
 			selector := NewSelector(own, inRegion)
 			selector.SetMembers(all)
-			if picked, found := selector.Pick(epoch); found {
+			if picked, found := selector.Pick(testTime); found {
 				followed[picked.Name] = true
 			}
 			if selector.Reads() {
@@ -195,22 +195,22 @@
 	}
 }
 
-// A node that is known to be in touch with the store is followed first while that does not answer this one.
-func TestNodeInTouchIsPreferred(t *testing.T) {
+// A node that is connected to the store is preferred while the store does not answer this node.
+func TestConnectedNodeIsPreferred(t *testing.T) {
 	is := is.New(t)
 	all := nodes("near", 60)
 	s := NewSelector(all[0], inRegion)
 	s.SetMembers(all)
 	s.Prefer("near-node-40")
-	followed, _ := s.Pick(epoch)
+	followed, _ := s.Pick(testTime)
 	is.True(followed.Name != "near-node-40") // the store may answer
-	s.StoreFailed(epoch)
-	followed, _ = s.Pick(epoch)
+	s.StoreFailed(testTime)
+	followed, _ = s.Pick(testTime)
 	is.Equal(followed.Name, "near-node-40")
-	s.Refused("near-node-40", epoch)
-	followed, _ = s.Pick(epoch)
+	s.Refused("near-node-40", testTime)
+	followed, _ = s.Pick(testTime)
 	is.True(followed.Name != "near-node-40")
-	s.Prefer("near-node-0") // never itself
-	followed, _ = s.Pick(epoch)
+	s.Prefer("near-node-0") // a node never follows itself
+	followed, _ = s.Pick(testTime)
 	is.True(followed.Name != "near-node-0")
 }
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -12,30 +12,30 @@
 
 const (
 	idleTimeout = 10 * time.Second
-	// maxReporters bounds the nodes whose reports of roll-outs one node can take.
+	// maxReporters bounds the nodes that can send rollout reports to one node.
 	maxReporters = 512
-	// maxConnections bounds the connections of other nodes: two of each follower,
-	// those of nodes that start, and one of each that reports.
-	maxConnections = 4*readerNodes + maxReporters
+	// maxConnections bounds the connections from other nodes: two per follower, those
+	// of starting nodes, and one per reporter.
+	maxConnections = 4*nodesPerReader + maxReporters
 )
 
-// Server tells other nodes what this one knows.
+// Server serves the state of this node to other nodes.
 type Server struct {
 	http *fasthttp.Server
 }
 
-// Routed adds paths to the server.
+// Routed adds its paths to the router of a server.
 type Routed interface {
 	Route(routes *router.Router)
 }
 
-// NewServer returns a server of the node's snapshot, which is false while nothing is
-// known, and of further paths.
-func NewServer(own Asker, snapshot func() (Snapshot, bool), further ...Routed) *Server {
+// NewServer returns a server for the node's snapshot and for further paths. The snapshot
+// function returns false while there is no state to serve.
+func NewServer(self Asker, snapshot func() (Snapshot, bool), extra ...Routed) *Server {
 	routes := router.New()
-	handing := &handOver{own: own, snapshot: snapshot}
-	routes.GET(snapshotPath, handing.serve)
-	for _, routed := range further {
+	snapshots := &snapshotServer{self: self, snapshot: snapshot}
+	routes.GET(snapshotPath, snapshots.serve)
+	for _, routed := range extra {
 		routed.Route(routes)
 	}
 	return &Server{http: &fasthttp.Server{
@@ -43,12 +43,12 @@
 		IdleTimeout:           idleTimeout,
 		ReadTimeout:           idleTimeout,
 		Concurrency:           maxConnections,
-		MaxRequestBodySize:    maximumReportBytes,
+		MaxRequestBodySize:    maxMessageBytes,
 		ReduceMemoryUsage:     true,
 		NoDefaultServerHeader: true,
 		Logger:                telemetry.SilentHTTPLogger{},
 	}}
 }
 
-// Serve answers on the listener until it is closed.
+// Serve serves requests on the listener until it is closed.
 func (s *Server) Serve(listener net.Listener) error { return s.http.Serve(listener) }
--- a/internal/peers/starter.go
+++ b/internal/peers/starter.go
@@ -1,11 +1,10 @@
-// Package peers lets nodes learn from each other what the store told: the followers of a
-// node that reads the store for them, nodes that have just started while the store is
-// away, and nodes that were cut off from it, which also look for signs that the way
-// to it is back.
+// Package peers lets nodes get the data of the store from each other. It serves the followers
+// of a node that reads the store for them, nodes that start while the store is down, and nodes
+// that are cut off from the store. The latter also probe other nodes to detect when the store
+// can be reached again.
 //
-// What a peer tells may be as old as its own contact with the store. A node that has just
-// started takes it only as long as the store itself has told nothing, and never goes
-// back to an older configuration.
+// Data from a peer may be as old as the peer's last answer from the store. A starting node uses
+// it only until the store itself answers, and never goes back to an older configuration.
 package peers
 
 import (
@@ -26,19 +25,19 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// Snapshot is what a node knows. JSON carries it: the codec is linked for the
-// store's objects already, and snapshots are rare.
+// Snapshot is the state of a node. It is encoded as JSON: that codec is already linked for the
+// store's objects, and snapshots are rare.
 type Snapshot struct {
 	Table   routing.Document
 	Servers []endpoints.Server
-	// Evacuated are the zones whose servers get nothing new.
+	// Evacuated are the zones whose servers get no new requests.
 	Evacuated []string
-	// Orders are those that the node knows, up to the revision Reached.
+	// Orders are the rollout orders known to the node, up to the revision Reached.
 	Orders  []rollout.Order  `json:",omitempty"`
 	Reached catalog.Revision `json:",omitempty"`
-	// ServersReached is the revision up to which Servers holds all that the store listed, as
-	// it told ServersAge ago; zero if it has not listed them. Unlisted are the ids of those
-	// that are kept though the list lacked them.
+	// ServersReached is the revision up to which Servers is complete, as confirmed by the store
+	// ServersAge ago; zero if the store has not listed the servers. Unlisted are the ids of
+	// servers that are kept although the list lacked them.
 	ServersReached catalog.Revision `json:",omitempty"`
 	ServersAge     time.Duration    `json:",omitempty"`
 	Unlisted       []string         `json:",omitempty"`
@@ -53,29 +52,29 @@
 
 const (
 	snapshotPath = "/v1/snapshot"
-	// askTimeout bounds one question to a peer.
-	askTimeout = 500 * time.Millisecond
-	// askInterval is about the pause after a round of questions. It doubles up to
-	// longestAskInterval.
-	askInterval        = 300 * time.Millisecond
-	longestAskInterval = 1200 * time.Millisecond
-	// mostAsked bounds the nodes that are asked in a round.
-	mostAsked = 16
-	// patience, and a random part of patienceSpread, is how long the store has to
-	// itself before peers are asked: many nodes that start together must not all
-	// turn to the same few.
-	patience       = 350 * time.Millisecond
-	patienceSpread = 350 * time.Millisecond
-	// maximumSnapshotBytes bounds an answer.
-	maximumSnapshotBytes = 64 << 20
+	// requestTimeout bounds one request to a peer.
+	requestTimeout = 500 * time.Millisecond
+	// initialRoundInterval is the average delay after the first round of requests. It doubles with
+	// each round, up to maxRoundInterval.
+	initialRoundInterval = 300 * time.Millisecond
+	maxRoundInterval     = 1200 * time.Millisecond
+	// maxPeersPerRound bounds the peers that are asked in a round.
+	maxPeersPerRound = 16
+	// bootstrapDelay plus a random part of bootstrapJitter is how long a starting node waits for the
+	// store alone before it asks peers: many nodes that start together must not all ask the same
+	// few peers.
+	bootstrapDelay  = 350 * time.Millisecond
+	bootstrapJitter = 350 * time.Millisecond
+	// maxResponseBytes bounds a response.
+	maxResponseBytes = 64 << 20
 )
 
-// errSilent means that a peer has not answered.
-var errSilent = errors.New("the peer does not answer")
+// errNoResponse means that a peer has not responded.
+var errNoResponse = errors.New("the peer does not answer")
 
-// Ask returns what the node at the address (IP:port) knows, or the nodes to which it refers.
-func Ask(address string, asker Asker) (snapshot Snapshot, referrals []string, err error) {
-	err = askOnce(address, snapshotPath+"?"+asker.query(), func(response *fasthttp.Response) error {
+// Ask returns the snapshot of the node at the address (IP:port), or the nodes to which it refers.
+func Ask(address string, requester Asker) (snapshot Snapshot, referrals []string, err error) {
+	err = getOnce(address, snapshotPath+"?"+requester.query(), func(response *fasthttp.Response) error {
 		if response.StatusCode() != fasthttp.StatusOK {
 			referrals = parseReferrals(response)
 		}
@@ -84,7 +83,7 @@
 	return snapshot, referrals, err
 }
 
-// parseReferrals returns the addresses in an answer.
+// parseReferrals returns the addresses to which a response refers.
 func parseReferrals(response *fasthttp.Response) []string {
 	var addresses []string
 	for _, text := range strings.Split(string(response.Header.Peek(headerReferrals)), ",") {
@@ -95,29 +94,29 @@
 	return addresses
 }
 
-// Starter asks peers until the node knows enough.
+// Starter requests snapshots from peers until a starting node has its complete state.
 type Starter struct {
-	// Own is how the node shows itself.
+	// Own identifies the starting node to its peers.
 	Own Asker
 	// Addresses returns the peers; some may be stale or down.
 	Addresses func() []string
-	// Known reports whether the node needs nothing more.
+	// Known reports whether the state of the node is complete.
 	Known func() bool
-	// Adopt takes over what a peer knows.
+	// Adopt applies the snapshot of a peer.
 	Adopt func(Snapshot) error
-	// Unanswered is called after a round in which nobody has answered.
+	// Unanswered is called after a round in which no peer has responded.
 	Unanswered func()
 }
 
-// Run returns when the node knows enough, or when ctx ends.
+// Run returns when the state of the node is complete or ctx is done.
 func (s Starter) Run(ctx context.Context) {
-	pause := patience + rand.N(patienceSpread)
-	interval := askInterval
+	delay := bootstrapDelay + rand.N(bootstrapJitter)
+	interval := initialRoundInterval
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 		if s.Known() {
 			return
@@ -126,18 +125,18 @@
 			s.Unanswered()
 		}
 		s.Own.Again = true
-		// Nodes that start together must not keep those that know something busy.
-		pause = interval/2 + rand.N(interval)
-		interval = min(2*interval, longestAskInterval)
+		// Jitter: nodes that start together must not overload the peers that have a snapshot.
+		delay = interval/2 + rand.N(interval)
+		interval = min(2*interval, maxRoundInterval)
 	}
 }
 
-// askAll asks the peers in random order, then those to which they refer, until one knows enough.
-// It reports whether one has answered anything.
+// askAll asks the peers in random order, and the nodes to which they refer, until the state of the
+// node is complete. It reports whether any of them has responded.
 func (s Starter) askAll() (answered bool) {
 	queue := slices.Clone(s.Addresses())
 	rand.Shuffle(len(queue), func(i, j int) { queue[i], queue[j] = queue[j], queue[i] })
-	for asked := 0; asked < len(queue) && asked < mostAsked; asked++ {
+	for asked := 0; asked < len(queue) && asked < maxPeersPerRound; asked++ {
 		if s.Known() {
 			return true
 		}
@@ -146,7 +145,7 @@
 			continue
 		}
 		snapshot, referrals, err := Ask(address, s.Own)
-		answered = answered || !errors.Is(err, errSilent)
+		answered = answered || !errors.Is(err, errNoResponse)
 		if err == nil {
 			err = s.Adopt(snapshot)
 		}
@@ -160,7 +159,7 @@
 	return answered
 }
 
-// withReferrals puts the referrals that are not in the queue before its rest.
+// withReferrals inserts the referrals that are not in the queue yet at position next.
 func withReferrals(queue []string, next int, referrals []string) []string {
 	referrals = slices.DeleteFunc(referrals, func(address string) bool { return slices.Contains(queue, address) })
 	return slices.Insert(queue, next, referrals...)
--- a/internal/peers/suspended_test.go
+++ b/internal/peers/suspended_test.go
@@ -11,14 +11,14 @@
 	"github.com/driftstage/driftstage/internal/endpoints"
 )
 
-// What a node knows grows older while its machine is suspended: it does not hand it on as new.
-func TestSuspendedNodeHandsOnNothing(t *testing.T) {
+// The data of a node grows older while its machine is suspended: it must not be served as recent.
+func TestSuspendedNodeServesNoStaleData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		suspended := time.Duration(0)
 		publisher := Publisher[endpoints.Server]{suspended: func() time.Duration { return suspended }}
-		publisher.Publish(5, told(7), true)
-		ask := question{after: 6, wait: 0, oldest: oldestAnswer}
+		publisher.Publish(5, changesAt(7), true)
+		ask := watchQuery{after: 6, wait: 0, maxAge: maxDataAge}
 		got, err := publisher.answer(t.Context(), ask)
 		is.NoErr(err)
 		is.Equal(got.Age, time.Duration(0))
@@ -28,6 +28,6 @@
 		is.Equal(got.Age, time.Second)
 		suspended = 3 * time.Second
 		_, err = publisher.answer(t.Context(), ask)
-		is.True(errors.Is(err, errNotReading))
+		is.True(errors.Is(err, errStale))
 	})
 }
--- a/internal/peers/watch_query.go
+++ b/internal/peers/watch_query.go
@@ -10,7 +10,7 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// Names of the query parameters of a question.
+// Query parameters of a request for changes.
 const (
 	paramAfter = "after"
 	paramWait  = "wait"
@@ -18,34 +18,34 @@
 	paramWhole = "whole"
 	paramEra   = "era"
 
-	paramPatience = "patience"
+	paramFreshTimeout = "patience"
 )
 
-func parseQuestion(args *fasthttp.Args) (question, error) {
+func parseWatchQuery(args *fasthttp.Args) (watchQuery, error) {
 	after, err := strconv.ParseUint(string(args.Peek(paramAfter)), 10, 64)
 	if err != nil {
-		return question{}, errors.Wrap(err, paramAfter)
+		return watchQuery{}, errors.Wrap(err, paramAfter)
 	}
 	wait, err := parseDuration(args, paramWait)
 	if err != nil {
-		return question{}, err
+		return watchQuery{}, err
 	}
-	oldest, err := parseDuration(args, paramAge)
+	maxAge, err := parseDuration(args, paramAge)
 	if err != nil {
-		return question{}, err
+		return watchQuery{}, err
 	}
-	var patience time.Duration
-	if args.Has(paramPatience) {
-		if patience, err = parseDuration(args, paramPatience); err != nil {
-			return question{}, err
+	var freshTimeout time.Duration
+	if args.Has(paramFreshTimeout) {
+		if freshTimeout, err = parseDuration(args, paramFreshTimeout); err != nil {
+			return watchQuery{}, err
 		}
 	}
 	era, err := parseEra(args.Peek(paramEra))
 	if err != nil {
-		return question{}, errors.Wrap(err, paramEra)
+		return watchQuery{}, errors.Wrap(err, paramEra)
 	}
-	return question{
-		after: catalog.Revision(after), wait: min(wait, maxWait), patience: min(patience, maxWait), oldest: oldest,
+	return watchQuery{
+		after: catalog.Revision(after), wait: min(wait, maxWait), freshTimeout: min(freshTimeout, maxWait), maxAge: maxAge,
 		whole: args.GetBool(paramWhole), era: era,
 	}, nil
 }
@@ -55,14 +55,14 @@
 	return parsed, errors.Wrap(err, name)
 }
 
-// parseEra returns zero for a node that names none.
+// parseEra parses the era; zero if the request has none.
 func parseEra(text []byte) (catalog.Era, error) {
 	if len(text) == 0 {
 		return 0, nil
 	}
 	era, err := strconv.ParseUint(string(text), 10, 32)
 	if err == nil && catalog.Era(era) > catalog.LatestEra {
-		err = errors.Newf("%d is out of bounds", era)
+		err = errors.Newf("%d is out of range", era)
 	}
 	return catalog.Era(era), err
 }
