--- a/internal/peers/handover.go
+++ b/internal/peers/handover.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// handOverRate is how many bytes of snapshots a node hands over in a second: less than
-	// half of what a link of 20 Mbit/s carries.
-	handOverRate = 1 << 20
-	// longestBacklog is how much may be promised ahead at that rate.
-	longestBacklog = 500 * time.Millisecond
-	// snapshotReuse is how long an encoded snapshot is handed over: whoever gets it reads on
+	// snapshotRate bounds the bytes of snapshots that a node serves per second, to less than
+	// half the capacity of a link of 20 Mbit/s.
+	snapshotRate = 1 << 20
+	// maxBacklog bounds the backlog at snapshotRate; further requests are referred elsewhere.
+	maxBacklog = 500 * time.Millisecond
+	// snapshotReuse is how long an encoded snapshot is served: its receivers continue reading
 	// from its revision.
 	snapshotReuse = 2 * time.Second
-	// mostHolders bounds the nodes that are kept as holders, mostReferrals those that are
-	// named in one answer.
-	mostHolders   = 128
-	mostReferrals = 8
+	// maxHolders bounds the nodes that are remembered as holders, maxReferrals those that are
+	// listed in one response.
+	maxHolders   = 128
+	maxReferrals = 8
 )
 
-// Names of the query parameters of a question for a snapshot, and of the header that refers
-// to other nodes (addresses, comma-separated).
+// Query parameters of a request for a snapshot, and the header that refers to other nodes
+// (comma-separated addresses).
 const (
 	paramAddress    = "address"
 	paramZone       = "zone"
@@ -38,13 +38,13 @@
 	headerReferrals = "Driftstage-Referrals"
 )
 
-// Asker is a node that asks for a snapshot.
+// Asker identifies a node that requests a snapshot.
 type Asker struct {
-	// Address is where it answers its peers (IP:port); empty for nowhere.
+	// Address is where the node serves its peers (IP:port); empty if it does not.
 	Address string
 	Zone    string
 	Region  string
-	// Again is set once it has asked in vain those to which it was referred.
+	// Again is set once the nodes to which it was referred have not served it.
 	Again bool
 }
 
@@ -57,56 +57,56 @@
 	return query.Encode()
 }
 
-// handOver hands the snapshot to nodes that start. Where many start together it spreads from
-// node to node, in steps whose number grows as the logarithm of theirs: each node hands over
-// at a bounded rate, and refers the others to those that have got it.
-type handOver struct {
-	own      Asker
+// snapshotServer serves the snapshot to starting nodes. Each node serves it at a bounded rate and
+// refers further requests to nodes that already have it. If many nodes start together, the snapshot
+// thus spreads from node to node, in a number of rounds logarithmic in the number of nodes.
+type snapshotServer struct {
+	self     Asker
 	snapshot func() (Snapshot, bool)
 
 	mutex sync.Mutex
-	// holders are nodes that have got the snapshot, the newest last.
+	// holders are nodes that were served the snapshot, the most recent last.
 	holders []Asker
-	// busyUntil is when what has been promised is handed over at handOverRate.
+	// busyUntil is when the accepted requests are served at snapshotRate.
 	busyUntil time.Time
-	// body is the snapshot that was encoded last, at encodedAt.
+	// body is the latest encoded snapshot, encoded at encodedAt.
 	body      []byte
 	encodedAt time.Time
 }
 
-func (h *handOver) serve(ctx *fasthttp.RequestCtx) {
+func (s *snapshotServer) serve(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
-	asker := Asker{
+	requester := Asker{
 		Address: string(args.Peek(paramAddress)),
 		Zone:    string(args.Peek(paramZone)),
 		Region:  string(args.Peek(paramRegion)),
 		Again:   args.GetBool(paramAgain),
 	}
-	body, err := h.answer(asker, time.Now())
+	body, err := s.respond(requester, time.Now())
 	switch {
 	case err != nil:
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 	case body == nil:
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-		ctx.Response.Header.Set(headerReferrals, strings.Join(h.referrals(asker), ","))
+		ctx.Response.Header.Set(headerReferrals, strings.Join(s.referrals(requester), ","))
 	default:
 		writeBody(ctx, body)
 	}
 }
 
-// answer returns the encoded snapshot; nil if there is none, or others are to hand it over.
-func (h *handOver) answer(asker Asker, now time.Time) ([]byte, error) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.busyUntil.Sub(now) > longestBacklog || !asker.Again && h.hasNearer(asker) {
+// respond returns the encoded snapshot; nil if there is none or other nodes are to serve it.
+func (s *snapshotServer) respond(requester Asker, now time.Time) ([]byte, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.busyUntil.Sub(now) > maxBacklog || !requester.Again && s.hasNearer(requester) {
 		return nil, nil
 	}
-	body, err := h.encoded(now)
+	body, err := s.encoded(now)
 	if body == nil || err != nil {
 		return nil, err
 	}
-	h.busyUntil = later(h.busyUntil, now).Add(time.Duration(float64(len(body)) / handOverRate * float64(time.Second)))
-	h.addHolder(asker)
+	s.busyUntil = later(s.busyUntil, now).Add(time.Duration(float64(len(body)) / snapshotRate * float64(time.Second)))
+	s.addHolder(requester)
 	return body, nil
 }
 
@@ -117,71 +117,71 @@
 	return b
 }
 
-// encoded returns the snapshot in the form in which it is handed over; nil if there is none.
-func (h *handOver) encoded(now time.Time) ([]byte, error) {
-	if h.body != nil && now.Sub(h.encodedAt) < snapshotReuse {
-		return h.body, nil
+// encoded returns the encoded snapshot; nil if there is none.
+func (s *snapshotServer) encoded(now time.Time) ([]byte, error) {
+	if s.body != nil && now.Sub(s.encodedAt) < snapshotReuse {
+		return s.body, nil
 	}
-	known, found := h.snapshot()
+	snapshot, found := s.snapshot()
 	if !found {
 		return nil, nil
 	}
-	plain, err := json.Marshal(known)
+	plain, err := json.Marshal(snapshot)
 	if err != nil {
 		return nil, err
 	}
-	h.body, h.encodedAt = compress(plain), now
-	time.AfterFunc(snapshotReuse, h.forget)
-	return h.body, nil
+	s.body, s.encodedAt = compress(plain), now
+	time.AfterFunc(snapshotReuse, s.dropBody)
+	return s.body, nil
 }
 
-// forget lets the memory of an encoded snapshot go.
-func (h *handOver) forget() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.body = nil
+// dropBody frees the memory of the encoded snapshot.
+func (s *snapshotServer) dropBody() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.body = nil
 }
 
-// hasNearer reports whether a holder is nearer to the asker than this node: bytes between zones,
-// and more so between regions, are dear.
-func (h *handOver) hasNearer(asker Asker) bool {
-	return slices.ContainsFunc(h.holders, func(holder Asker) bool {
-		inZone := holder.Zone == asker.Zone && h.own.Zone != asker.Zone
-		inRegion := holder.Region == asker.Region && h.own.Region != asker.Region
-		return holder.Address != asker.Address && (inZone || inRegion)
+// hasNearer reports whether a holder is nearer to the requester than this node: traffic between zones,
+// and even more between regions, is expensive.
+func (s *snapshotServer) hasNearer(requester Asker) bool {
+	return slices.ContainsFunc(s.holders, func(holder Asker) bool {
+		inZone := holder.Zone == requester.Zone && s.self.Zone != requester.Zone
+		inRegion := holder.Region == requester.Region && s.self.Region != requester.Region
+		return holder.Address != requester.Address && (inZone || inRegion)
 	})
 }
 
-func (h *handOver) addHolder(holder Asker) {
+func (s *snapshotServer) addHolder(holder Asker) {
 	if holder.Address == "" {
 		return
 	}
-	h.holders = slices.DeleteFunc(h.holders, func(known Asker) bool { return known.Address == holder.Address })
-	h.holders = append(h.holders, holder)
-	if len(h.holders) > mostHolders {
-		h.holders = h.holders[1:]
+	s.holders = slices.DeleteFunc(s.holders, func(other Asker) bool { return other.Address == holder.Address })
+	s.holders = append(s.holders, holder)
+	if len(s.holders) > maxHolders {
+		s.holders = s.holders[1:]
 	}
 }
 
-// referrals returns holders of the snapshot: some of the asker's zone, else of its region, else
-// any.
-func (h *handOver) referrals(asker Asker) []string {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	for _, fits := range []func(Asker) bool{
-		func(holder Asker) bool { return holder.Zone == asker.Zone },
-		func(holder Asker) bool { return holder.Region == asker.Region },
+// referrals returns holders of the snapshot: some in the requester's zone, else in its region,
+// else any.
+func (s *snapshotServer) referrals(requester Asker) []string {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, matches := range []func(Asker) bool{
+		func(holder Asker) bool { return holder.Zone == requester.Zone },
+		func(holder Asker) bool { return holder.Region == requester.Region },
 		func(Asker) bool { return true },
 	} {
-		var named []string
-		for _, index := range rand.Perm(len(h.holders)) {
-			holder := h.holders[index]
-			if holder.Address != asker.Address && fits(holder) && len(named) < mostReferrals {
-				named = append(named, holder.Address)
+		var addresses []string
+		for _, index := range rand.Perm(len(s.holders)) {
+			holder := s.holders[index]
+			if holder.Address != requester.Address && matches(holder) && len(addresses) < maxReferrals {
+				addresses = append(addresses, holder.Address)
 			}
 		}
-		if len(named) > 0 {
-			return named
+		if len(addresses) > 0 {
+			return addresses
 		}
 	}
 	return nil
--- a/internal/peers/handover_test.go
+++ b/internal/peers/handover_test.go
@@ -13,53 +13,53 @@
 	"github.com/driftstage/driftstage/internal/endpoints"
 )
 
-// starting is a simulated node that starts without the snapshot.
-type starting struct {
-	asker   Asker
-	handing *handOver
-	has     bool
-	queue   []string
-	nextAt  time.Time
-	pause   time.Duration
-	// readyAt is when it has decoded what it was given.
+// simulatedNode is a node that starts with or without the snapshot.
+type simulatedNode struct {
+	requester   Asker
+	server      *snapshotServer
+	hasSnapshot bool
+	queue       []string
+	nextAt      time.Time
+	pause       time.Duration
+	// readyAt is when the node has decoded the snapshot it received.
 	readyAt time.Time
 }
 
-// decodeTime is what a node takes to read and decode a snapshot.
+// decodeTime is how long a node takes to read and decode a snapshot.
 const decodeTime = 300 * time.Millisecond
 
-// spread simulates so many nodes in 3 regions of 2 zones that start together, with three seeds
-// that know so many servers. It returns how long it took until all had it,
-// and how often it went from one region to another.
-func spread(t *testing.T, count, servers int) (took time.Duration, between int) {
+// simulateStart simulates the given number of nodes in 3 regions of 2 zones each that start
+// together, with three seeds whose snapshot has the given number of servers. It returns the time
+// until all nodes have the snapshot, and how often it was transferred between regions.
+func simulateStart(t *testing.T, count, servers int) (took time.Duration, between int) {
 	t.Helper()
-	var known Snapshot
+	var full Snapshot
 	for index := range servers {
-		known.Servers = append(known.Servers, endpoints.Server{ID: fmt.Sprintf("i-%08x", rand.Uint32()), Service: fmt.Sprint("s-", index%225), Address: fmt.Sprintf("10.1.%d.%d:8080", index/250, index%250)})
+		full.Servers = append(full.Servers, endpoints.Server{ID: fmt.Sprintf("i-%08x", rand.Uint32()), Service: fmt.Sprint("s-", index%225), Address: fmt.Sprintf("10.1.%d.%d:8080", index/250, index%250)})
 	}
-	encoded, err := json.Marshal(known)
+	encoded, err := json.Marshal(full)
 	is.New(t).NoErr(err)
 	body := compress(encoded)
-	nodes := make(map[string]*starting, count)
-	var all []*starting
+	nodes := make(map[string]*simulatedNode, count)
+	var all []*simulatedNode
 	var seeds []string
 	start := time.Unix(1000, 0)
 	for index := range count {
 		address := fmt.Sprintf("10.0.%d.%d:1", index/250, index%250)
 		region := index % 3
-		node := &starting{
-			asker:  Asker{Address: address, Region: fmt.Sprint("r", region), Zone: fmt.Sprint("r", region, "z", index%2)},
-			has:    index < 3,
-			nextAt: start.Add(patience + rand.N(patienceSpread)),
-			pause:  askInterval,
+		node := &simulatedNode{
+			requester:   Asker{Address: address, Region: fmt.Sprint("r", region), Zone: fmt.Sprint("r", region, "z", index%2)},
+			hasSnapshot: index < 3,
+			nextAt:      start.Add(bootstrapDelay + rand.N(bootstrapJitter)),
+			pause:       initialRoundInterval,
 		}
-		node.handing = &handOver{own: node.asker, snapshot: func() (Snapshot, bool) { return known, node.has }}
-		if node.has {
-			node.handing.keep(body, start)
+		node.server = &snapshotServer{self: node.requester, snapshot: func() (Snapshot, bool) { return full, node.hasSnapshot }}
+		if node.hasSnapshot {
+			node.server.presetBody(body, start)
 		}
 		nodes[address] = node
 		all = append(all, node)
-		if node.has {
+		if node.hasSnapshot {
 			seeds = append(seeds, address)
 		}
 	}
@@ -69,82 +69,82 @@
 			t.Fatalf("%d of %d nodes have nothing after a minute", missing, count)
 		}
 		for _, node := range all {
-			if !node.has && !node.readyAt.IsZero() && !now.Before(node.readyAt) {
-				node.has = true
-				node.handing.keep(body, now)
+			if !node.hasSnapshot && !node.readyAt.IsZero() && !now.Before(node.readyAt) {
+				node.hasSnapshot = true
+				node.server.presetBody(body, now)
 				missing--
 			}
-			if node.has || !node.readyAt.IsZero() || now.Before(node.nextAt) {
+			if node.hasSnapshot || !node.readyAt.IsZero() || now.Before(node.nextAt) {
 				continue
 			}
 			node.queue = slices.Clone(seeds)
 			rand.Shuffle(len(node.queue), func(i, j int) { node.queue[i], node.queue[j] = node.queue[j], node.queue[i] })
-			for asked := 0; asked < len(node.queue) && asked < mostAsked && node.readyAt.IsZero(); asked++ {
+			for asked := 0; asked < len(node.queue) && asked < maxPeersPerRound && node.readyAt.IsZero(); asked++ {
 				peer := nodes[node.queue[asked]]
-				given, err := peer.handing.answer(node.asker, now)
+				given, err := peer.server.respond(node.requester, now)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if given == nil {
-					node.queue = withReferrals(node.queue, asked+1, peer.handing.referrals(node.asker))
+					node.queue = withReferrals(node.queue, asked+1, peer.server.referrals(node.requester))
 					continue
 				}
 				node.readyAt = now.Add(decodeTime)
-				if peer.asker.Region != node.asker.Region {
+				if peer.requester.Region != node.requester.Region {
 					between++
 				}
 			}
-			node.asker.Again = true
+			node.requester.Again = true
 			node.nextAt = now.Add(node.pause/2 + rand.N(node.pause))
-			node.pause = min(2*node.pause, longestAskInterval)
+			node.pause = min(2*node.pause, maxRoundInterval)
 		}
 		took = now.Sub(start)
 	}
 	return took, between
 }
 
-// keep lets the node hand over the body without encoding it, for all of the simulation.
-func (h *handOver) keep(body []byte, now time.Time) {
-	h.body, h.encodedAt = body, now.Add(time.Hour)
+// presetBody makes the node serve the body without encoding it, for the whole simulation.
+func (s *snapshotServer) presetBody(body []byte, now time.Time) {
+	s.body, s.encodedAt = body, now.Add(time.Hour)
 }
 
-// Many nodes start together: the snapshot spreads from node to node, in a time that grows far
-// slower than their number, and seldom from one region to another.
-func TestSnapshotSpreadsAmongManyThatStart(t *testing.T) {
+// When many nodes start together, the snapshot spreads from node to node. The time grows much more
+// slowly than the number of nodes, and few transfers are between regions.
+func TestSnapshotSpreadsAmongStartingNodes(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{100, 1000, 3600} {
-		took, between := spread(t, count, 10_000)
+		took, between := simulateStart(t, count, 10_000)
 		t.Logf("%d nodes: %s, %d times between regions", count, took, between)
 		is.True(took < 6*time.Second)
 		is.True(between < 30+count/20)
 	}
 }
 
-func TestHandOverIsBounded(t *testing.T) {
+func TestSnapshotRateIsBounded(t *testing.T) {
 	is := is.New(t)
-	known := Snapshot{Servers: []endpoints.Server{{ID: "i"}}}
-	handing := &handOver{own: Asker{Zone: "z"}, snapshot: func() (Snapshot, bool) { return known, true }}
+	full := Snapshot{Servers: []endpoints.Server{{ID: "i"}}}
+	server := &snapshotServer{self: Asker{Zone: "z"}, snapshot: func() (Snapshot, bool) { return full, true }}
 	now := time.Unix(1000, 0)
 	given := 0
 	for number := range 100_000 {
-		body, err := handing.answer(Asker{Address: fmt.Sprintf("10.0.0.1:%d", number), Zone: "z"}, now)
+		body, err := server.respond(Asker{Address: fmt.Sprintf("10.0.0.1:%d", number), Zone: "z"}, now)
 		is.NoErr(err)
 		given += len(body)
 	}
 	is.True(given > 0)
-	is.True(float64(given) <= handOverRate*longestBacklog.Seconds()+float64(handOverRate)/100)
-	is.Equal(len(handing.holders), mostHolders)
-	is.Equal(len(handing.referrals(Asker{})), mostReferrals)
+	is.True(float64(given) <= snapshotRate*maxBacklog.Seconds()+float64(snapshotRate)/100)
+	is.Equal(len(server.holders), maxHolders)
+	is.Equal(len(server.referrals(Asker{})), maxReferrals)
 }
 
 func TestReferralsPreferTheZoneThenTheRegion(t *testing.T) {
 	is := is.New(t)
-	handing := &handOver{}
-	handing.addHolder(Asker{Address: "far", Zone: "z3", Region: "r2"})
-	is.Equal(handing.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"far"})
-	handing.addHolder(Asker{Address: "near", Zone: "z2", Region: "r1"})
-	is.Equal(handing.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"near"})
-	handing.addHolder(Asker{Address: "same", Zone: "z1", Region: "r1"})
-	is.Equal(handing.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"same"})
-	is.Equal(handing.referrals(Asker{Address: "same", Zone: "z1", Region: "r1"}), []string{"near"})
+	server := &snapshotServer{}
+	server.addHolder(Asker{Address: "far", Zone: "z3", Region: "r2"})
+	is.Equal(server.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"far"})
+	server.addHolder(Asker{Address: "near", Zone: "z2", Region: "r1"})
+	is.Equal(server.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"near"})
+	server.addHolder(Asker{Address: "same", Zone: "z1", Region: "r1"})
+	is.Equal(server.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"same"})
+	is.Equal(server.referrals(Asker{Address: "same", Zone: "z1", Region: "r1"}), []string{"near"})
 }
