--- a/internal/catalog/abandon.go
+++ b/internal/catalog/abandon.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// errAbandoned means that a call was given up because the store seems to be back: an
-// answer to a call that was sent before may never come.
-var errAbandoned = errors.New("the call was sent while the store was out of reach")
+// errAbandoned means that a call was canceled because the store seems to be reachable again: a call
+// sent during the outage may never be answered.
+var errAbandoned = errors.New("call canceled: it was sent before the store became reachable again")
 
-// answerGrace is what a call under way has left when the store seems to be back: one
-// that was sent just now is answered within it (two regions, 25 ms each way).
-const answerGrace = 150 * time.Millisecond
+// abandonGrace is how much longer a call in flight may take once the store seems to be reachable
+// again: a call sent just now is answered within it (two regions, 25 ms each way).
+const abandonGrace = 150 * time.Millisecond
 
-// abandonable makes a call that is given up with errAbandoned once woken is closed.
-func abandonable[T any](ctx context.Context, woken <-chan struct{}, call func(context.Context) (T, error)) (T, error) {
+// callUntilRecovered makes a call and cancels it with errAbandoned, after abandonGrace, once
+// recovered is closed.
+func callUntilRecovered[T any](ctx context.Context, recovered <-chan struct{}, call func(context.Context) (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
@@ -30,12 +31,12 @@
 	select {
 	case got := <-results:
 		return got.value, got.err
-	case <-woken:
+	case <-recovered:
 	}
 	select {
 	case got := <-results:
 		return got.value, got.err
-	case <-time.After(answerGrace):
+	case <-time.After(abandonGrace):
 		return *new(T), errAbandoned
 	}
 }
--- a/internal/catalog/backoff.go
+++ b/internal/catalog/backoff.go
@@ -7,65 +7,64 @@
 )
 
 const (
-	// firstPause is the pause after a failed call to the store; it doubles up to
-	// longestPause, or to longestFirstPause as long as nothing is known: callers wait
-	// for that.
-	firstPause        = 100 * time.Millisecond
-	longestPause      = 800 * time.Millisecond
-	longestFirstPause = 400 * time.Millisecond
-	// pausePerCaller bounds what many nodes ask of a store that fails: the longest pause
-	// grows by it with each node, up to longestSharedPause, which together with a watch
-	// that hangs stays below the shortest time that the users give a node after an
-	// outage (5 s, contactMs of their smaller deployments).
-	pausePerCaller     = 25 * time.Millisecond
-	longestSharedPause = 2400 * time.Millisecond
-	// patiencePerCaller is what each node adds to the longest time for which followers wait for a node
-	// that has heard nothing of the store lately, up to longestPatience: where the store is away for a
-	// moment, all of them would turn to it at once. They wait for random parts of that.
-	patiencePerCaller = 1200 * time.Microsecond
-	longestPatience   = 1200 * time.Millisecond
-	// longestSleep bounds a wait for the next call: another feed may have found the
-	// store in the meantime, or another node.
-	longestSleep = 300 * time.Millisecond
-	// suspectAfter is for how long calls have to fail before those under way are given
-	// up at the first answer: a single call that failed says nothing of the others.
-	suspectAfter = time.Second
-	// lostAfter is for how long a node has heard nothing of the store before it counts as
-	// lost. It is longer than others take to notice that they are no longer in touch.
-	lostAfter = 2 * time.Second
-	// failuresOnceReachable takes the place of the number of failures when there is a
-	// sign that the store is within reach: the pauses grow anew from the second one.
-	failuresOnceReachable = 2
-	// contactAge is how old the latest answer of the store may be for the node to count
-	// as in touch: more than what a follower of a node hears (relayWait, and the age of
-	// what it is told).
-	contactAge = 1500 * time.Millisecond
+	// initialBackoff is the delay after a failed call to the store. It doubles up to maxBackoff, or
+	// up to maxInitialListBackoff until the first list has succeeded: requests wait for that list.
+	initialBackoff        = 100 * time.Millisecond
+	maxBackoff            = 800 * time.Millisecond
+	maxInitialListBackoff = 400 * time.Millisecond
+	// backoffPerNode bounds the load of many nodes on a failing store: the maximum delay grows by
+	// it for each node, up to maxSharedBackoff. Together with a watch that hangs, maxSharedBackoff
+	// stays below the shortest time in which a deployment expects a node to recover from an outage
+	// (5 s, contactMs of the smaller deployments).
+	backoffPerNode   = 25 * time.Millisecond
+	maxSharedBackoff = 2400 * time.Millisecond
+	// catchUpWaitPerNode is what each node adds to the longest time for which followers wait for a
+	// peer whose data is outdated, up to maxCatchUpWait: if the store is unavailable for a moment,
+	// all of them would otherwise call it at once. Each waits for a random part of that time.
+	catchUpWaitPerNode = 1200 * time.Microsecond
+	maxCatchUpWait     = 1200 * time.Millisecond
+	// maxSleep bounds a wait for the next call: another feed or another node may have reached the
+	// store in the meantime.
+	maxSleep = 300 * time.Millisecond
+	// outageThreshold is how long calls must have failed before the first answer cancels those in
+	// flight: a single failed call says nothing about the others.
+	outageThreshold = time.Second
+	// disconnectedAfter is how long a node must have received no data of the store to count as
+	// disconnected. It is longer than other nodes take to notice that they are not up to date
+	// (maxContactAge).
+	disconnectedAfter = 2 * time.Second
+	// failuresAfterRecovery replaces the number of failures when the store seems to be reachable
+	// again: the delays grow from the second one on.
+	failuresAfterRecovery = 2
+	// maxContactAge is the maximum age of the latest data of the store for the node to count as up
+	// to date. It exceeds the age of what a follower receives from a node (relayWait plus the age
+	// of that node's data).
+	maxContactAge = 1500 * time.Millisecond
 )
 
-// Backoff spaces the calls to a store that fails, for all feeds of a node together: one
-// call tells for all of them whether the store is back. The zero value makes no pause.
-// It is safe for concurrent use.
+// Backoff spaces the calls to a failing store for all feeds of a node together: one call probes the
+// store on behalf of all of them. The zero value adds no delay. It is safe for concurrent use.
 type Backoff struct {
 	mutex    sync.Mutex
 	callers  int
 	failures int
 	nextAt   time.Time
-	// failingSince is when the first of the failed calls ended, heardAt when the store
-	// told what is known, to this node or to the one that it follows.
-	failingSince, heardAt time.Time
-	// woken is closed when the store seems to be back.
-	woken chan struct{}
+	// failingSince is when the first of the failed calls ended. dataAt is when the store returned
+	// the latest known data, to this node or to the node that it follows.
+	failingSince, dataAt time.Time
+	// recovered is closed when the store seems to be reachable again.
+	recovered chan struct{}
 }
 
-// SetCallers sets how many nodes call the store.
+// SetCallers sets the number of nodes that call the store.
 func (b *Backoff) SetCallers(count int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.callers = count
 }
 
-// Reserve returns how long the next call has to wait; zero if the caller is to make it.
-// The others wait for its result.
+// Reserve returns how long to wait before the next call, or zero if the caller is to make that
+// call. The other callers wait for its result.
 func (b *Backoff) Reserve(now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -75,11 +74,11 @@
 	if wait := b.nextAt.Sub(now); wait > 0 {
 		return wait
 	}
-	b.nextAt = now.Add(b.pause())
+	b.nextAt = now.Add(b.delay())
 	return 0
 }
 
-// Failed notes that a call has failed.
+// Failed records that a call has failed.
 func (b *Backoff) Failed(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -87,80 +86,81 @@
 		b.failingSince = now
 	}
 	b.failures++
-	b.nextAt = now.Add(b.pause())
+	b.nextAt = now.Add(b.delay())
 }
 
-// Succeeded notes that the store has answered: all feeds may call it at once.
+// Succeeded records that the store has answered: all feeds may call it immediately.
 func (b *Backoff) Succeeded(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.failures > 0 && now.Sub(b.failingSince) >= suspectAfter {
-		b.endWaits()
+	if b.failures > 0 && now.Sub(b.failingSince) >= outageThreshold {
+		b.signalRecovery()
 	}
 	b.failures = 0
 }
 
-// Restored notes that the store has come back from a copy: all feeds read it anew at once.
+// Restored records that the store was restored from a backup: all feeds read it again immediately.
 func (b *Backoff) Restored() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.failures = 0
-	b.endWaits()
+	b.signalRecovery()
 }
 
-// Wake notes a sign that the store is within reach again: the next call does not wait,
-// and the pauses after it begin short. It does nothing while no call fails.
+// Wake records a sign that the store is reachable again: the next call does not wait, and the
+// delays after it start short. It does nothing if the latest call succeeded.
 func (b *Backoff) Wake(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.failures > 0 {
-		b.wakeUp(now)
+		b.retryNow(now)
 	}
 }
 
-func (b *Backoff) wakeUp(now time.Time) {
-	b.failures = min(b.failures, failuresOnceReachable)
+func (b *Backoff) retryNow(now time.Time) {
+	b.failures = min(b.failures, failuresAfterRecovery)
 	b.nextAt = now
-	b.endWaits()
+	b.signalRecovery()
 }
 
-// endWaits lets what waits for the store, or for an answer from it, begin anew.
-func (b *Backoff) endWaits() {
-	if b.woken != nil {
-		close(b.woken)
-		b.woken = nil
+// signalRecovery ends all waits for the next call and cancels the calls in flight, so that new ones
+// are made.
+func (b *Backoff) signalRecovery() {
+	if b.recovered != nil {
+		close(b.recovered)
+		b.recovered = nil
 	}
 }
 
-// Woken returns a channel that is closed when the store seems to be back. Calls that
-// were sent before may hang for longer than it takes to make them anew.
+// Woken returns a channel that is closed when the store seems to be reachable again. Calls sent
+// before that may hang for longer than a new call takes.
 func (b *Backoff) Woken() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.woken == nil {
-		b.woken = make(chan struct{})
+	if b.recovered == nil {
+		b.recovered = make(chan struct{})
 	}
-	return b.woken
+	return b.recovered
 }
 
-// Heard notes when the store told what a feed knows by now. To the other feeds of a node
-// that was lost it is a sign that the store is within reach.
-func (b *Backoff) Heard(told, now time.Time) {
+// Heard records that a feed holds the data of the store as of a time. If the node was disconnected,
+// its other feeds take that as a sign that the store is reachable again.
+func (b *Backoff) Heard(asOf, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.lost(now) {
-		b.wakeUp(now)
+	if b.disconnected(now) {
+		b.retryNow(now)
 	}
-	if told.After(b.heardAt) {
-		b.heardAt = told
+	if asOf.After(b.dataAt) {
+		b.dataAt = asOf
 	}
 }
 
-// InTouch reports whether the node knows what the store told lately.
+// InTouch reports whether the node holds recent data of the store.
 func (b *Backoff) InTouch(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return now.Sub(b.heardAt) < contactAge
+	return now.Sub(b.dataAt) < maxContactAge
 }
 
 // Failing reports whether the latest call to the store has failed.
@@ -170,30 +170,31 @@
 	return b.failures > 0
 }
 
-// Suspected returns how long the next call has to wait if calls have begun to fail so lately that the
-// store may only have been away for a moment; false else.
-func (b *Backoff) Suspected(now time.Time) (wait time.Duration, suspected bool) {
+// Suspected returns how long to wait before the next call, and true, if calls began to fail so
+// recently that the store may only have been unavailable for a moment.
+func (b *Backoff) Suspected(now time.Time) (wait time.Duration, transient bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if !b.suspected(now) {
+	if !b.transientFailure(now) {
 		return 0, false
 	}
 	return max(b.nextAt.Sub(now), 0), true
 }
 
-func (b *Backoff) suspected(now time.Time) bool {
-	return b.failures > 0 && now.Sub(b.failingSince) < suspectAfter
+func (b *Backoff) transientFailure(now time.Time) bool {
+	return b.failures > 0 && now.Sub(b.failingSince) < outageThreshold
 }
 
-// Patience returns how long a node waits for another one that has heard nothing of the store lately:
-// until its own next call where calls have begun to fail, not at all once they have failed for a while.
-// A store that is out of reach for some nodes is heard of at others, which have to be found.
+// Patience returns how long to wait for a peer whose data is outdated: a random time if no call has
+// failed, until this node's next call if calls have just begun to fail, and not at all once they have
+// failed for outageThreshold. A store that some nodes cannot reach may be reachable for others, which
+// have to be found.
 func (b *Backoff) Patience(now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	longest := min(time.Duration(b.callers)*patiencePerCaller, longestPatience)
+	longest := min(time.Duration(b.callers)*catchUpWaitPerNode, maxCatchUpWait)
 	switch {
-	case b.suspected(now):
+	case b.transientFailure(now):
 		return min(max(b.nextAt.Sub(now), 0), longest)
 	case b.failures == 0 && longest > 0:
 		return rand.N(longest)
@@ -201,26 +202,26 @@
 	return 0
 }
 
-// Lost reports whether calls to the store have failed for a while and no other node has
-// told anything in its place.
+// Lost reports whether calls to the store have failed for a while and no other node has provided
+// data instead.
 func (b *Backoff) Lost(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.lost(now)
+	return b.disconnected(now)
 }
 
-func (b *Backoff) lost(now time.Time) bool {
-	return b.failures > 0 && now.Sub(b.failingSince) >= lostAfter && now.Sub(b.heardAt) >= lostAfter
+func (b *Backoff) disconnected(now time.Time) bool {
+	return b.failures > 0 && now.Sub(b.failingSince) >= disconnectedAfter && now.Sub(b.dataAt) >= disconnectedAfter
 }
 
-func (b *Backoff) pause() time.Duration {
-	longest := min(max(longestPause, time.Duration(b.callers)*pausePerCaller), longestSharedPause)
-	return pauseAfter(b.failures, longest)
+func (b *Backoff) delay() time.Duration {
+	longest := min(max(maxBackoff, time.Duration(b.callers)*backoffPerNode), maxSharedBackoff)
+	return backoffDelay(b.failures, longest)
 }
 
-// pauseAfter returns the pause after so many failed calls in a row, one at least. It
-// spreads the calls of nodes for which the store failed together.
-func pauseAfter(failures int, longest time.Duration) time.Duration {
-	pause := min(firstPause<<min(failures-1, 10), longest)
-	return pause/2 + rand.N(pause/2)
+// backoffDelay returns the delay after a number of consecutive failed calls (at least one). It is
+// random, so that nodes whose calls failed at the same time do not retry at the same time.
+func backoffDelay(failures int, longest time.Duration) time.Duration {
+	delay := min(initialBackoff<<min(failures-1, 10), longest)
+	return delay/2 + rand.N(delay/2)
 }
--- a/internal/catalog/backoff_test.go
+++ b/internal/catalog/backoff_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOneFeedCallsForAll(t *testing.T) {
+func TestBackoffAllowsOneCallAtATime(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var backoff Backoff
@@ -17,18 +17,18 @@
 	is.Equal(backoff.Reserve(now), time.Duration(0)) // no failure, no pause
 	backoff.Failed(now)
 	is.True(backoff.Reserve(now) > 0)
-	now = now.Add(firstPause)
+	now = now.Add(initialBackoff)
 	is.Equal(backoff.Reserve(now), time.Duration(0))
-	is.True(backoff.Reserve(now) > 0) // the other feed waits for the result
+	is.True(backoff.Reserve(now) > 0) // another feed waits for the result of this call
 	backoff.Succeeded(now)
 	is.Equal(backoff.Reserve(now), time.Duration(0))
 }
 
-func TestPausesGrowWithTheNumberOfNodes(t *testing.T) {
+func TestBackoffGrowsWithNodeCount(t *testing.T) {
 	for _, test := range []struct {
 		nodes   int
 		longest time.Duration
-	}{{0, longestPause}, {9, longestPause}, {64, 1600 * time.Millisecond}, {1000, longestSharedPause}} {
+	}{{0, maxBackoff}, {9, maxBackoff}, {64, 1600 * time.Millisecond}, {1000, maxSharedBackoff}} {
 		is := is.New(t)
 		var backoff Backoff
 		backoff.SetCallers(test.nodes)
@@ -42,9 +42,9 @@
 	}
 }
 
-// With many nodes, each calls a store that is away seldom, for both feeds together, and
-// has the changes in good time when it is back.
-func TestFeedsOfANodeShareTheirCallsToAStoreThatIsAway(t *testing.T) {
+// With many nodes, each node rarely calls an unavailable store, once for both feeds, and still
+// receives the changes soon after it recovers.
+func TestFeedsShareBackoffDuringOutage(t *testing.T) {
 	const outage = 20 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,7 +57,7 @@
 		for range 2 {
 			feed, sink := newMemoryFeed(), &memorySink{}
 			feed.set("main", "one")
-			follower := NewFollower("test", feed, sink, uncounted{})
+			follower := NewFollower("test", feed, sink, noopObserver{})
 			follower.ShareBackoff(&backoff)
 			go follower.Run(ctx)
 			feeds, sinks = append(feeds, feed), append(sinks, sink)
@@ -65,36 +65,36 @@
 		synctest.Wait()
 		for _, feed := range feeds {
 			feed.configure(func() { feed.fail, feed.stale, feed.fresh = true, 0, 0 })
-			feed.set("other", "one") // ends the watch under way
+			feed.set("other", "one") // ends the watch in flight
 		}
 		time.Sleep(outage)
 		calls := 0
 		for _, feed := range feeds {
 			feed.configure(func() { calls += feed.lists - 1 + feed.stale + feed.fresh })
 		}
-		is.True(calls <= int(outage/(longestSharedPause/2))+8) // the first pauses are shorter
+		is.True(calls <= int(outage/(maxSharedBackoff/2))+8) // the first delays are shorter
 		for _, feed := range feeds {
 			feed.set("main", "two")
 			feed.configure(func() { feed.fail = false })
 		}
-		time.Sleep(longestSharedPause + longestSleep)
+		time.Sleep(maxSharedBackoff + maxSleep)
 		for _, sink := range sinks {
 			is.Equal(sink.get(), "two")
 		}
 	})
 }
 
-// Guards against nodes that wait for one another while only some are cut off from the store: none of
-// them comes to one that still hears of it.
-func TestNobodyIsWaitedForOnceCallsHaveFailedForAWhile(t *testing.T) {
+// Guards against nodes that wait for each other while only some of them are cut off from the store,
+// so that none of them reaches a node that still has current data.
+func TestNoCatchUpWaitDuringOutage(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	var backoff Backoff
 	backoff.SetCallers(300)
-	is.True(backoff.Patience(now) <= longestPatience)
+	is.True(backoff.Patience(now) <= maxCatchUpWait)
 	backoff.Failed(now)
 	is.True(backoff.Patience(now) > 0)
-	for after := suspectAfter; after < 10*time.Second; after += 700 * time.Millisecond {
+	for after := outageThreshold; after < 10*time.Second; after += 700 * time.Millisecond {
 		backoff.Failed(now.Add(after))
 		is.Equal(backoff.Patience(now.Add(after)), time.Duration(0))
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog keeps the configuration and the list of servers current from a
-// store that lists, and tells what has changed since a revision.
+// Package catalog keeps a local copy of the objects of a store (routing tables, servers and others)
+// current by list and watch. Nodes may take changes from a peer instead of the store.
 package catalog
 
 import (
@@ -12,67 +12,68 @@
 type Change[T any] struct {
 	Name    string
 	Removed bool
-	// Unreadable is set, together with Removed, if the object is still there but can't be
-	// understood any more.
+	// Unreadable is set, together with Removed, if the object still exists but can no longer be
+	// decoded.
 	Unreadable bool
 	Value      T
 }
 
-// Flaw is an object of a feed that can't be understood: another writer may have made it.
+// Flaw describes an object of a feed that cannot be decoded, for example because another client
+// wrote it.
 type Flaw struct {
-	// Name is empty where not even that can be read.
+	// Name is empty if not even the name can be read.
 	Name  string
 	Cause string
 }
 
-// Page is a part of the state of a kind of objects.
+// Page is one page of the list of a kind of objects.
 type Page[T any] struct {
 	Items []T
-	// Flaws are the objects that can't be understood; Items lacks them.
+	// Flaws are the objects that cannot be decoded. They are not in Items.
 	Flaws []Flaw
-	// Revision is the state of the store when the page was read.
+	// Revision is the revision of the store when the page was read.
 	Revision Revision
-	// Next is the name after which the state goes on; empty at its end.
+	// Next is the name after which the next page starts; empty on the last page.
 	Next string
 }
 
-// Changes are what happened to a kind of objects up to a revision.
+// Changes are the changes of a kind of objects up to a revision.
 type Changes[T any] struct {
 	Changes []Change[T]
-	// Flaws are the objects among the changes that can't be understood.
+	// Flaws are the changed objects that cannot be decoded.
 	Flaws    []Flaw
 	Revision Revision
-	// Whole means that Changes are all objects of the kind, without names: the node that
-	// tells no longer knows what happened since the revision that was asked for.
+	// Whole means that Changes are all objects of the kind, without names: the answering node no
+	// longer has the history since the requested revision.
 	Whole bool
-	// Age is how long ago the store itself told of this revision; zero for
-	// answers of the store. FreshAge is the same for its answers that may not lag.
+	// Age is how long ago the store returned this revision; zero if the answer comes from the store
+	// itself. FreshAge is the same for the latest answer of the store that could not be stale.
 	Age, FreshAge time.Duration
 }
 
 // WatchRequest asks for the changes after a revision.
 type WatchRequest struct {
 	After Revision
-	// Wait is how long the store waits for a change.
+	// Wait is how long the store waits for a change before it returns none.
 	Wait time.Duration
 	// Stale allows an answer that lags behind the store; it is cheaper.
 	Stale bool
-	// Patience is how long another node that knows nothing recent may wait until it does.
+	// Patience is how long a peer whose data is outdated may wait to catch up before it answers.
 	Patience time.Duration
 }
 
-// ErrHistoryGone means that the store no longer knows what happened since the
-// revision: the state has to be listed again.
+// ErrHistoryGone means that the store no longer has the history since the revision: the state must
+// be listed again.
 var ErrHistoryGone = errors.New("the history since this revision is gone")
 
-// ErrOlder means that an answer tells of a state before the known one.
+// ErrOlder means that an answer is of an earlier revision than the known one.
 var ErrOlder = errors.New("the answer is older than what is known")
 
-// ErrNewEra means that the store has come back from a copy since the revision: the state has to be
+// ErrNewEra means that the store was restored from a backup after the revision: the state must be
 // listed again.
 var ErrNewEra = errors.New("the store has been restored since this revision")
 
-// Outcome is how a call to the store ended, for logs and metrics.
+// Outcome is the result of a call to the store, for logs and metrics.
 type Outcome string
 
 // Outcomes of calls.
@@ -84,7 +85,7 @@
 	OutcomeFailed      Outcome = "failed"
 )
 
-// OutcomeOf returns the outcome of a call that ended with the error, or with nil.
+// OutcomeOf returns the outcome of a call that returned err, which may be nil.
 func OutcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
@@ -101,72 +102,73 @@
 
 // Feed reads one kind of objects from a store.
 type Feed[T any] interface {
-	// List returns the objects after a name, or the first ones without a name, not
+	// List returns the objects after a name, or the first ones if it is empty. The result is not
 	// older than the call.
 	List(ctx context.Context, after string) (Page[T], error)
 	Watcher[T]
 }
 
-// StaleLister is a feed whose first list may lag behind the store, which costs a tenth.
-// It is for kinds that are read for late changes rather than for what is there at the
-// start: a lag ends with the trouble of the store, as that of a stale watch does.
+// StaleLister is a feed whose first list may lag behind the store, which costs a tenth. It is for
+// kinds of which later changes matter more than the state at startup: the lag ends when the store
+// works normally again, as that of a stale watch does.
 type StaleLister[T any] interface {
-	// ListStale is List, but for its age.
+	// ListStale is List without the guarantee that the result is not older than the call.
 	ListStale(ctx context.Context, after string) (Page[T], error)
 }
 
-// Watcher tells what happens to one kind of objects.
+// Watcher returns the changes of one kind of objects.
 type Watcher[T any] interface {
-	// Watch returns the changes after a revision, as soon as there are any, or
-	// none after the wait.
+	// Watch returns the changes after a revision as soon as there are any, or none after
+	// request.Wait.
 	Watch(ctx context.Context, request WatchRequest) (Changes[T], error)
 }
 
-// Relay lets the nodes that read the store spare the others from it: a follower
-// takes changes from another node where there is one to follow, and publishes
-// what it learns from the store.
+// Relay reduces the load on the store: a few nodes read it and the others follow these. A follower
+// takes changes from a peer if there is one to follow, and publishes what it reads from the store
+// itself.
 type Relay[T any] interface {
-	// Source returns another node to follow; nil if the store is to be asked.
+	// Source returns the peer to follow, or nil if the store is to be called.
 	Source() Watcher[T]
-	// Publish is told the changes after a revision that the store has answered,
-	// and whether the answer could not lag.
+	// Publish passes on the changes after a revision that the store returned. fresh means that the
+	// answer could not be stale.
 	Publish(after Revision, changes Changes[T], fresh bool)
-	// StoreFailed is told that the store did not answer.
+	// StoreFailed records that the store did not answer.
 	StoreFailed()
 	// Followed reports whether other nodes follow this one.
 	Followed() bool
-	// Reads reports whether this node asks the store even while that answers: it follows none.
+	// Reads reports whether this node calls the store even while the store answers, so that it
+	// follows no peer.
 	Reads() bool
 }
 
-// Sink takes the state that a follower learns.
+// Sink receives the state that a follower reads.
 type Sink[T any] interface {
-	// Replace takes a whole list. After an outage of the store it may lack objects
-	// that ran out meanwhile and are written again soon.
+	// Replace sets the full state. After an outage of the store the list may lack objects that
+	// expired during the outage and will be written again soon.
 	Replace(items []T, afterOutage bool)
-	// Resumed is told that changes go on after an outage without a list. Removals may
-	// then be of objects that ran out meanwhile and are written again soon.
+	// Resumed is called when changes continue after an outage without a new list. Objects may then
+	// be removed that expired during the outage and will be written again soon.
 	Resumed()
 	Apply(change Change[T])
 }
 
-// RestoredSink is a sink that does not take a restored store at its word: what the copy lacks may
-// not have been removed, and what it holds may have been.
+// RestoredSink is a sink that handles the restore of the store from a backup: objects that the
+// backup lacks may still exist, and objects that it contains may have been removed.
 type RestoredSink[T any] interface {
-	// ReplaceRestored takes the first whole list of a later era, in place of Replace.
+	// ReplaceRestored is called instead of Replace for the first full list of a later era.
 	ReplaceRestored(items []T)
 }
 
-// Differ is a sink that can tell what a list changes, so that followers of this node need not
-// take over the whole state when it has to list once more.
+// Differ is a sink that can compute what a list changes, so that followers of this node do not need
+// the full state after this node has listed again.
 type Differ[T any] interface {
-	// Differences returns the changes that lead from what the sink holds to the list.
+	// Differences returns the changes that turn the state of the sink into the list.
 	Differences(items []T) []Change[T]
 }
 
-// RevisionSink is a sink that wants to know how current it is.
+// RevisionSink is a sink that is told how current it is.
 type RevisionSink interface {
-	// Reached is told, after the changes themselves, that the sink holds all of them up
-	// to a revision, as the store told at the given time.
-	Reached(revision Revision, told time.Time)
+	// Reached is called after the changes themselves. The sink then holds all changes up to the
+	// revision, as the store returned them at the given time.
+	Reached(revision Revision, asOf time.Time)
 }
--- a/internal/catalog/era.go
+++ b/internal/catalog/era.go
@@ -10,90 +10,91 @@
 	"k8s.io/klog/v2"
 )
 
-// Era tells the times apart between which the store has come back from a copy and has lost what
-// it had acknowledged since that was made. Zero is a store that does not tell.
+// Era counts the restores of the store from a backup, each of which loses the writes acknowledged
+// since that backup was made. Zero means that the store does not report its era.
 type Era uint32
 
 const (
-	// OldestCopy is more than the age of a copy from which the store may come back: what has happened
-	// since then may be lost with it.
+	// OldestCopy is above the age of any backup from which the store may be restored: writes of
+	// that time may be lost with a restore.
 	OldestCopy = time.Minute
-	// RewriteTime is how long after its return the store may lack what operators have written, and hold what
-	// they have removed: they do that again.
+	// RewriteTime is how long after a restore the store may lack objects that operators have
+	// written and still hold objects that they have removed: they repeat both within this time.
 	RewriteTime = 10 * time.Second
 )
 
-// Revision orders the states of the store: by era, and within one by the store's own counter,
-// which goes back when the store is restored. Both are one number, so that neither is compared,
-// kept or passed on without the other. Zero is no revision.
+// Revision orders the states of the store by era and, within an era, by the store's own counter,
+// which goes back when the store is restored. Both are in one number, so that neither is compared,
+// stored or passed on without the other. Zero is no revision.
 type Revision uint64
 
 const (
-	// numberBits hold the store's counter, the bits above them the era.
+	// numberBits are the low bits, which hold the store's counter; the bits above hold the era.
 	numberBits = 40
-	// LatestEra and LargestNumber are the largest that a Revision holds.
+	// LatestEra and LargestNumber are the largest values that fit into a Revision.
 	LatestEra     = Era(1<<(64-numberBits) - 1)
 	LargestNumber = uint64(1<<numberBits - 1)
 )
 
-// NewRevision returns the revision of a number of the store's counter in an era. Larger ones than
-// LatestEra and LargestNumber count as these.
+// NewRevision returns the revision of an era and a value of the store's counter. Values above
+// LatestEra and LargestNumber are clamped.
 func NewRevision(era Era, number uint64) Revision {
 	return Revision(uint64(min(era, LatestEra))<<numberBits | min(number, LargestNumber))
 }
 
-// Era returns the era of the state.
+// Era returns the era of the revision.
 func (r Revision) Era() Era { return Era(r >> numberBits) }
 
 // Number returns the store's counter.
 func (r Revision) Number() uint64 { return uint64(r) & LargestNumber }
 
-// Precedes reports whether the state is of an era before the other's. Changes don't lead from
-// one to the other then.
+// Precedes reports whether the revision is of an earlier era than the other. No changes lead from
+// one era to another.
 func (r Revision) Precedes(other Revision) bool { return r.Era() < other.Era() }
 
-// Eras holds the latest era that a node has heard of, from the store or from another node. The
-// zero value has heard of none. It is safe for concurrent use.
+// Eras tracks the latest era that a node has seen, in answers of the store or of a peer. The zero
+// value has seen none. It is safe for concurrent use.
 type Eras struct {
 	latest atomic.Uint32
 
 	mutex sync.Mutex
-	// restored are told each later era.
-	restored []func(Era)
-	// feeds are the latest lists of a restored store, by feed.
-	feeds map[string]RestoredFeed
+	// onRestore is called with each later era.
+	onRestore []func(Era)
+	// restoredFeeds holds the first list of each feed since the latest restore, by feed.
+	restoredFeeds map[string]RestoredFeed
 }
 
-// RestoredFeed is the first list of a feed since the store was restored last, for operators.
+// RestoredFeed describes the first list of a feed since the latest restore of the store, for
+// operators.
 type RestoredFeed struct {
 	Feed string
-	// Era and Revision are those of the list, EraBefore and RevisionBefore what was known.
+	// Era and Revision are those of the list, EraBefore and RevisionBefore those known before it.
 	Era, EraBefore           Era
 	Revision, RevisionBefore uint64
-	// SecondsAgo is when it was read.
+	// SecondsAgo is the age of the list.
 	SecondsAgo float64
 	at         time.Time
 }
 
-// noteFeed keeps that a feed has been listed in a later era.
-func (e *Eras) noteFeed(feed string, before, after Revision, now time.Time) {
+// recordRestoredFeed records that a feed was listed in a later era.
+func (e *Eras) recordRestoredFeed(feed string, before, after Revision, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.feeds == nil {
-		e.feeds = make(map[string]RestoredFeed)
+	if e.restoredFeeds == nil {
+		e.restoredFeeds = make(map[string]RestoredFeed)
 	}
-	e.feeds[feed] = RestoredFeed{
+	e.restoredFeeds[feed] = RestoredFeed{
 		Feed: feed, Era: after.Era(), EraBefore: before.Era(), Revision: after.Number(), RevisionBefore: before.Number(), at: now,
 	}
 }
 
-// Describe returns the feeds that have been listed since the store was restored, in order.
+// Describe returns the feeds that were listed since the latest restore, by name.
 func (e *Eras) Describe(now time.Time) []RestoredFeed {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	described := make([]RestoredFeed, 0, len(e.feeds))
-	for _, name := range slices.Sorted(maps.Keys(e.feeds)) {
-		feed := e.feeds[name]
+	described := make([]RestoredFeed, 0, len(e.restoredFeeds))
+	for _, name := range slices.Sorted(maps.Keys(e.restoredFeeds)) {
+		feed := e.restoredFeeds[name]
 		feed.SecondsAgo = now.Sub(feed.at).Seconds()
 		described = append(described, feed)
 	}
@@ -103,15 +104,15 @@
 // Latest returns the latest era.
 func (e *Eras) Latest() Era { return Era(e.latest.Load()) }
 
-// OnRestore adds a function that is called with each later era than one that is known, before Hear
-// returns. It must not wait, nor call Eras.
+// OnRestore adds a function that is called, before Hear returns, with each era that is later than a
+// known one. It must not block or call methods of Eras.
 func (e *Eras) OnRestore(restored func(Era)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.restored = append(e.restored, restored)
+	e.onRestore = append(e.onRestore, restored)
 }
 
-// Hear takes in an era.
+// Hear records an era seen in an answer.
 func (e *Eras) Hear(era Era) {
 	if era <= e.Latest() {
 		return
@@ -128,7 +129,7 @@
 		return
 	}
 	klog.InfoS("store restored from a copy", "era", era, "before", before)
-	for _, restored := range e.restored {
+	for _, restored := range e.onRestore {
 		restored(era)
 	}
 }
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -7,98 +7,98 @@
 	"k8s.io/klog/v2"
 )
 
-// followNode takes changes from another node. It returns false if there is none
-// to follow, or none that answers: then the store has to be asked at once.
-func (f *Follower[T]) followNode(ctx context.Context) bool {
+// followPeer takes changes from another node. It returns false if there is none to follow or none
+// answers: then the store must be called immediately.
+func (f *Follower[T]) followPeer(ctx context.Context) bool {
 	if f.relay == nil {
 		return false
 	}
-	for range sourcesInOutage {
+	for range maxPeersTried {
 		source := f.relay.Source()
 		if source == nil {
 			return false
 		}
-		begun := time.Now()
-		wait, probes := f.probes()
-		if f.followSource(ctx, source, wait) {
-			return !probes
+		start := time.Now()
+		wait, probe := f.peerWait()
+		if f.watchPeer(ctx, source, wait) {
+			return !probe
 		}
-		if !f.backoff.Failing() || time.Since(begun) > quickRefusal {
+		if !f.backoff.Failing() || time.Since(start) > quickRefusal {
 			return false
 		}
 	}
 	return false
 }
 
-// probes reports whether the store is to be called beside the other nodes, and returns how long these may
-// be asked to wait: a store that is away for a moment must not be left to each other by those that
-// read it.
-func (f *Follower[T]) probes() (wait time.Duration, probes bool) {
-	if wait, suspected := f.backoff.Suspected(time.Now()); suspected && f.relay.Reads() {
+// peerWait returns how long a peer may wait for changes, and whether the store is to be called as
+// well: if the store is unavailable for a moment, the nodes that read it must not all wait for each
+// other.
+func (f *Follower[T]) peerWait() (wait time.Duration, probe bool) {
+	if wait, transient := f.backoff.Suspected(time.Now()); transient && f.relay.Reads() {
 		return min(wait, relayWait), true
 	}
 	return relayWait, false
 }
 
-// followSource takes changes from one node; false if it has none to tell.
-func (f *Follower[T]) followSource(ctx context.Context, source Watcher[T], wait time.Duration) bool {
-	request := WatchRequest{After: f.revision, Wait: wait, Patience: f.patience()}
-	ctx, cancel := context.WithTimeout(ctx, max(relayWait, request.Patience)+relayReserve)
+// watchPeer takes changes from one node. It returns false if that node has none to offer.
+func (f *Follower[T]) watchPeer(ctx context.Context, source Watcher[T], wait time.Duration) bool {
+	request := WatchRequest{After: f.revision, Wait: wait, Patience: f.catchUpWait()}
+	ctx, cancel := context.WithTimeout(ctx, max(relayWait, request.Patience)+relayGrace)
 	defer cancel()
-	begun := time.Now()
-	changes, err := abandonable(ctx, f.backoff.Woken(), func(ctx context.Context) (Changes[T], error) {
+	start := time.Now()
+	changes, err := callUntilRecovered(ctx, f.backoff.Woken(), func(ctx context.Context) (Changes[T], error) {
 		return source.Watch(ctx, request)
 	})
 	if err != nil {
 		return false
 	}
 	f.eras.Hear(changes.Revision.Era())
-	if !f.follows(changes) {
+	if !f.accepts(changes) {
 		return false
 	}
 	if changes.Whole {
 		f.replace(changes)
 	} else {
-		f.resume()
+		f.endOutage()
 		f.apply(changes)
 	}
 	f.listed = true
-	f.freshAt = begun.Add(-changes.FreshAge)
+	f.freshAt = start.Add(-changes.FreshAge)
 	return true
 }
 
-// patience returns how long another node may take until it knows something recent.
-func (f *Follower[T]) patience() time.Duration {
-	if f.outlived() {
-		return restoredPatience
+// catchUpWait returns how long a peer with outdated data may wait to catch up.
+func (f *Follower[T]) catchUpWait() time.Duration {
+	if f.fromEarlierEra() {
+		return restoredDelay
 	}
 	return f.backoff.Patience(time.Now())
 }
 
-// follows reports whether what another node tells leads on from the known state.
-func (f *Follower[T]) follows(told Changes[T]) bool {
+// accepts reports whether changes from a peer continue the known state.
+func (f *Follower[T]) accepts(changes Changes[T]) bool {
 	switch {
-	case told.Revision.Era() < f.eras.Latest():
+	case changes.Revision.Era() < f.eras.Latest():
 		return false
-	case told.Whole:
-		return told.Revision >= f.revision
+	case changes.Whole:
+		return changes.Revision >= f.revision
 	}
-	return told.Revision.Era() == f.revision.Era()
+	return changes.Revision.Era() == f.revision.Era()
 }
 
-// replace takes the whole state from another node.
-func (f *Follower[T]) replace(whole Changes[T]) {
-	items := make([]T, len(whole.Changes))
-	for index, change := range whole.Changes {
+// replace takes the full state from a peer.
+func (f *Follower[T]) replace(full Changes[T]) {
+	items := make([]T, len(full.Changes))
+	for index, change := range full.Changes {
 		items[index] = change.Value
 	}
-	f.tell(whole.Flaws)
-	f.take(items, whole.Revision)
-	f.noteReached(time.Now().Add(-whole.Age))
+	f.reportUnreadable(full.Flaws)
+	f.setState(items, full.Revision)
+	f.recordProgress(time.Now().Add(-full.Age))
 	klog.InfoS("state taken over from another node", "feed", f.name, "objects", len(items), "revision", f.revision.Number())
 }
 
-// followed reports whether other nodes follow this one.
-func (f *Follower[T]) followed() bool {
+// hasFollowers reports whether other nodes follow this one.
+func (f *Follower[T]) hasFollowers() bool {
 	return f.relay != nil && f.relay.Followed()
 }
--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -10,54 +10,52 @@
 )
 
 const (
-	// watchWait is how long a watch rests without changes.
+	// watchWait is how long a watch waits for changes.
 	watchWait = 3 * time.Second
-	// watchReserve is how much longer a watch may take before it is taken for lost.
-	watchReserve = 900 * time.Millisecond
-	// freshInterval is how often a watch may not lag behind the store. The others
-	// may, which costs a tenth: the store's lag is small unless it is disturbed,
-	// and this bounds what a larger one does.
+	// watchGrace is how much longer than watchWait a watch may take before it times out.
+	watchGrace = 900 * time.Millisecond
+	// freshInterval is the time between two watches that must not be stale. The others may be,
+	// which costs a tenth: the store's lag is small in normal operation, and this interval bounds
+	// the effect of a larger one.
 	freshInterval = 14 * time.Second
-	// relayWait takes the place of watchWait where other nodes follow this one: it
-	// bounds how old what they are told may be.
+	// relayWait replaces watchWait if other nodes follow this one: it bounds the age of the data
+	// that they receive.
 	relayWait = 600 * time.Millisecond
-	// relayReserve is how much longer than it may take a node that is followed may remain silent before
-	// it is taken for lost.
-	relayReserve = 400 * time.Millisecond
-	relayTimeout = relayWait + relayReserve
-	// relayFreshInterval takes the place of freshInterval there.
+	// relayGrace is how much longer than its wait a peer may take to answer before it times out.
+	relayGrace   = 400 * time.Millisecond
+	relayTimeout = relayWait + relayGrace
+	// relayFreshInterval replaces freshInterval if other nodes follow this one.
 	relayFreshInterval = 5 * time.Second
-	// sourcesInOutage is how many nodes are asked in a row while the store does not answer,
-	// as long as they say within quickRefusal that they know nothing recent either.
-	sourcesInOutage = 2
-	quickRefusal    = 100 * time.Millisecond
-	// probesBeforeList is after how many failed calls the state is listed once more, in
-	// case that the store answers but cannot go on from the known revision.
-	probesBeforeList = 12
-	// relistPatience, and a random part of relistSpread, is how long a long list that is due is
-	// left to other nodes.
-	relistPatience = 2 * time.Second
-	relistSpread   = 4 * time.Second
-	// restoredPatience, and a random part of restoredSpread, takes their place where the store was
-	// restored.
-	restoredPatience = 300 * time.Millisecond
-	restoredSpread   = 700 * time.Millisecond
-	// relistInterval is the least time between two lists that are not called failures: a
-	// store that forgets what it has just listed is left alone for a while.
-	relistInterval = time.Second
+	// maxPeersTried is how many peers are tried in a row while the store does not answer, as long
+	// as each reports within quickRefusal that its data is outdated too.
+	maxPeersTried = 2
+	quickRefusal  = 100 * time.Millisecond
+	// failuresBeforeRelist is the number of failed calls after which the state is listed again, in
+	// case the store answers but cannot continue from the known revision.
+	failuresBeforeRelist = 12
+	// relistDelay plus a random part of relistJitter is how long a node waits for a peer to provide
+	// the state before it repeats a long list itself.
+	relistDelay  = 2 * time.Second
+	relistJitter = 4 * time.Second
+	// restoredDelay and restoredJitter replace them after a restore of the store.
+	restoredDelay  = 300 * time.Millisecond
+	restoredJitter = 700 * time.Millisecond
+	// minRelistInterval is the minimum time between two lists that do not count as failures: a
+	// store that discards its history right after a list is not listed continuously.
+	minRelistInterval = time.Second
 )
 
 // Observer counts calls. Its methods do not block.
 type Observer interface {
-	// StoreCalled is told the end of each call for the feed.
+	// StoreCalled is called at the end of each call for the feed.
 	StoreCalled(feed string, err error)
-	// ObjectUnreadable is told each object of the feed that can't be understood.
+	// ObjectUnreadable is called for each object of the feed that cannot be decoded.
 	ObjectUnreadable(feed string, flaw Flaw)
 }
 
-// Follower keeps a sink current from a feed. It lists once, then watches. After a call
-// that failed it goes on from the revision that it knows, and lists again where the
-// store has forgotten what happened since.
+// Follower keeps a sink current from a feed. It lists once, then watches. After a failed call it
+// continues from the known revision, and lists again if the store no longer has the history since
+// then.
 type Follower[T any] struct {
 	name     string
 	feed     Feed[T]
@@ -65,26 +63,27 @@
 	observer Observer
 	revision Revision
 	listed   bool
-	// listedAt is when the store was listed last, relistAt when it is listed anew at the latest.
+	// listedAt is when the store was listed last. relistAt is the latest time for the next list.
 	listedAt, relistAt time.Time
 	failures           int
 	// outcome is that of the latest call.
 	outcome Outcome
 	// outage is set while the store has not answered since the latest list.
 	outage bool
-	// freshAt is when the state was last known not to lag.
+	// freshAt is when the state was last known not to be stale.
 	freshAt time.Time
-	// relay may be nil: then the store alone is asked.
+	// relay may be nil: then only the store is called.
 	relay Relay[T]
-	// handed may be nil: then the store alone is listed.
-	handed *Handed[T]
-	// settle returns the pause after so many changes, in which more of them gather; nil for none.
-	settle func(changes int) time.Duration
-	// settled ends such a pause.
-	settled <-chan struct{}
-	// backoff spaces the calls to a store that fails.
+	// handover may be nil: then only the store is listed.
+	handover *Handed[T]
+	// batchDelay returns the delay after a number of changes, in which further changes accumulate;
+	// nil for none.
+	batchDelay func(changes int) time.Duration
+	// batchDelayEnd ends such a delay when it is closed.
+	batchDelayEnd <-chan struct{}
+	// backoff spaces the calls to a failing store.
 	backoff *Backoff
-	// eras tells which answers are too old to be believed.
+	// eras tracks the latest era, to reject answers of earlier ones.
 	eras *Eras
 }
 
@@ -93,22 +92,22 @@
 	return &Follower[T]{name: name, feed: feed, sink: sink, observer: observer, backoff: &Backoff{}, eras: &Eras{}}
 }
 
-// Share lets the follower and those of other nodes spare the store.
+// Share sets the relay by which the nodes reduce the load on the store.
 func (f *Follower[T]) Share(relay Relay[T]) { f.relay = relay }
 
-// Bootstrap lets the follower take a long list from another node when it has just started.
-func (f *Follower[T]) Bootstrap(handed *Handed[T]) { f.handed = handed }
+// Bootstrap lets a follower that has just started take a long list from another node.
+func (f *Follower[T]) Bootstrap(handover *Handed[T]) { f.handover = handover }
 
 // ShareBackoff lets the followers of a node's feeds space their calls together.
 func (f *Follower[T]) ShareBackoff(backoff *Backoff) { f.backoff = backoff }
 
-// ShareEras lets the followers of a node's feeds believe in the same era.
+// ShareEras lets the followers of a node's feeds track the same era.
 func (f *Follower[T]) ShareEras(eras *Eras) { f.eras = eras }
 
-// Settle sets the pause after so many changes, in which more of them gather: a call for all
-// of them costs as much as one for each. The pause ends early once ended is closed.
-func (f *Follower[T]) Settle(pause func(changes int) time.Duration, ended <-chan struct{}) {
-	f.settle, f.settled = pause, ended
+// Settle sets the delay after a number of changes, in which further changes accumulate: one call
+// for all of them costs as much as one for each. The delay ends early once ended is closed.
+func (f *Follower[T]) Settle(delay func(changes int) time.Duration, ended <-chan struct{}) {
+	f.batchDelay, f.batchDelayEnd = delay, ended
 }
 
 // Run follows the feed until ctx ends.
@@ -118,22 +117,22 @@
 	}
 }
 
-// step makes one call, or waits for the time of the next one.
+// step makes one call, or waits until the next one is due.
 func (f *Follower[T]) step(ctx context.Context) {
-	f.listed = f.listed && !f.outlived()
-	if f.revision > 0 && !f.leads() && f.followNode(ctx) {
+	f.listed = f.listed && !f.fromEarlierEra()
+	if f.revision > 0 && !f.mustReadRestored() && f.followPeer(ctx) {
 		return
 	}
-	woken := f.backoff.Woken()
-	if f.leavesList() {
-		rest(ctx, longestSleep, woken)
+	recovered := f.backoff.Woken()
+	if f.defersList() {
+		sleepUntil(ctx, maxSleep, recovered)
 		return
 	}
-	if wait := f.wait(); wait > 0 {
-		rest(ctx, min(wait, longestSleep), woken)
+	if wait := f.backoffWait(); wait > 0 {
+		sleepUntil(ctx, min(wait, maxSleep), recovered)
 		return
 	}
-	err := f.ask(ctx)
+	err := f.call(ctx)
 	if ctx.Err() != nil {
 		return
 	}
@@ -141,107 +140,108 @@
 	if errors.Is(err, errAbandoned) || errors.Is(err, ErrNewEra) {
 		return
 	}
-	f.report(err)
-	f.judge(ctx, err)
+	f.logResult(err)
+	f.recordResult(ctx, err)
 }
 
-// outlived reports whether the store was restored since the known state.
-func (f *Follower[T]) outlived() bool {
+// fromEarlierEra reports whether the store was restored after the known state was read.
+func (f *Follower[T]) fromEarlierEra() bool {
 	return f.revision > 0 && f.revision.Era() < f.eras.Latest()
 }
 
-// leads reports whether this node has to read a restored store before it follows others.
-func (f *Follower[T]) leads() bool {
-	return f.outlived() && !f.backoff.Failing() && (f.relay == nil || f.relay.Reads())
+// mustReadRestored reports whether this node must read a restored store before it follows others.
+func (f *Follower[T]) mustReadRestored() bool {
+	return f.fromEarlierEra() && !f.backoff.Failing() && (f.relay == nil || f.relay.Reads())
 }
 
-// leavesList reports whether a state that has to be listed anew is left to the nodes that this
-// one follows: a store that forgets its history must not be listed by all nodes at once. They
-// have listed soon, and tell what has changed.
-func (f *Follower[T]) leavesList() bool {
-	restored := f.outlived()
-	if f.listed || f.handed == nil && !restored || f.leads() || f.revision == 0 || f.relay == nil {
+// defersList reports whether a list that is due is left to the nodes that this one follows: if the
+// store discards its history, not all nodes may list it at once. Those nodes list it soon and pass
+// on the changes.
+func (f *Follower[T]) defersList() bool {
+	restored := f.fromEarlierEra()
+	if f.listed || f.handover == nil && !restored || f.mustReadRestored() || f.revision == 0 || f.relay == nil {
 		f.relistAt = time.Time{}
 		return false
 	}
 	if f.relistAt.IsZero() {
-		patience, spread := relistPatience, relistSpread
+		delay, jitter := relistDelay, relistJitter
 		if restored {
-			patience, spread = restoredPatience, restoredSpread
+			delay, jitter = restoredDelay, restoredJitter
 		}
-		f.relistAt = time.Now().Add(patience + rand.N(spread))
+		f.relistAt = time.Now().Add(delay + rand.N(jitter))
 	}
 	return time.Now().Before(f.relistAt) && f.relay.Source() != nil
 }
 
-// wait returns how long the next call to the store has to wait.
-func (f *Follower[T]) wait() time.Duration {
+// backoffWait returns how long to wait before the next call to the store.
+func (f *Follower[T]) backoffWait() time.Duration {
 	if f.revision == 0 {
 		return 0
 	}
 	return f.backoff.Reserve(time.Now())
 }
 
-// judge takes the end of a call to the store into account. A node that knows nothing yet
-// makes its own pause: callers wait for it.
-func (f *Follower[T]) judge(ctx context.Context, err error) {
-	gone := errors.Is(err, ErrHistoryGone)
-	if err == nil || gone && time.Since(f.listedAt) >= relistInterval {
+// recordResult updates the backoff with the result of a call to the store. A node without any state
+// yet uses its own delay, because requests wait for the first list.
+func (f *Follower[T]) recordResult(ctx context.Context, err error) {
+	historyGone := errors.Is(err, ErrHistoryGone)
+	if err == nil || historyGone && time.Since(f.listedAt) >= minRelistInterval {
 		f.backoff.Succeeded(time.Now())
 		return
 	}
-	// A store that only forgot its history was there all the time.
-	f.outage = f.outage || !gone
+	// The store was available if it has only discarded its history.
+	f.outage = f.outage || !historyGone
 	if f.relay != nil {
 		f.relay.StoreFailed()
 	}
 	if f.revision == 0 {
-		sleep(ctx, pauseAfter(f.failures, longestFirstPause))
+		sleep(ctx, backoffDelay(f.failures, maxInitialListBackoff))
 		return
 	}
 	f.backoff.Failed(time.Now())
 }
 
-// ask makes one call to the store.
-func (f *Follower[T]) ask(ctx context.Context) error {
+// call makes one call to the store.
+func (f *Follower[T]) call(ctx context.Context) error {
 	if !f.listed {
 		return f.list(ctx)
 	}
 	return f.watch(ctx)
 }
 
-// resume notes that changes go on after an outage.
-func (f *Follower[T]) resume() {
+// endOutage records that changes continue after an outage.
+func (f *Follower[T]) endOutage() {
 	if !f.outage {
 		return
 	}
 	f.outage = false
 	f.sink.Resumed()
-	// What the store told before may have lagged: the next watch may not.
+	// What the store returned before may have been stale: the next watch must not be.
 	f.freshAt = time.Time{}
 }
 
-// tell tells the observer of objects that can't be understood.
-func (f *Follower[T]) tell(flaws []Flaw) {
+// reportUnreadable reports objects that cannot be decoded to the observer.
+func (f *Follower[T]) reportUnreadable(flaws []Flaw) {
 	for _, flaw := range flaws {
 		f.observer.ObjectUnreadable(f.name, flaw)
 	}
 }
 
 func (f *Follower[T]) apply(changes Changes[T]) {
-	f.tell(changes.Flaws)
+	f.reportUnreadable(changes.Flaws)
 	for _, change := range changes.Changes {
 		f.sink.Apply(change)
 	}
 	f.revision = max(f.revision, changes.Revision)
-	f.noteReached(time.Now().Add(-changes.Age))
+	f.recordProgress(time.Now().Add(-changes.Age))
 }
 
-// noteReached tells how current the sink is, the sink too if it wants to know.
-func (f *Follower[T]) noteReached(told time.Time) {
-	f.backoff.Heard(told, time.Now())
-	if sink, wants := f.sink.(RevisionSink); wants {
-		sink.Reached(f.revision, told)
+// recordProgress reports how current the sink is, to the backoff and to a sink that implements
+// RevisionSink.
+func (f *Follower[T]) recordProgress(asOf time.Time) {
+	f.backoff.Heard(asOf, time.Now())
+	if sink, ok := f.sink.(RevisionSink); ok {
+		sink.Reached(f.revision, asOf)
 	}
 }
 
@@ -249,10 +249,10 @@
 	request := f.nextWatch()
 	changes, err := f.callWatch(ctx, request)
 	if err != nil {
-		f.listed = !errors.Is(err, ErrHistoryGone) && !errors.Is(err, ErrNewEra) && (f.failures+1)%probesBeforeList != 0
+		f.listed = !errors.Is(err, ErrHistoryGone) && !errors.Is(err, ErrNewEra) && (f.failures+1)%failuresBeforeRelist != 0
 		return err
 	}
-	f.resume()
+	f.endOutage()
 	f.apply(changes)
 	if !request.Stale {
 		f.freshAt = time.Now()
@@ -260,35 +260,36 @@
 	if f.relay != nil {
 		f.relay.Publish(request.After, changes, !request.Stale)
 	}
-	if len(changes.Changes) > 0 && f.settle != nil {
-		rest(ctx, f.settle(len(changes.Changes)), f.settled)
+	if len(changes.Changes) > 0 && f.batchDelay != nil {
+		sleepUntil(ctx, f.batchDelay(len(changes.Changes)), f.batchDelayEnd)
 	}
 	return nil
 }
 
-// nextWatch returns the call to make: a cheap one that does not wait as long as it is
-// not known that the store is back.
+// nextWatch returns the next request: a cheap one that does not wait if it is not known whether the
+// store is reachable again.
 func (f *Follower[T]) nextWatch() WatchRequest {
 	if f.outage || f.backoff.Failing() {
 		return WatchRequest{After: f.revision, Stale: true}
 	}
 	wait, fresh := watchWait, freshInterval
-	if f.followed() {
+	if f.hasFollowers() {
 		wait, fresh = relayWait, relayFreshInterval
 	}
 	return WatchRequest{After: f.revision, Wait: wait, Stale: time.Since(f.freshAt) < fresh}
 }
 
 func (f *Follower[T]) callWatch(ctx context.Context, request WatchRequest) (Changes[T], error) {
-	ctx, cancel := context.WithTimeout(ctx, request.Wait+watchReserve)
+	ctx, cancel := context.WithTimeout(ctx, request.Wait+watchGrace)
 	defer cancel()
-	return abandonable(ctx, f.backoff.Woken(), func(ctx context.Context) (Changes[T], error) {
+	return callUntilRecovered(ctx, f.backoff.Woken(), func(ctx context.Context) (Changes[T], error) {
 		return f.feed.Watch(ctx, request)
 	})
 }
 
-// report logs when the feed is lost, when it fails in another way, and when it is regained.
-func (f *Follower[T]) report(err error) {
+// logResult logs when the store becomes unavailable, when the kind of failure changes, and when the
+// store is available again.
+func (f *Follower[T]) logResult(err error) {
 	outcome := OutcomeOf(err)
 	switch {
 	case err == nil && f.failures > 0:
@@ -306,14 +307,14 @@
 	f.outcome = outcome
 }
 
-// sleep returns after the pause, or when ctx ends.
-func sleep(ctx context.Context, pause time.Duration) { rest(ctx, pause, nil) }
+// sleep returns after the delay, or when ctx ends.
+func sleep(ctx context.Context, delay time.Duration) { sleepUntil(ctx, delay, nil) }
 
-// rest returns after the pause, or when ctx ends or woken is closed.
-func rest(ctx context.Context, pause time.Duration, woken <-chan struct{}) {
+// sleepUntil returns after the delay, or when ctx ends or signal is closed.
+func sleepUntil(ctx context.Context, delay time.Duration, signal <-chan struct{}) {
 	select {
 	case <-ctx.Done():
-	case <-woken:
-	case <-time.After(pause):
+	case <-signal:
+	case <-time.After(delay):
 	}
 }
--- a/internal/catalog/follower_test.go
+++ b/internal/catalog/follower_test.go
@@ -14,10 +14,10 @@
 	"github.com/matryer/is"
 )
 
-// pageSize is the most objects of one page.
+// pageSize is the maximum number of objects on a page.
 const pageSize = 3
 
-// memoryFeed is a feed in memory with the faults of a store.
+// memoryFeed is a feed in memory with injectable faults.
 type memoryFeed struct {
 	mutex    sync.Mutex
 	changed  chan struct{}
@@ -26,11 +26,11 @@
 	changes  []Change[string]
 	// first is the revision of the first change kept.
 	first Revision
-	// hang makes calls wait for their deadline, fail makes them fail.
+	// hang makes calls block until their deadline, fail makes them fail.
 	hang, fail bool
-	// staleBehind is how many revisions stale watches do not see.
+	// staleBehind is the number of revisions by which stale watches lag.
 	staleBehind Revision
-	// delay comes before each page.
+	// delay is the time that each page takes.
 	delay time.Duration
 	lists int
 	fresh int
@@ -51,7 +51,7 @@
 	m.changed = make(chan struct{})
 }
 
-func (m *memoryFeed) forget() {
+func (m *memoryFeed) discardHistory() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.changes = nil
@@ -64,9 +64,9 @@
 	change()
 }
 
-var errStore = errors.New("the store is away")
+var errStore = errors.New("the store is unavailable")
 
-func (m *memoryFeed) trouble(ctx context.Context) error {
+func (m *memoryFeed) fault(ctx context.Context) error {
 	m.mutex.Lock()
 	hang, fail := m.hang, m.fail
 	m.mutex.Unlock()
@@ -81,7 +81,7 @@
 }
 
 func (m *memoryFeed) List(ctx context.Context, after string) (Page[string], error) {
-	if err := m.trouble(ctx); err != nil {
+	if err := m.fault(ctx); err != nil {
 		return Page[string]{}, err
 	}
 	m.mutex.Lock()
@@ -114,7 +114,7 @@
 	m.count(request.Stale)
 	expired := time.After(request.Wait)
 	for {
-		if err := m.trouble(ctx); err != nil {
+		if err := m.fault(ctx); err != nil {
 			return Changes[string]{}, err
 		}
 		changes, changed, err := m.since(request)
@@ -158,13 +158,13 @@
 	return changes, m.changed, nil
 }
 
-// memorySink keeps the values that it was told last.
+// memorySink holds the latest value that it received.
 type memorySink struct {
 	mutex    sync.Mutex
 	last     string
 	size     int
 	replaced int
-	// afterOutage is what the sink was told of the last list.
+	// afterOutage is the argument of the latest Replace.
 	afterOutage bool
 	resumed     int
 }
@@ -198,7 +198,7 @@
 	return m.last
 }
 
-// lists returns how many lists the sink was told, and whether the latest one came
+// lists returns the number of lists that the sink has received, and whether the latest one came
 // after an outage.
 func (m *memorySink) lists() (int, bool) {
 	m.mutex.Lock()
@@ -206,27 +206,27 @@
 	return m.replaced, m.afterOutage
 }
 
-// uncounted is an observer that counts nothing.
-type uncounted struct{}
+// noopObserver ignores all calls.
+type noopObserver struct{}
 
-func (uncounted) ObjectUnreadable(string, Flaw) {}
+func (noopObserver) ObjectUnreadable(string, Flaw) {}
 
-func (uncounted) StoreCalled(string, error) {}
+func (noopObserver) StoreCalled(string, error) {}
 
-func follow(t *testing.T, test func(is *is.I, feed *memoryFeed, sink *memorySink)) {
+func runFollower(t *testing.T, test func(is *is.I, feed *memoryFeed, sink *memorySink)) {
 	synctest.Test(t, func(t *testing.T) {
 		feed, sink := newMemoryFeed(), &memorySink{}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		feed.set("main", "one")
-		go NewFollower("test", feed, sink, uncounted{}).Run(ctx)
+		go NewFollower("test", feed, sink, noopObserver{}).Run(ctx)
 		synctest.Wait()
 		test(is.New(t), feed, sink)
 	})
 }
 
-func TestChangesAreTakenAtOnce(t *testing.T) {
-	follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+func TestChangesAreAppliedImmediately(t *testing.T) {
+	runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 		is.Equal(sink.get(), "one")
 		feed.set("main", "two")
 		synctest.Wait()
@@ -235,57 +235,57 @@
 	})
 }
 
-func TestForgottenHistoryIsListedAgain(t *testing.T) {
-	follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+func TestRelistAfterHistoryGone(t *testing.T) {
+	runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 		feed.configure(func() { feed.fail = true })
 		time.Sleep(2 * watchWait)
 		feed.set("main", "two")
-		feed.forget()
+		feed.discardHistory()
 		feed.configure(func() { feed.fail = false })
-		time.Sleep(2 * longestPause)
+		time.Sleep(2 * maxBackoff)
 		is.Equal(sink.get(), "two")
 	})
 }
 
-// While the store is away, only cheap calls ask whether it is back; then changes go on
-// from the known revision without a list.
-func TestStoreThatIsAwayIsAskedByCheapCalls(t *testing.T) {
-	follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+// While the store is unavailable, only cheap calls check whether it has recovered. Then changes
+// continue from the known revision without a list.
+func TestStaleWatchesProbeUnavailableStore(t *testing.T) {
+	runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 		var fresh, stale int
 		feed.configure(func() { feed.fail, fresh, stale = true, feed.fresh, feed.stale })
-		time.Sleep(watchWait + 3*time.Second) // fewer than probesBeforeList calls
+		time.Sleep(watchWait + 3*time.Second) // fewer than failuresBeforeRelist calls
 		feed.set("main", "two")
 		feed.configure(func() {
 			is.True(feed.stale >= stale+4)
-			is.True(feed.fresh <= fresh+1) // the call under way when the outage began
+			is.True(feed.fresh <= fresh+1) // the call in flight when the outage began
 			feed.fail = false
 		})
-		time.Sleep(longestPause)
+		time.Sleep(maxBackoff)
 		is.Equal(sink.get(), "two")
 		feed.configure(func() { is.Equal(feed.lists, 1) })
 		is.Equal(sink.resumed, 1)
 	})
 }
 
-// A cheap call may lag: right after an outage one follows that may not.
-func TestChangesAfterAnOutageDoNotLag(t *testing.T) {
-	follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+// A cheap call may be stale: the first call after an outage is followed by one that may not.
+func TestFreshWatchAfterOutage(t *testing.T) {
+	runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 		feed.configure(func() { feed.fail = true })
 		time.Sleep(watchWait + time.Second)
 		feed.set("main", "two")
 		feed.configure(func() { feed.fail, feed.staleBehind = false, 1 })
-		time.Sleep(longestPause)
+		time.Sleep(maxBackoff)
 		is.Equal(sink.get(), "two")
 	})
 }
 
-// A list tells whether the store had been away: entries may have run out meanwhile. A
-// store that only forgot its history was there all the time.
-func TestListsTellOfAnOutage(t *testing.T) {
+// Replace reports whether there was an outage of the store, in which objects may have expired. A
+// store that has only discarded its history was available all the time.
+func TestReplaceReportsOutage(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		trouble func(feed *memoryFeed)
-		want    bool
+		name  string
+		fault func(feed *memoryFeed)
+		want  bool
 	}{
 		{"history gone", func(*memoryFeed) {}, false},
 		{"away", func(feed *memoryFeed) {
@@ -294,14 +294,14 @@
 			feed.configure(func() { feed.fail = false })
 		}, true},
 	} {
-		follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+		runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 			lists, outage := sink.lists()
 			is.Equal(lists, 1)
-			is.True(!outage) // the first list of a sound store
-			test.trouble(feed)
+			is.True(!outage) // the first list, without any fault
+			test.fault(feed)
 			feed.set("main", "two")
 			feed.set("main", "three")
-			feed.forget()
+			feed.discardHistory()
 			time.Sleep(3 * watchWait)
 			lists, outage = sink.lists()
 			is.Equal(lists, 2)
@@ -310,9 +310,9 @@
 	}
 }
 
-// A node that knows nothing yet reads again beside a call that hangs: a store that is
-// back answers the newer one.
-func TestFirstListDoesNotWaitForACallThatHangs(t *testing.T) {
+// A node without any state sends another list beside one that hangs: a store that has recovered
+// answers the newer call.
+func TestFirstListIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		feed, sink := newMemoryFeed(), &memorySink{}
@@ -320,7 +320,7 @@
 		feed.configure(func() { feed.hang = true })
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go NewFollower("test", feed, sink, uncounted{}).Run(ctx)
+		go NewFollower("test", feed, sink, noopObserver{}).Run(ctx)
 		time.Sleep(firstListInterval / 2)
 		feed.configure(func() { feed.hang = false })
 		time.Sleep(firstListInterval)
@@ -328,12 +328,12 @@
 	})
 }
 
-// A call that hangs is given up soon enough that the configuration is in force
-// five seconds after the trouble has ended.
-func TestHangingStoreIsCalledAgainInTime(t *testing.T) {
+// A call that hangs times out early enough for the configuration to be in force five seconds after
+// the end of the fault.
+func TestHangingStoreIsRetriedInTime(t *testing.T) {
 	const contact = 5 * time.Second
 	for delay := time.Duration(0); delay < 6*time.Second; delay += 250 * time.Millisecond {
-		follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+		runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 			time.Sleep(delay)
 			feed.configure(func() { feed.hang = true })
 			time.Sleep(4500 * time.Millisecond)
@@ -345,8 +345,8 @@
 	}
 }
 
-func TestFreshWatchesBoundTheLagOfStaleOnes(t *testing.T) {
-	follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+func TestFreshWatchesBoundStaleness(t *testing.T) {
+	runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 		feed.configure(func() { feed.staleBehind = 1 })
 		time.Sleep(time.Minute)
 		feed.set("main", "two")
@@ -358,7 +358,7 @@
 	})
 }
 
-// A store that answers slowly is read page by page, however long all pages take.
+// A store that answers slowly is read page by page, however long all pages together take.
 func TestSlowStoreIsReadPageByPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -369,7 +369,7 @@
 		feed.configure(func() { feed.delay = pageTimeout * 9 / 10 })
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go NewFollower("test", feed, sink, uncounted{}).Run(ctx)
+		go NewFollower("test", feed, sink, noopObserver{}).Run(ctx)
 		time.Sleep(10 * pageTimeout)
 		sink.mutex.Lock()
 		defer sink.mutex.Unlock()
@@ -377,24 +377,24 @@
 	})
 }
 
-// A store that has been silent is read again soon after it answers.
-func TestStoreIsRegainedSoon(t *testing.T) {
+// A store that was unresponsive is read again soon after it answers.
+func TestRecoveryAfterSilence(t *testing.T) {
 	for silence := 4 * time.Second; silence < 12*time.Second; silence += 300 * time.Millisecond {
-		follow(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
+		runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 			feed.configure(func() { feed.hang = true })
 			feed.set("main", "two")
 			time.Sleep(silence)
 			feed.configure(func() { feed.hang = false })
-			time.Sleep(pageTimeout + longestPause + time.Millisecond)
+			time.Sleep(pageTimeout + maxBackoff + time.Millisecond)
 			is.Equal(sink.get(), "two")
 		})
 	}
 }
 
-func TestOlderListIsNotTaken(t *testing.T) {
+func TestOutdatedListIsRejected(t *testing.T) {
 	is := is.New(t)
 	feed, sink := newMemoryFeed(), &memorySink{}
-	follower := NewFollower("test", feed, sink, uncounted{})
+	follower := NewFollower("test", feed, sink, noopObserver{})
 	feed.set("main", "new")
 	is.NoErr(follower.list(t.Context()))
 	feed.configure(func() { feed.revision, feed.items["main"] = 0, "old" })
@@ -402,41 +402,41 @@
 	is.Equal(sink.get(), "new")
 }
 
-// cheapFeed counts the lists that may lag.
-type cheapFeed struct {
+// staleListFeed counts the lists that may be stale.
+type staleListFeed struct {
 	*memoryFeed
-	cheap int
+	staleLists int
 }
 
 // ListStale implements StaleLister.
-func (c *cheapFeed) ListStale(ctx context.Context, after string) (Page[string], error) {
-	c.configure(func() { c.cheap++ })
+func (c *staleListFeed) ListStale(ctx context.Context, after string) (Page[string], error) {
+	c.configure(func() { c.staleLists++ })
 	return c.List(ctx, after)
 }
 
-func (c *cheapFeed) cheapLists() (count int) {
-	c.configure(func() { count = c.cheap })
+func (c *staleListFeed) staleListCount() (count int) {
+	c.configure(func() { count = c.staleLists })
 	return count
 }
 
-func TestOnlyTheFirstListMayLag(t *testing.T) {
+func TestOnlyFirstListMayBeStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		feed := &cheapFeed{memoryFeed: newMemoryFeed()}
+		feed := &staleListFeed{memoryFeed: newMemoryFeed()}
 		feed.set("a", "1")
-		follower := NewFollower("test", feed, &memorySink{}, uncounted{})
+		follower := NewFollower("test", feed, &memorySink{}, noopObserver{})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go follower.Run(ctx)
 		time.Sleep(time.Second)
-		is.Equal(feed.cheapLists(), 1)
+		is.Equal(feed.staleListCount(), 1)
 		feed.configure(func() { feed.fail = true })
 		time.Sleep(5 * time.Second)
 		feed.set("b", "2")
-		feed.forget()
+		feed.discardHistory()
 		feed.configure(func() { feed.fail = false })
 		time.Sleep(5 * time.Second)
-		is.Equal(feed.cheapLists(), 1)
-		feed.configure(func() { is.True(feed.lists >= 2) }) // the history was gone
+		is.Equal(feed.staleListCount(), 1)
+		feed.configure(func() { is.True(feed.lists >= 2) }) // the history was discarded
 	})
 }
--- a/internal/catalog/handed.go
+++ b/internal/catalog/handover.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Handed is the state of a kind that another node has handed over to one that has just
-// started. The zero value has none yet. It is safe for concurrent use.
+// Handed passes the full state of a kind from a peer to a follower that has just started. The zero
+// value holds no state. It is safe for concurrent use.
 type Handed[T any] struct {
 	mutex sync.Mutex
 	// decided is closed once there is a state, or none is to be expected.
 	decided chan struct{}
 	found   bool
 	page    Page[T]
-	told    time.Time
+	asOf    time.Time
 }
 
-// Put hands over a whole state, as the store told it at the given time.
-func (h *Handed[T]) Put(page Page[T], told time.Time) {
+// Put provides the full state, as the store returned it at the given time.
+func (h *Handed[T]) Put(page Page[T], asOf time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.page, h.told, h.found = page, told, true
+	h.page, h.asOf, h.found = page, asOf, true
 	h.decide()
 }
 
-// Abandon lets those go on that wait: no other node answers.
+// Abandon ends the wait for a state without one: no other node answers.
 func (h *Handed[T]) Abandon() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.decide()
 }
 
-// decide ends the present wait; the mutex is held.
+// decide ends the current wait. The caller holds the mutex.
 func (h *Handed[T]) decide() {
 	decided := h.channel()
 	select {
@@ -42,9 +42,9 @@
 	}
 }
 
-// Take returns the state as soon as there is one, and forgets it; false if there will be none
+// Take waits for the state, returns it and removes it. It returns false if none is to be expected
 // or ctx ends first.
-func (h *Handed[T]) Take(ctx context.Context) (page Page[T], told time.Time, found bool) {
+func (h *Handed[T]) Take(ctx context.Context) (page Page[T], asOf time.Time, found bool) {
 	h.mutex.Lock()
 	decided := h.channel()
 	h.mutex.Unlock()
@@ -55,12 +55,12 @@
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	page, told, found = h.page, h.told, h.found
+	page, asOf, found = h.page, h.asOf, h.found
 	h.page, h.found, h.decided = Page[T]{}, false, nil
-	return page, told, found
+	return page, asOf, found
 }
 
-// channel returns the channel of the present wait; the mutex is held.
+// channel returns the channel of the current wait. The caller holds the mutex.
 func (h *Handed[T]) channel() chan struct{} {
 	if h.decided == nil {
 		h.decided = make(chan struct{})
--- /dev/null
+++ b/internal/catalog/handover_test.go
@@ -0,0 +1,132 @@
+package catalog
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// longFeed returns a feed whose list has the given number of pages.
+func longFeed(pages int) *memoryFeed {
+	feed := newMemoryFeed()
+	for index := range pages * pageSize {
+		feed.set(fmt.Sprintf("object-%04d", index), fmt.Sprint("value-", index))
+	}
+	return feed
+}
+
+// Nodes that start together each read a bounded part of a long list: what they read from the store
+// grows with their number, not with the product of nodes and objects.
+func TestLongListIsHandedOver(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		const nodes, pages = 60, 50
+		feed := longFeed(pages)
+		whole := Page[string]{Revision: feed.revision} // no other goroutine runs yet
+		for index := range pages * pageSize {
+			whole.Items = append(whole.Items, fmt.Sprint("value-", index))
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		sinks, handovers := make([]memorySink, nodes), make([]Handed[string], nodes)
+		for index := range nodes {
+			follower := NewFollower("test", feed, &sinks[index], noopObserver{})
+			follower.Bootstrap(&handovers[index])
+			go follower.Run(ctx)
+		}
+		time.Sleep(time.Second)
+		is.Equal(feed.listed(), nodes*maxOwnPages)
+		for index := range handovers {
+			handovers[index].Put(whole, time.Now())
+		}
+		time.Sleep(time.Second)
+		is.Equal(feed.listed(), nodes*maxOwnPages)
+		for index := range sinks {
+			is.Equal(sinks[index].count(), pages*pageSize)
+		}
+		feed.set("object-new", "newest")
+		time.Sleep(time.Second)
+		is.Equal(sinks[0].latest(), "newest") // changes continue from the revision of the handover
+	})
+}
+
+func TestLongListIsReadWithoutHandover(t *testing.T) {
+	const pages = 12
+	for _, test := range []struct {
+		name   string
+		change func(*Handed[string])
+		within time.Duration
+	}{
+		{"nobody answers", func(handover *Handed[string]) { handover.Abandon() }, time.Second},
+		{"what is handed over is old", func(handover *Handed[string]) {
+			handover.Put(Page[string]{Revision: 1, Items: []string{"old"}}, time.Now().Add(-maxHandoverAge-time.Second))
+		}, time.Second},
+		{"others are busy", func(*Handed[string]) {}, handoverWait + handoverJitter + time.Second},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				feed := longFeed(pages)
+				ctx, cancel := context.WithCancel(t.Context())
+				defer cancel()
+				var sink memorySink
+				var handover Handed[string]
+				follower := NewFollower("test", feed, &sink, noopObserver{})
+				follower.Bootstrap(&handover)
+				test.change(&handover)
+				go follower.Run(ctx)
+				time.Sleep(test.within)
+				is.Equal(sink.count(), pages*pageSize)
+				is.Equal(feed.listed(), pages)
+			})
+		})
+	}
+}
+
+// A node that has listed before reads the store again: the state of another node may be older.
+func TestNoHandoverAfterFirstList(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		feed := longFeed(2 * maxOwnPages)
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		var sink memorySink
+		var handover Handed[string]
+		handover.Abandon()
+		follower := NewFollower("test", feed, &sink, noopObserver{})
+		follower.Bootstrap(&handover)
+		go follower.Run(ctx)
+		time.Sleep(time.Second)
+		is.Equal(feed.listed(), 2*maxOwnPages)
+		handover.Put(Page[string]{Revision: 1, Items: []string{"old"}}, time.Now())
+		feed.discardHistory()
+		feed.set("one", "more")
+		feed.discardHistory()
+		time.Sleep(5 * time.Second)
+		is.Equal(sink.count(), 2*maxOwnPages*pageSize+1)
+	})
+}
+
+// listed returns the number of pages that have been listed.
+func (m *memoryFeed) listed() int {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.lists
+}
+
+// count returns the size of the latest list, latest the latest object.
+func (m *memorySink) count() int {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.size
+}
+
+func (m *memorySink) latest() string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.last
+}
--- a/internal/catalog/list.go
+++ b/internal/catalog/list.go
@@ -12,26 +12,26 @@
 const (
 	// pageTimeout bounds the read of one page.
 	pageTimeout = time.Second
-	// firstListInterval is the pause after which a node that knows nothing yet reads
-	// again beside a call that hangs, firstListCalls the most reads at a time.
+	// firstListInterval is the time after which a node without any state sends another list while
+	// earlier ones hang. maxFirstListCalls bounds the lists in flight.
 	firstListInterval = 300 * time.Millisecond
-	firstListCalls    = 4
-	// ownPages is how many pages a node that has just started reads of a long list before
-	// it waits for another node to hand over all of it: what all nodes together read of the
-	// store must not grow as their number times the objects.
-	ownPages = 4
-	// handedPatience, and a random part of handedSpread, is how long it waits: where nobody
-	// can hand over the list, few nodes read it at first. oldestHanded is how old the state may
-	// be: the store still has to know what happened since.
-	handedPatience = 3 * time.Second
-	handedSpread   = 9 * time.Second
-	oldestHanded   = 10 * time.Second
+	maxFirstListCalls = 4
+	// maxOwnPages is how many pages of a long list a node that has just started reads before it
+	// waits for another node to hand over all of it: what all nodes together read from the store
+	// must not grow with the product of nodes and objects.
+	maxOwnPages = 4
+	// handoverWait plus a random part of handoverJitter is how long it waits: if no node can hand
+	// over the list, only few nodes read it at first. maxHandoverAge is the maximum age of that
+	// state: the store must still have the history since then.
+	handoverWait   = 3 * time.Second
+	handoverJitter = 9 * time.Second
+	maxHandoverAge = 10 * time.Second
 )
 
-// list reads the whole state and hands it to the sink.
+// list reads the full state and passes it to the sink.
 func (f *Follower[T]) list(ctx context.Context) error {
-	begun := time.Now()
-	read, told, err := f.readPages(ctx)
+	start := time.Now()
+	read, asOf, err := f.readPages(ctx)
 	if err != nil {
 		return err
 	}
@@ -39,26 +39,26 @@
 		return fmt.Errorf("%w: revision %d of era %d, known %d of era %d", ErrOlder,
 			read.Revision.Number(), read.Revision.Era(), f.revision.Number(), f.revision.Era())
 	}
-	f.tell(read.Flaws)
-	publish := f.differences(read)
-	f.take(read.Items, read.Revision)
+	f.reportUnreadable(read.Flaws)
+	publish := f.diffPublisher(read)
+	f.setState(read.Items, read.Revision)
 	publish()
-	f.listed, f.listedAt = true, begun
-	f.freshAt = told
-	f.noteReached(begun)
+	f.listed, f.listedAt = true, start
+	f.freshAt = asOf
+	f.recordProgress(start)
 	return nil
 }
 
-// take hands a whole state to the sink.
-func (f *Follower[T]) take(items []T, revision Revision) {
-	sink, able := f.sink.(RestoredSink[T])
+// setState passes a full state to the sink.
+func (f *Follower[T]) setState(items []T, revision Revision) {
+	sink, ok := f.sink.(RestoredSink[T])
 	restored := f.revision > 0 && f.revision.Precedes(revision)
 	if restored {
 		klog.InfoS("state of a restored store", "feed", f.name, "objects", len(items), "era", revision.Era(), "revision", revision.Number(),
 			"era_before", f.revision.Era(), "revision_before", f.revision.Number())
-		f.eras.noteFeed(f.name, f.revision, revision, time.Now())
+		f.eras.recordRestoredFeed(f.name, f.revision, revision, time.Now())
 	}
-	if restored && able {
+	if restored && ok {
 		sink.ReplaceRestored(items)
 	} else {
 		f.sink.Replace(items, f.outage || restored)
@@ -66,16 +66,16 @@
 	f.outage, f.revision = false, revision
 }
 
-// differences returns a function that publishes what the list changes, once the sink holds it.
-// After an outage it publishes nothing: objects may only have run out, which those that take
-// over the whole state find out for themselves.
-func (f *Follower[T]) differences(read Page[T]) (publish func()) {
+// diffPublisher returns a function that publishes what the list changes; it is to be called once the
+// sink holds the list. After an outage it publishes nothing: missing objects may only have expired,
+// which nodes that take the full state detect themselves.
+func (f *Follower[T]) diffPublisher(read Page[T]) (publish func()) {
 	if f.relay != nil && f.revision > 0 && f.revision.Precedes(read.Revision) {
-		// Nothing leads from one era to the other: followers take the whole state.
+		// No changes lead from one era to another: followers take the full state.
 		return func() { f.relay.Publish(read.Revision, Changes[T]{Revision: read.Revision}, true) }
 	}
-	differ, able := f.sink.(Differ[T])
-	if !able || f.relay == nil || f.revision == 0 || f.outage {
+	differ, ok := f.sink.(Differ[T])
+	if !ok || f.relay == nil || f.revision == 0 || f.outage {
 		return func() {}
 	}
 	changes := Changes[T]{Changes: differ.Differences(read.Items), Revision: read.Revision}
@@ -83,68 +83,68 @@
 	return func() { f.relay.Publish(after, changes, true) }
 }
 
-// readPages returns all objects with the revision of the first page: what changes
-// while the others are read is seen again by the watch from there. The store told them at the
-// given time at the latest.
-func (f *Follower[T]) readPages(ctx context.Context) (whole Page[T], told time.Time, err error) {
-	told = time.Now()
-	whole, err = f.firstPage(ctx)
-	for pages := 1; err == nil && whole.Next != ""; pages++ {
-		if pages == ownPages {
-			if handed, told, found := f.awaitHanded(ctx); found {
-				return handed, told, nil
+// readPages returns all objects with the revision of the first page. Changes made while the other
+// pages are read are returned again by the watch from that revision. The state is not older than
+// asOf.
+func (f *Follower[T]) readPages(ctx context.Context) (all Page[T], asOf time.Time, err error) {
+	asOf = time.Now()
+	all, err = f.firstPage(ctx)
+	for pages := 1; err == nil && all.Next != ""; pages++ {
+		if pages == maxOwnPages {
+			if handedOver, asOf, found := f.awaitHandover(ctx); found {
+				return handedOver, asOf, nil
 			}
 		}
 		var page Page[T]
-		page, err = f.readPage(ctx, whole.Next)
-		if err == nil && page.Revision.Era() != whole.Revision.Era() {
+		page, err = f.readPage(ctx, all.Next)
+		if err == nil && page.Revision.Era() != all.Revision.Era() {
 			err = ErrNewEra
 		}
-		whole.Items = append(whole.Items, page.Items...)
-		whole.Flaws = append(whole.Flaws, page.Flaws...)
-		whole.Next = page.Next
+		all.Items = append(all.Items, page.Items...)
+		all.Flaws = append(all.Flaws, page.Flaws...)
+		all.Next = page.Next
 	}
-	return whole, told, err
+	return all, asOf, err
 }
 
-// awaitHanded waits for the state that another node hands over. A node that knows something
-// already keeps to the store.
-func (f *Follower[T]) awaitHanded(ctx context.Context) (page Page[T], told time.Time, found bool) {
-	if f.handed == nil || f.revision > 0 {
-		return page, told, false
+// awaitHandover waits for the state from another node. A node that already has a state reads the
+// store instead.
+func (f *Follower[T]) awaitHandover(ctx context.Context) (page Page[T], asOf time.Time, found bool) {
+	if f.handover == nil || f.revision > 0 {
+		return page, asOf, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, handedPatience+rand.N(handedSpread))
+	ctx, cancel := context.WithTimeout(ctx, handoverWait+rand.N(handoverJitter))
 	defer cancel()
-	page, told, found = f.handed.Take(ctx)
-	if !found || time.Since(told) > oldestHanded || page.Revision.Era() < f.eras.Latest() {
-		return page, told, false
+	page, asOf, found = f.handover.Take(ctx)
+	if !found || time.Since(asOf) > maxHandoverAge || page.Revision.Era() < f.eras.Latest() {
+		return page, asOf, false
 	}
 	klog.InfoS("state handed over by another node", "feed", f.name, "objects", len(page.Items), "revision", page.Revision.Number())
-	return page, told, true
+	return page, asOf, true
 }
 
-// firstPage reads the first page. Callers wait for what a node reads that has just
-// started, so that it does not wait for one call that hangs.
+// firstPage reads the first page. Requests wait for the first list of a node that has just started,
+// so that it does not depend on one call that may hang.
 func (f *Follower[T]) firstPage(ctx context.Context) (Page[T], error) {
 	read := func(ctx context.Context) (Page[T], error) { return f.readPage(ctx, "") }
 	if f.revision > 0 {
 		return read(ctx)
 	}
-	return overlapped(ctx, firstListInterval, firstListCalls, read)
+	return hedged(ctx, firstListInterval, maxFirstListCalls, read)
 }
 
 func (f *Follower[T]) readPage(ctx context.Context, after string) (Page[T], error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	return abandonable(ctx, f.backoff.Woken(), func(ctx context.Context) (Page[T], error) {
+	return callUntilRecovered(ctx, f.backoff.Woken(), func(ctx context.Context) (Page[T], error) {
 		return f.lister()(ctx, after)
 	})
 }
 
-// lister returns the call that reads a page. What a node knows must not go back, so that
-// only a node that knows nothing takes a list that may lag.
+// lister returns the call that reads a page. The known state must not go back in time, so that only
+// a node without any state uses a list that may be stale.
 func (f *Follower[T]) lister() func(context.Context, string) (Page[T], error) {
-	if feed, cheap := f.feed.(StaleLister[T]); cheap && f.revision == 0 {
+	if feed, ok := f.feed.(StaleLister[T]); ok && f.revision == 0 {
 		return feed.ListStale
 	}
 	return f.feed.List
--- a/internal/catalog/log.go
+++ b/internal/catalog/log.go
@@ -3,32 +3,32 @@
 import "time"
 
 const (
-	// maxLogged is how many changes a Log keeps besides those that followers may be about to
-	// ask for.
-	maxLogged = 512
-	// logAge is how long changes are kept, however many there are: several times the pause
-	// between two questions of a follower. Where a part of all servers ends at once, no
-	// follower has to take the whole state for that.
-	logAge = 5 * time.Second
+	// maxChanges bounds the changes that are kept. Those younger than minRetention are kept
+	// regardless.
+	maxChanges = 512
+	// minRetention is how long changes are kept regardless of their number: several times the
+	// interval between two requests of a follower. If many servers end at once, no follower needs
+	// the full state because of that.
+	minRetention = 5 * time.Second
 )
 
-// Log keeps the latest changes of a kind of objects, so that others can follow
-// them without the store. The zero value is a log that knows nothing. It does no
-// I/O, reads no clock and is not safe for concurrent use.
+// Log keeps the latest changes of a kind of objects, so that other nodes can follow them without
+// calling the store. The zero value is an empty log. It does no I/O, reads no clock and is not safe
+// for concurrent use.
 type Log[T any] struct {
 	batches []batch[T]
-	// base is the revision before the first batch, last the one after the latest.
+	// base is the revision before the first batch, last the one after the latest batch.
 	base, last Revision
 	size       int
 }
 
-// batch are changes that were appended together.
+// batch holds changes that were appended together.
 type batch[T any] struct {
 	changes Changes[T]
 	at      time.Time
 }
 
-// Reset drops all changes: the state was listed at the revision.
+// Reset drops all changes after the state was listed at the revision.
 func (l *Log[T]) Reset(revision Revision) {
 	*l = Log[T]{base: revision, last: revision}
 }
@@ -36,8 +36,8 @@
 // Last returns the latest revision.
 func (l *Log[T]) Last() Revision { return l.last }
 
-// Append adds the changes that lead from one revision to another. If they do not
-// follow the latest one, all earlier ones are dropped.
+// Append adds the changes that lead from one revision to another. If they do not continue from the
+// latest revision, all earlier changes are dropped.
 func (l *Log[T]) Append(after Revision, changes Changes[T], now time.Time) {
 	if after != l.last {
 		l.Reset(after)
@@ -48,22 +48,21 @@
 	}
 	l.batches = append(l.batches, batch[T]{changes, now})
 	l.size += len(changes.Changes)
-	for l.size > maxLogged && now.Sub(l.batches[0].at) > logAge {
-		l.drop()
+	for l.size > maxChanges && now.Sub(l.batches[0].at) > minRetention {
+		l.dropOldest()
 	}
 }
 
-// drop forgets the oldest batch.
-func (l *Log[T]) drop() {
+// dropOldest drops the oldest batch.
+func (l *Log[T]) dropOldest() {
 	oldest := l.batches[0]
 	l.base = oldest.changes.Revision
 	l.size -= len(oldest.changes.Changes)
 	l.batches = append([]batch[T](nil), l.batches[1:]...)
 }
 
-// Since returns what happened after a revision. Changes of the batch that holds
-// the revision are given once more. It returns ErrHistoryGone for a revision
-// before the first one kept.
+// Since returns the changes after a revision. All changes of the batch that contains the revision
+// are returned again. It returns ErrHistoryGone for a revision before the first one kept.
 func (l *Log[T]) Since(after Revision) (Changes[T], error) {
 	found := Changes[T]{Revision: l.last}
 	if after < l.base {
--- a/internal/catalog/log_test.go
+++ b/internal/catalog/log_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Unix(1000, 0)
 
-// changesTo is changes that lead to a revision.
+// changesTo returns changes that lead to a revision.
 func changesTo(revision Revision, names ...string) Changes[string] {
 	changes := Changes[string]{Revision: revision}
 	for _, name := range names {
@@ -32,7 +32,7 @@
 	var log Log[string]
 	log.Append(10, changesTo(12, "a", "b"), epoch)
 	log.Append(12, changesTo(15, "c"), epoch)
-	log.Append(15, changesTo(20), epoch) // nothing happened up to 20
+	log.Append(15, changesTo(20), epoch) // no changes up to 20
 	for _, test := range []struct {
 		after Revision
 		want  []string
@@ -40,11 +40,11 @@
 	}{
 		{after: 9, gone: true},
 		{after: 10, want: []string{"a", "b", "c"}},
-		{after: 11, want: []string{"a", "b", "c"}}, // within a batch: all of it
+		{after: 11, want: []string{"a", "b", "c"}}, // inside a batch: the whole batch
 		{after: 12, want: []string{"c"}},
 		{after: 15},
 		{after: 20},
-		{after: 25}, // the other one knows more
+		{after: 25}, // the follower is ahead
 	} {
 		is := is.New(t)
 		got, err := log.Since(test.after)
@@ -54,11 +54,11 @@
 	}
 }
 
-func TestLogWithAGapForgets(t *testing.T) {
+func TestLogIsResetByGap(t *testing.T) {
 	is := is.New(t)
 	var log Log[string]
 	log.Append(10, changesTo(12, "a"), epoch)
-	log.Append(14, changesTo(16, "c"), epoch) // what lies between 12 and 14 is not known
+	log.Append(14, changesTo(16, "c"), epoch) // the changes between 12 and 14 are not known
 	_, err := log.Since(12)
 	is.True(errors.Is(err, ErrHistoryGone))
 	got, err := log.Since(14)
@@ -69,25 +69,25 @@
 func TestLogIsBounded(t *testing.T) {
 	is := is.New(t)
 	var log Log[string]
-	for number := range 10 * maxLogged {
-		at := epoch.Add(time.Duration(number) * logAge)
+	for number := range 10 * maxChanges {
+		at := epoch.Add(time.Duration(number) * minRetention)
 		log.Append(Revision(number), changesTo(Revision(number+1), fmt.Sprint(number)), at)
 	}
-	is.True(log.size <= maxLogged)
-	is.Equal(len(log.batches), maxLogged)
+	is.True(log.size <= maxChanges)
+	is.Equal(len(log.batches), maxChanges)
 	_, err := log.Since(0)
 	is.True(errors.Is(err, ErrHistoryGone))
-	got, err := log.Since(10*maxLogged - 1)
+	got, err := log.Since(10*maxChanges - 1)
 	is.NoErr(err)
 	is.Equal(len(got.Changes), 1)
 }
 
-// Many servers end at once, in a fleet of thousands: those who follow get the changes, as long as
-// they ask in time.
-func TestBurstOfChangesIsKeptForFollowers(t *testing.T) {
+// Many servers of a fleet of thousands end at once: followers that request the changes in time get
+// them.
+func TestLogKeepsBurst(t *testing.T) {
 	is := is.New(t)
 	var log Log[string]
-	const bursts, each = 5, 10 * maxLogged
+	const bursts, each = 5, 10 * maxChanges
 	for number := range bursts {
 		names := make([]string, each)
 		for index := range names {
@@ -99,5 +99,5 @@
 	is.NoErr(err)
 	is.Equal(len(got.Changes), bursts*each)
 	log.Append(bursts, changesTo(bursts+1, "one"), epoch.Add(time.Minute))
-	is.Equal(log.size, 1) // nobody who still follows has not asked since
+	is.Equal(log.size, 1) // every follower that is still there has requested them by now
 }
--- a/internal/catalog/recovery_test.go
+++ b/internal/catalog/recovery_test.go
@@ -10,15 +10,15 @@
 	"github.com/matryer/is"
 )
 
-// manyNodes makes the pauses of a node as long as they get.
+// manyNodes is enough nodes for the maximum delays.
 const manyNodes = 300
 
-// feedsOfANode runs two followers that share their pauses.
-func feedsOfANode(ctx context.Context, backoff *Backoff) (feeds []*memoryFeed, sinks []*memorySink) {
+// startFeeds runs two followers that share a backoff.
+func startFeeds(ctx context.Context, backoff *Backoff) (feeds []*memoryFeed, sinks []*memorySink) {
 	for range 2 {
 		feed, sink := newMemoryFeed(), &memorySink{}
 		feed.set("main", "one")
-		follower := NewFollower("test", feed, sink, uncounted{})
+		follower := NewFollower("test", feed, sink, noopObserver{})
 		follower.ShareBackoff(backoff)
 		go follower.Run(ctx)
 		feeds, sinks = append(feeds, feed), append(sinks, sink)
@@ -26,15 +26,15 @@
 	return feeds, sinks
 }
 
-// A store that has forgotten its history has answered: nothing waits for the list.
-func TestForgottenHistoryIsListedAtOnce(t *testing.T) {
+// A store that has discarded its history has answered: no delay precedes the list.
+func TestNoDelayBeforeRelist(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var backoff Backoff
 		backoff.SetCallers(manyNodes)
-		feeds, sinks := feedsOfANode(ctx, &backoff)
+		feeds, sinks := startFeeds(ctx, &backoff)
 		time.Sleep(10 * time.Second)
 		for _, feed := range feeds {
 			feed.configure(func() { feed.fail = true })
@@ -43,11 +43,11 @@
 		time.Sleep(10 * time.Second)
 		for _, feed := range feeds {
 			feed.set("main", "two")
-			feed.forget()
+			feed.discardHistory()
 			feed.configure(func() { feed.fail = false })
 		}
 		backoff.Wake(time.Now())
-		time.Sleep(answerGrace)
+		time.Sleep(abandonGrace)
 		for _, sink := range sinks {
 			is.Equal(sink.get(), "two")
 		}
@@ -55,32 +55,32 @@
 	})
 }
 
-// A store that forgets at once what it has just listed is not listed without a pause.
-func TestStoreThatAlwaysForgetsIsNotListedWithoutPause(t *testing.T) {
+// A store that discards its history right after each list is not listed without a delay.
+func TestRelistsAreSpaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		feed := newMemoryFeed()
 		feed.set("main", "one")
-		feed.forget()
+		feed.discardHistory()
 		feed.configure(func() { feed.first = 1000 })
-		go NewFollower("test", feed, &memorySink{}, uncounted{}).Run(ctx)
+		go NewFollower("test", feed, &memorySink{}, noopObserver{}).Run(ctx)
 		time.Sleep(10 * time.Second)
-		feed.configure(func() { is.True(feed.lists <= 10*int(time.Second/(firstPause/2))) })
+		feed.configure(func() { is.True(feed.lists <= 10*int(time.Second/(initialBackoff/2))) })
 	})
 }
 
-// The first feed that is answered lets the others ask at once, also those whose call
-// was sent before and hangs.
-func TestFirstAnswerEndsTheWaitOfAllFeeds(t *testing.T) {
+// The first feed that gets an answer ends the waits of the others, also of those whose call was
+// sent before and hangs.
+func TestFirstAnswerEndsWaitOfAllFeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var backoff Backoff
 		backoff.SetCallers(manyNodes)
-		feeds, sinks := feedsOfANode(ctx, &backoff)
+		feeds, sinks := startFeeds(ctx, &backoff)
 		time.Sleep(time.Second)
 		for _, feed := range feeds {
 			feed.set("other", "one")
@@ -94,77 +94,77 @@
 		for sinks[0].get() != "two" && sinks[1].get() != "two" {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(answerGrace)
+		time.Sleep(abandonGrace)
 		is.Equal(sinks[0].get(), "two")
 		is.Equal(sinks[1].get(), "two")
 	})
 }
 
-func TestCallIsGivenUpOnlyWhenItHangs(t *testing.T) {
+func TestOnlyHangingCallIsCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		woken := make(chan struct{})
-		close(woken)
-		taking := func(pause time.Duration) func(context.Context) (int, error) {
+		recovered := make(chan struct{})
+		close(recovered)
+		callTaking := func(delay time.Duration) func(context.Context) (int, error) {
 			return func(ctx context.Context) (int, error) {
-				sleep(ctx, pause)
+				sleep(ctx, delay)
 				return 7, ctx.Err()
 			}
 		}
-		got, err := abandonable(t.Context(), woken, taking(answerGrace/2))
+		got, err := callUntilRecovered(t.Context(), recovered, callTaking(abandonGrace/2))
 		is.NoErr(err)
 		is.Equal(got, 7)
-		_, err = abandonable(t.Context(), woken, taking(time.Hour))
+		_, err = callUntilRecovered(t.Context(), recovered, callTaking(time.Hour))
 		is.True(errors.Is(err, errAbandoned))
-		got, err = abandonable(t.Context(), make(chan struct{}), taking(time.Hour))
+		got, err = callUntilRecovered(t.Context(), make(chan struct{}), callTaking(time.Hour))
 		is.NoErr(err)
 		is.Equal(got, 7)
 	})
 }
 
-func TestNodeIsLostWhenNobodyTellsAnything(t *testing.T) {
+func TestNodeIsDisconnectedWithoutData(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var backoff Backoff
 	is.True(!backoff.Lost(now))
 	is.True(!backoff.InTouch(now))
 	backoff.Heard(now, now)
-	is.True(backoff.InTouch(now.Add(contactAge / 2)))
-	is.True(!backoff.InTouch(now.Add(contactAge)))
+	is.True(backoff.InTouch(now.Add(maxContactAge / 2)))
+	is.True(!backoff.InTouch(now.Add(maxContactAge)))
 	is.True(!backoff.Lost(now.Add(time.Hour))) // no call has failed
 	backoff.Failed(now)
-	is.True(!backoff.Lost(now.Add(lostAfter / 2)))
-	is.True(backoff.Lost(now.Add(lostAfter)))
-	backoff.Heard(now.Add(lostAfter/2), now.Add(lostAfter/2)) // by another node
-	is.True(!backoff.Lost(now.Add(lostAfter)))
-	backoff.Succeeded(now.Add(lostAfter))
+	is.True(!backoff.Lost(now.Add(disconnectedAfter / 2)))
+	is.True(backoff.Lost(now.Add(disconnectedAfter)))
+	backoff.Heard(now.Add(disconnectedAfter/2), now.Add(disconnectedAfter/2)) // from another node
+	is.True(!backoff.Lost(now.Add(disconnectedAfter)))
+	backoff.Succeeded(now.Add(disconnectedAfter))
 	is.True(!backoff.Lost(now.Add(time.Hour)))
 }
 
-// After a sign that the store is back one call is made at once, and if it fails the
-// pauses begin short.
-func TestSignLetsOneCallBeMadeAtOnce(t *testing.T) {
+// After a sign that the store has recovered one call is made immediately. If it fails, the delays
+// start short.
+func TestRecoverySignAllowsOneCall(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var backoff Backoff
 	backoff.SetCallers(manyNodes)
 	backoff.Wake(now)
-	is.True(!backoff.Failing()) // nothing fails: no sign is needed
+	is.True(!backoff.Failing()) // no call has failed: nothing to end
 	for range 20 {
 		backoff.Failed(now)
 	}
-	is.True(backoff.Reserve(now) >= longestSharedPause/2)
-	woken := backoff.Woken()
+	is.True(backoff.Reserve(now) >= maxSharedBackoff/2)
+	recovered := backoff.Woken()
 	backoff.Wake(now)
-	<-woken
+	<-recovered
 	is.Equal(backoff.Reserve(now), time.Duration(0))
 	wait := backoff.Reserve(now)
 	is.True(wait > 0)
-	is.True(wait <= 2*firstPause)
+	is.True(wait <= 2*initialBackoff)
 }
 
-// What one feed hears after a silence is such a sign for the others of the node.
-func TestHearingAnythingAfterSilenceIsASign(t *testing.T) {
+// Data that one feed receives after a silence is such a sign for the other feeds of the node.
+func TestDataAfterSilenceIsRecoverySign(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var backoff Backoff
@@ -172,24 +172,24 @@
 	for range 20 {
 		backoff.Failed(now)
 	}
-	woken := backoff.Woken()
-	backoff.Heard(now, now.Add(lostAfter/2))
-	is.True(backoff.Reserve(now.Add(lostAfter/2)) > 0) // not lost yet
-	now = now.Add(2 * lostAfter)
+	recovered := backoff.Woken()
+	backoff.Heard(now, now.Add(disconnectedAfter/2))
+	is.True(backoff.Reserve(now.Add(disconnectedAfter/2)) > 0) // not disconnected yet
+	now = now.Add(2 * disconnectedAfter)
 	backoff.Heard(now, now)
-	<-woken
+	<-recovered
 	is.Equal(backoff.Reserve(now), time.Duration(0))
 }
 
-// handingOver is another node that tells the whole state at a revision.
-type handingOver struct {
+// fullStateRelay is a peer that returns the full state at a revision.
+type fullStateRelay struct {
 	memoryRelay
 	revision Revision
 }
 
-func (h *handingOver) Source() Watcher[string] { return h }
+func (h *fullStateRelay) Source() Watcher[string] { return h }
 
-func (h *handingOver) Watch(ctx context.Context, request WatchRequest) (Changes[string], error) {
+func (h *fullStateRelay) Watch(ctx context.Context, request WatchRequest) (Changes[string], error) {
 	if request.After != h.revision {
 		return Changes[string]{Changes: []Change[string]{{Value: "handed over"}, {Value: "b"}}, Revision: h.revision, Whole: true}, nil
 	}
@@ -197,49 +197,48 @@
 	return Changes[string]{Revision: request.After}, ctx.Err()
 }
 
-// ranFor runs the follower for a time, looks at what has become of its world, and
-// returns when it has ended.
-func ranFor(t *testing.T, follower *Follower[string], length time.Duration, look func()) {
+// runFor runs the follower for a time, calls look, and returns when the follower has ended.
+func runFor(t *testing.T, follower *Follower[string], duration time.Duration, look func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		follower.Run(ctx)
 		close(ended)
 	}()
-	time.Sleep(length)
+	time.Sleep(duration)
 	look()
 	cancel()
 	<-ended
 }
 
-func TestWholeStateIsTakenFromAnotherNode(t *testing.T) {
+func TestFullStateFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		feed, sink := newMemoryFeed(), &memorySink{}
 		feed.set("main", "one")
-		follower := NewFollower("test", feed, sink, uncounted{})
-		follower.Share(&handingOver{revision: 50})
-		ranFor(t, follower, time.Minute, func() {
+		follower := NewFollower("test", feed, sink, noopObserver{})
+		follower.Share(&fullStateRelay{revision: 50})
+		runFor(t, follower, time.Minute, func() {
 			feed.configure(func() { is.Equal(feed.lists+feed.fresh+feed.stale, 1) })
 		})
 		is.Equal(sink.get(), "handed over")
 		is.Equal(sink.size, 2)
-		is.Equal(sink.replaced, 2) // the first list, and this one
+		is.Equal(sink.replaced, 2) // the first list, and the full state
 		is.Equal(follower.revision, Revision(50))
 	})
 }
 
-// A node that itself is behind hands nothing over.
-func TestOlderStateIsNotTaken(t *testing.T) {
+// A peer whose state is older is not followed.
+func TestOutdatedPeerIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		feed, sink := newMemoryFeed(), &memorySink{}
 		for range 60 {
 			feed.set("main", "one")
 		}
-		follower := NewFollower("test", feed, sink, uncounted{})
-		follower.Share(&handingOver{revision: 50})
-		ranFor(t, follower, 10*time.Second, func() {})
+		follower := NewFollower("test", feed, sink, noopObserver{})
+		follower.Share(&fullStateRelay{revision: 50})
+		runFor(t, follower, 10*time.Second, func() {})
 		is.Equal(sink.get(), "one")
 		is.Equal(sink.replaced, 1)
 		is.Equal(follower.revision, Revision(60))
--- a/internal/catalog/relay_test.go
+++ b/internal/catalog/relay_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// memoryRelay follows a feed that stands for another node.
+// memoryRelay follows a feed that stands for a peer.
 type memoryRelay struct {
 	mutex     sync.Mutex
 	source    *memoryFeed
@@ -48,8 +48,8 @@
 	return m.followed
 }
 
-// relayed runs a follower beside a store and another node that knows the same.
-func relayed(t *testing.T, relay *memoryRelay, test func(is *is.I, store *memoryFeed, sink *memorySink)) {
+// runWithRelay runs a follower with a store and a peer that has the same state.
+func runWithRelay(t *testing.T, relay *memoryRelay, test func(is *is.I, store *memoryFeed, sink *memorySink)) {
 	synctest.Test(t, func(t *testing.T) {
 		store, sink := newMemoryFeed(), &memorySink{}
 		store.set("main", "one")
@@ -59,7 +59,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		follower := NewFollower("test", store, sink, uncounted{})
+		follower := NewFollower("test", store, sink, noopObserver{})
 		follower.Share(relay)
 		go follower.Run(ctx)
 		synctest.Wait()
@@ -67,9 +67,9 @@
 	})
 }
 
-func TestFollowerOfANodeSparesTheStore(t *testing.T) {
+func TestFollowerDoesNotCallStore(t *testing.T) {
 	relay := &memoryRelay{source: newMemoryFeed()}
-	relayed(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
+	runWithRelay(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
 		relay.source.set("main", "two")
 		synctest.Wait()
 		is.Equal(sink.get(), "two")
@@ -78,18 +78,17 @@
 	})
 }
 
-// When the node that is followed falls silent or fails at any moment, a change is
-// taken from the store in good time.
-func TestSilentNodeIsReplacedByTheStore(t *testing.T) {
+// When the followed node hangs or fails at any moment, a change is soon read from the store.
+func TestStoreReplacesFailedPeer(t *testing.T) {
 	for delay := time.Duration(0); delay < 2*time.Second; delay += 130 * time.Millisecond {
-		for _, trouble := range []func(feed *memoryFeed){
+		for _, fault := range []func(feed *memoryFeed){
 			func(feed *memoryFeed) { feed.hang = true },
 			func(feed *memoryFeed) { feed.fail = true },
 		} {
 			relay := &memoryRelay{source: newMemoryFeed()}
-			relayed(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
+			runWithRelay(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
 				time.Sleep(delay)
-				relay.source.configure(func() { trouble(relay.source) })
+				relay.source.configure(func() { fault(relay.source) })
 				store.set("main", "two")
 				time.Sleep(relayWait + relayTimeout + 10*time.Millisecond)
 				is.Equal(sink.get(), "two")
@@ -98,26 +97,26 @@
 	}
 }
 
-// counted counts the calls that ended well.
-type counted struct {
-	mutex sync.Mutex
-	good  int
+// countingObserver counts the successful calls.
+type countingObserver struct {
+	mutex     sync.Mutex
+	successes int
 }
 
-func (*counted) ObjectUnreadable(string, Flaw) {}
+func (*countingObserver) ObjectUnreadable(string, Flaw) {}
 
-func (c *counted) StoreCalled(_ string, err error) {
+func (c *countingObserver) StoreCalled(_ string, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err == nil {
-		c.good++
+		c.successes++
 	}
 }
 
-// What another node tells is no answer of the store.
-func TestFollowingIsNotCountedAsCallsToTheStore(t *testing.T) {
+// An answer of a peer is not an answer of the store.
+func TestPeerAnswersAreNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, other, calls := newMemoryFeed(), newMemoryFeed(), &counted{}
+		store, other, calls := newMemoryFeed(), newMemoryFeed(), &countingObserver{}
 		store.set("main", "one")
 		other.set("main", "one")
 		ctx, cancel := context.WithCancel(t.Context())
@@ -128,13 +127,13 @@
 		time.Sleep(time.Minute)
 		calls.mutex.Lock()
 		defer calls.mutex.Unlock()
-		is.New(t).Equal(calls.good, 1)
+		is.New(t).Equal(calls.successes, 1)
 	})
 }
 
-func TestFollowedNodeAsksTheStoreOften(t *testing.T) {
+func TestFollowedNodeCallsStoreOften(t *testing.T) {
 	relay := &memoryRelay{followed: true}
-	relayed(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
+	runWithRelay(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
 		time.Sleep(time.Minute)
 		store.configure(func() {
 			is.True(store.stale+store.fresh >= int(time.Minute/relayWait)-1)
@@ -142,13 +141,13 @@
 		})
 	})
 	if len(relay.published) < 90 {
-		t.Fatal("what the store said was not published", len(relay.published))
+		t.Fatal("answers of the store were not published", len(relay.published))
 	}
 }
 
-func TestNodeWithoutStoreFollowsAnother(t *testing.T) {
+func TestNodeFollowsPeerDuringOutage(t *testing.T) {
 	relay := &memoryRelay{}
-	relayed(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
+	runWithRelay(t, relay, func(is *is.I, store *memoryFeed, sink *memorySink) {
 		store.configure(func() { store.fail = true })
 		time.Sleep(2 * watchWait)
 		other := newMemoryFeed()
@@ -163,13 +162,13 @@
 	})
 }
 
-func TestChangesGatherBeforeTheNextCall(t *testing.T) {
+func TestChangesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		feed, sink := newMemoryFeed(), &memorySink{}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		follower := NewFollower("test", feed, sink, uncounted{})
+		follower := NewFollower("test", feed, sink, noopObserver{})
 		follower.Settle(func(int) time.Duration { return 250 * time.Millisecond }, nil)
 		go follower.Run(ctx)
 		synctest.Wait()
@@ -184,10 +183,10 @@
 	})
 }
 
-// differingSink tells as many changes as the list has objects more.
-type differingSink struct{ memorySink }
+// diffSink returns one change for each object that the list has more.
+type diffSink struct{ memorySink }
 
-func (d *differingSink) Differences(items []string) []Change[string] {
+func (d *diffSink) Differences(items []string) []Change[string] {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var changes []Change[string]
@@ -197,16 +196,16 @@
 	return changes
 }
 
-// A store that forgets its history makes the nodes that read it list anew. Those that follow them
-// get what has changed, and need not take over the whole state.
-func TestFollowersGetWhatANewListChanges(t *testing.T) {
+// A store that discards its history makes the nodes that read it list again. Their followers get
+// the changes and need not take the full state.
+func TestDiffOfListIsPublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store, relay := newMemoryFeed(), &memoryRelay{}
 		store.set("a", "one")
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		follower := NewFollower("test", store, &differingSink{}, uncounted{})
+		follower := NewFollower("test", store, &diffSink{}, noopObserver{})
 		follower.Share(relay)
 		go follower.Run(ctx)
 		time.Sleep(500 * time.Millisecond)
@@ -215,23 +214,23 @@
 		relay.mutex.Unlock()
 		store.configure(func() { store.delay = 10 * time.Millisecond })
 		store.set("b", "two")
-		store.forget()
+		store.discardHistory()
 		time.Sleep(10 * time.Second)
 		relay.mutex.Lock()
 		defer relay.mutex.Unlock()
-		var told []string
+		var published []string
 		for _, changes := range relay.published {
 			for _, change := range changes.Changes {
-				told = append(told, change.Name)
+				published = append(published, change.Name)
 			}
 		}
-		is.Equal(told[len(told)-1], "two")
+		is.Equal(published[len(published)-1], "two")
 	})
 }
 
-// Nodes that follow others leave a list that is due, because the store has forgotten its history,
-// to them; where those do not answer, they list for themselves.
-func TestLongListThatIsDueIsLeftToOthers(t *testing.T) {
+// When a list is due because the store has discarded its history, nodes that follow others leave it
+// to those, and list themselves if those do not answer.
+func TestRelistIsDeferredToPeers(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		silent  bool
@@ -248,10 +247,10 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				sink := &memorySink{}
-				var handed Handed[string]
-				handed.Abandon()
-				follower := NewFollower("test", store, sink, uncounted{})
-				follower.Bootstrap(&handed)
+				var handover Handed[string]
+				handover.Abandon()
+				follower := NewFollower("test", store, sink, noopObserver{})
+				follower.Bootstrap(&handover)
 				follower.Share(relay)
 				go follower.Run(ctx)
 				time.Sleep(time.Second)
@@ -264,13 +263,13 @@
 				relay.source = other
 				relay.mutex.Unlock()
 				store.set("b", "two")
-				store.forget()
-				time.Sleep(relistPatience / 2)
+				store.discardHistory()
+				time.Sleep(relistDelay / 2)
 				is.Equal(store.listed(), 1)
 				if !test.silent {
 					other.configure(func() { other.fail = false })
 				}
-				time.Sleep(relistSpread + 2*relistPatience)
+				time.Sleep(relistJitter + 2*relistDelay)
 				is.Equal(store.listed(), 1+test.further)
 				if test.silent {
 					is.Equal(sink.count(), 2)
--- a/internal/catalog/unreadable.go
+++ b/internal/catalog/unreadable.go
@@ -8,59 +8,59 @@
 )
 
 const (
-	// mostUnreadable bounds the objects that are kept, and with them the log lines.
-	mostUnreadable = 256
-	// longestCause bounds what is kept of a cause, in bytes: it may quote the object.
-	longestCause = 200
+	// maxUnreadable bounds the objects that are kept and thereby the log lines.
+	maxUnreadable = 256
+	// maxCauseBytes bounds the length of a stored cause: it may quote the object.
+	maxCauseBytes = 200
 )
 
-// UnreadableObject is an object that could not be understood, for operators.
+// UnreadableObject is an object that could not be decoded, for operators.
 type UnreadableObject struct {
 	Feed  string
 	Name  string
 	Cause string
-	// Seen is how often it was read, SecondsAgo when it was read last.
+	// Seen is how often it was read, SecondsAgo the time since it was last read.
 	Seen       int
 	SecondsAgo float64
 }
 
-// Unreadable keeps the objects that could not be understood. The zero value has none. It is
-// safe for concurrent use.
+// Unreadable collects the objects that could not be decoded. The zero value is empty. It is safe
+// for concurrent use.
 type Unreadable struct {
 	mutex   sync.Mutex
-	objects map[unreadableKey]*sightings
+	objects map[unreadableKey]*occurrences
 }
 
 type unreadableKey struct{ feed, name string }
 
-type sightings struct {
+type occurrences struct {
 	cause  string
 	count  int
 	latest time.Time
 }
 
-// Note takes in an object. It reports whether that, or its cause, is new, and so worth a line
-// in the log.
+// Note records an object. It reports whether the object or its cause is new, so that it should be
+// logged.
 func (u *Unreadable) Note(feed string, flaw Flaw, now time.Time) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	cause := flaw.Cause[:min(len(flaw.Cause), longestCause)]
+	cause := flaw.Cause[:min(len(flaw.Cause), maxCauseBytes)]
 	key := unreadableKey{feed: feed, name: flaw.Name}
 	known, found := u.objects[key]
-	if !found && len(u.objects) >= mostUnreadable {
+	if !found && len(u.objects) >= maxUnreadable {
 		return false
 	}
 	if !found {
 		if u.objects == nil {
-			u.objects = make(map[unreadableKey]*sightings)
+			u.objects = make(map[unreadableKey]*occurrences)
 		}
-		known = &sightings{}
+		known = &occurrences{}
 		u.objects[key] = known
 	}
-	news := known.cause != cause
+	isNew := known.cause != cause
 	known.cause, known.latest = cause, now
 	known.count++
-	return news
+	return isNew
 }
 
 // Describe returns the objects by feed and name.
--- a/internal/catalog/unreadable_test.go
+++ b/internal/catalog/unreadable_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestUnreadableObjectIsNewsOnceForEachCause(t *testing.T) {
+func TestUnreadableObjectIsNewOncePerCause(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var unreadable Unreadable
@@ -24,11 +24,11 @@
 func TestUnreadableObjectsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var unreadable Unreadable
-	for number := range 2 * mostUnreadable {
-		news := unreadable.Note("servers", Flaw{Name: fmt.Sprint(number), Cause: strings.Repeat("x", 10*longestCause)}, time.Unix(1, 0))
-		is.Equal(news, number < mostUnreadable)
+	for number := range 2 * maxUnreadable {
+		isNew := unreadable.Note("servers", Flaw{Name: fmt.Sprint(number), Cause: strings.Repeat("x", 10*maxCauseBytes)}, time.Unix(1, 0))
+		is.Equal(isNew, number < maxUnreadable)
 	}
 	described := unreadable.Describe(time.Unix(1, 0))
-	is.Equal(len(described), mostUnreadable)
-	is.Equal(len(described[0].Cause), longestCause)
+	is.Equal(len(described), maxUnreadable)
+	is.Equal(len(described[0].Cause), maxCauseBytes)
 }
