--- a/internal/members/announcer.go
+++ b/internal/members/announcer.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	// announceInterval is how often a node announces itself at the least number of
-	// nodes. Calls to the registry are dear and the count may lag, so it is long.
-	announceInterval = 20 * time.Second
-	// readInterval is how often a node reads the announcements at that number.
-	readInterval = 8 * time.Second
-	// announceStep and readStep are what each node adds to the intervals where that
-	// is more: what all nodes read and write together grows no faster than their
-	// number. At twice as many announcements, these were a fifth of the priced calls of
-	// 65 nodes on a calm day (130 of 680).
-	announceStep = time.Second
-	readStep     = 200 * time.Millisecond
-	// startInterval is how long a node that has started waits before its count is
-	// settled.
-	startInterval = 4 * time.Second
-	// startSpread spreads the reads of nodes that started together.
-	startSpread = time.Second
+	// minAnnounceInterval is the interval of a node's announcements in a small deployment. Calls to
+	// the registry are expensive and the count may lag, so it is long.
+	minAnnounceInterval = 20 * time.Second
+	// minReadInterval is the interval at which a node of a small deployment reads the
+	// announcements.
+	minReadInterval = 8 * time.Second
+	// announceIntervalPerNode and readIntervalPerNode are the minimum intervals per node: what all
+	// nodes together read and write grows no faster than their number. With twice as many
+	// announcements, these were a fifth of the billed calls of 65 nodes on a day without faults
+	// (130 of 680).
+	announceIntervalPerNode = time.Second
+	readIntervalPerNode     = 200 * time.Millisecond
+	// settleTime is how long a node that has started waits before its count is settled.
+	settleTime = 4 * time.Second
+	// startJitter spreads the reads of nodes that started together.
+	startJitter = time.Second
 	// callTimeout bounds one call to the registry.
 	callTimeout = time.Second
-	// pageRetries is how often the read of a page is repeated after it has failed, pagePause
-	// the pause before that; it doubles each time.
+	// pageRetries is how often the read of a page is retried. pageBackoff is the delay before a
+	// retry; it doubles each time.
 	pageRetries = 3
-	pagePause   = 100 * time.Millisecond
-	// oldestCopy is more than the age of a copy from which the registry may be restored: later
-	// announcements are made again, within restoredSpread and restoredStep for each node.
-	oldestCopy     = time.Minute
-	restoredSpread = 2 * time.Second
-	restoredStep   = 5 * time.Millisecond
-	// retryInterval is the pause after a call that failed, startRetryInterval as long
-	// as the node has not read who else is there.
+	pageBackoff = 100 * time.Millisecond
+	// maxBackupAge is above the age of any backup from which the registry may be restored:
+	// announcements made since then are repeated, within reannounceJitter plus
+	// reannounceJitterPerNode for each node.
+	maxBackupAge            = time.Minute
+	reannounceJitter        = 2 * time.Second
+	reannounceJitterPerNode = 5 * time.Millisecond
+	// retryInterval is the delay after a failed call, startRetryInterval the delay while the count
+	// is not settled.
 	retryInterval      = 5 * time.Second
 	startRetryInterval = 2 * time.Second
 )
 
-// intervals are the times of announcing and reading at a number of nodes.
+// intervals are the intervals of announcements and reads for a number of nodes.
 type intervals struct {
 	announce time.Duration
 	read     time.Duration
@@ -51,67 +52,67 @@
 
 func intervalsAt(nodes int) intervals {
 	return intervals{
-		announce: max(announceInterval, time.Duration(nodes)*announceStep),
-		read:     max(readInterval, time.Duration(nodes)*readStep),
+		announce: max(minAnnounceInterval, time.Duration(nodes)*announceIntervalPerNode),
+		read:     max(minReadInterval, time.Duration(nodes)*readIntervalPerNode),
 	}
 }
 
-// lifetime is how long an announcement that does not change counts: two
-// announcements may be missed.
+// lifetime is how long a node counts as live after its announcement last changed: two announcements
+// may be missed.
 func (i intervals) lifetime() time.Duration {
 	return 2*i.announce + 2*i.read
 }
 
-// Observer is told who else is there. Its methods do not block.
+// Observer receives the live nodes and their number. Its methods do not block.
 type Observer interface {
-	// MembersRead is told the live nodes after each read, this one included.
+	// MembersRead is called with the live nodes after each read, this one included.
 	MembersRead(live []Member)
-	// MembersCounted is told their number whenever it changes.
+	// MembersCounted is called with the number of nodes whenever it changes.
 	MembersCounted(count Count)
 }
 
-// Announcer keeps the node announced and the count of nodes current.
+// Announcer keeps the announcement of this node and the count of all nodes current.
 type Announcer struct {
 	registry Registry
 	member   Member
 	table    *Table
 	observer Observer
 	count    Count
-	// restored has an element once the registry was restored from a copy.
+	// restored has an element once the registry was restored from a backup.
 	restored chan struct{}
-	// ask returns the announcements that another node has read; nil if there is none to ask.
-	ask func() ([]Member, error)
-	// latest are the announcements that were read last, at latestAt.
+	// askPeer returns the announcements that another node has read; nil if there is none to ask.
+	askPeer func() ([]Member, error)
+	// mutex guards latest, the announcements read last, and latestAt, when they were read.
 	mutex    sync.Mutex
 	latest   []Member
 	latestAt time.Time
 
-	// announcedAt is when the node announced itself last, haste the part of the interval
-	// that it leaves out until the next time: nodes that started together spread.
-	announcedAt time.Time
-	haste       float64
-	// retryAt is when an announcement that failed is made again.
+	// announcedAt is when the node announced itself last. skippedShare is the random share by which
+	// the next interval is shorter, to spread nodes that started together.
+	announcedAt  time.Time
+	skippedShare float64
+	// retryAt is when a failed announcement is made again.
 	retryAt time.Time
 	readAt  time.Time
-	// trustedAt is when a count may be told: nodes that start together do not
-	// see each other at first.
-	trustedAt time.Time
+	// settledAt is when the count may be settled: nodes that start together do not see each other
+	// at first.
+	settledAt time.Time
 }
 
-// NewAnnouncer returns an announcer for the node; near reports whether a zone is
-// in the node's region.
-func NewAnnouncer(registry Registry, member Member, near func(zone string) bool, observer Observer) *Announcer {
+// NewAnnouncer returns an announcer for the node; inRegion reports whether a zone is in the node's
+// region.
+func NewAnnouncer(registry Registry, member Member, inRegion func(zone string) bool, observer Observer) *Announcer {
 	return &Announcer{
 		registry: registry,
 		member:   member,
-		table:    NewTable(member, near),
+		table:    NewTable(member, inRegion),
 		observer: observer,
 		restored: make(chan struct{}, 1),
 	}
 }
 
-// Restored takes in that the registry has come back from a copy, which may lack announcements. It does
-// not wait.
+// Restored signals that the registry was restored from a backup, which may lack announcements. It
+// does not block.
 func (a *Announcer) Restored() {
 	select {
 	case a.restored <- struct{}{}:
@@ -119,11 +120,12 @@
 	}
 }
 
-// AskFirst lets the announcer ask another node for the announcements where they are many.
-func (a *Announcer) AskFirst(ask func() ([]Member, error)) { a.ask = ask }
+// AskFirst sets a function that returns the announcements from another node. It is called if they
+// do not fit on one page of the registry.
+func (a *Announcer) AskFirst(ask func() ([]Member, error)) { a.askPeer = ask }
 
-// Latest returns the announcements that were read from the registry last; false if that is too
-// long ago for others to count by it.
+// Latest returns the announcements that were read from the registry last, or false if they are too
+// old for other nodes to count by them.
 func (a *Announcer) Latest() ([]Member, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -132,12 +134,12 @@
 
 // Run announces and reads until ctx ends.
 func (a *Announcer) Run(ctx context.Context) {
-	// A restarted node's announcements differ from those of its earlier process.
+	// The announcements of a restarted node must differ from those of its earlier process.
 	a.member.Sequence = rand.Uint64() >> 12
-	a.trustedAt = time.Now().Add(startInterval)
-	if a.ask != nil {
-		// Those that are asked read first.
-		a.trustedAt = a.trustedAt.Add(rand.N(startSpread))
+	a.settledAt = time.Now().Add(settleTime)
+	if a.askPeer != nil {
+		// The nodes that are asked read first.
+		a.settledAt = a.settledAt.Add(rand.N(startJitter))
 	}
 	for ctx.Err() == nil {
 		a.step(time.Now())
@@ -149,17 +151,17 @@
 		case <-ctx.Done():
 		case <-time.After(time.Until(next)):
 		case <-a.restored:
-			a.restore(time.Now())
+			a.handleRestore(time.Now())
 		}
 	}
 }
 
-// restore lets nobody be forgotten who is not listed, and makes the own announcement again if the copy
-// may be from before it.
-func (a *Announcer) restore(now time.Time) {
+// handleRestore keeps unlisted members for one lifetime and repeats this node's announcement if the
+// backup may predate it.
+func (a *Announcer) handleRestore(now time.Time) {
 	a.table.Keep(now.Add(a.intervals().lifetime()))
-	if !a.announcedAt.IsZero() && now.Sub(a.announcedAt) < oldestCopy {
-		a.retryAt = now.Add(rand.N(restoredSpread + time.Duration(a.count.All)*restoredStep))
+	if !a.announcedAt.IsZero() && now.Sub(a.announcedAt) < maxBackupAge {
+		a.retryAt = now.Add(rand.N(reannounceJitter + time.Duration(a.count.All)*reannounceJitterPerNode))
 	}
 }
 
@@ -179,11 +181,11 @@
 		return
 	}
 	a.announcedAt, a.retryAt = now, time.Time{}
-	a.haste = largestHaste * rand.Float64()
+	a.skippedShare = maxJitter * rand.Float64()
 }
 
-// announceAt returns when the node announces itself next, by how many nodes it has
-// counted by now: with the first announcement it knows of none.
+// announceAt returns when the node announces itself next. It uses the latest count: at the first
+// announcement the node knows of no others.
 func (a *Announcer) announceAt() time.Time {
 	switch {
 	case !a.retryAt.IsZero():
@@ -192,7 +194,7 @@
 		return time.Time{}
 	}
 	interval := a.intervals().announce
-	return a.announcedAt.Add(interval - time.Duration(a.haste*float64(interval)))
+	return a.announcedAt.Add(interval - time.Duration(a.skippedShare*float64(interval)))
 }
 
 func (a *Announcer) read(now time.Time) {
@@ -201,13 +203,13 @@
 		a.readAt = now.Add(a.retryInterval())
 		return
 	}
-	settled := !now.Before(a.trustedAt)
-	a.readAt = a.trustedAt
+	settled := !now.Before(a.settledAt)
+	a.readAt = a.settledAt
 	if settled {
 		a.readAt = now.Add(jittered(a.intervals().read))
 	}
 	a.table.Observe(all, time.Now())
-	a.keep(all, settled)
+	a.setLatest(all, settled)
 	lifetime := intervalsAt(len(all)).lifetime()
 	a.observer.MembersRead(a.table.Live(time.Now(), lifetime))
 	count := a.table.Count(time.Now(), lifetime)
@@ -219,8 +221,8 @@
 	}
 }
 
-// keep keeps the announcements for others, if those of nodes that started together are there.
-func (a *Announcer) keep(all []Member, settled bool) {
+// setLatest keeps the announcements for other nodes once the count is settled.
+func (a *Announcer) setLatest(all []Member, settled bool) {
 	if !settled {
 		return
 	}
@@ -229,10 +231,10 @@
 	a.latest, a.latestAt = all, time.Now()
 }
 
-// readPages reads all announcements. Where they are more than a page, another node is asked: what
-// all nodes read of the registry must not grow as the square of their number. Each page has its
-// own time, and is asked for once more where it fails: a busy registry must not make a node with
-// many others begin anew.
+// readPages reads all announcements. If they do not fit on one page, it asks another node: what all
+// nodes together read from the registry must not grow with the square of their number. Each page
+// has its own timeout and retries: a busy registry must not make a node start over that has many
+// pages to read.
 func (a *Announcer) readPages() ([]Member, error) {
 	var all []Member
 	failures := 0
@@ -242,14 +244,14 @@
 			if failures++; failures > pageRetries {
 				return nil, err
 			}
-			time.Sleep(jittered(pagePause << failures))
+			time.Sleep(jittered(pageBackoff << failures))
 			continue
 		}
 		failures = 0
-		if after == "" && page.Next != "" && a.ask != nil {
-			asked, err := a.ask()
+		if after == "" && page.Next != "" && a.askPeer != nil {
+			fromPeer, err := a.askPeer()
 			if err == nil {
-				return asked, nil
+				return fromPeer, nil
 			}
 			klog.V(1).InfoS("announcements not learned from another node", "cause", err.Error())
 		}
@@ -269,11 +271,11 @@
 
 func (a *Announcer) intervals() intervals { return intervalsAt(a.count.All) }
 
-// largestHaste is the largest part of an interval that is left out to spread the calls
-// of nodes that started together.
-const largestHaste = 0.125
+// maxJitter is the maximum share by which an interval is shortened to spread the calls of nodes
+// that started together.
+const maxJitter = 0.125
 
-// jittered spreads the calls of nodes that started together.
+// jittered shortens the interval at random to spread the calls of nodes that started together.
 func jittered(interval time.Duration) time.Duration {
-	return interval - time.Duration(largestHaste*rand.Float64()*float64(interval))
+	return interval - time.Duration(maxJitter*rand.Float64()*float64(interval))
 }
--- a/internal/members/announcer_test.go
+++ b/internal/members/announcer_test.go
@@ -14,21 +14,21 @@
 	"github.com/matryer/is"
 )
 
-// registry is a registry in memory.
-type registry struct {
+// memoryRegistry is a registry in memory.
+type memoryRegistry struct {
 	mutex   sync.Mutex
 	members map[string]Member
 	writes  int
 	down    bool
-	// pageSize is the most announcements of a page; 0 for no bound.
+	// pageSize is the maximum number of announcements on a page; 0 for no limit.
 	pageSize int
-	// refuses decides for each read whether it fails; nil for never.
-	refuses func() bool
+	// fails decides for each read whether it fails; nil for never.
+	fails func() bool
 }
 
 var errDown = errors.New("down")
 
-func (r *registry) Announce(member Member, _ time.Time) error {
+func (r *memoryRegistry) Announce(member Member, _ time.Time) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.down {
@@ -39,10 +39,10 @@
 	return nil
 }
 
-func (r *registry) Members(after string, _ time.Time) (Page, error) {
+func (r *memoryRegistry) Members(after string, _ time.Time) (Page, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.down || r.refuses != nil && r.refuses() {
+	if r.down || r.fails != nil && r.fails() {
 		return Page{}, errDown
 	}
 	names := slices.Sorted(maps.Keys(r.members))
@@ -64,21 +64,21 @@
 	return page, nil
 }
 
-func (r *registry) setDown(down bool) {
+func (r *memoryRegistry) setDown(down bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.down = down
 }
 
-// counter remembers the last count told.
-type counter struct {
+// settledCount is an observer that holds the latest count, or zero if that is not settled.
+type settledCount struct {
 	mutex sync.Mutex
 	count int
 }
 
-func (c *counter) MembersRead([]Member) {}
+func (c *settledCount) MembersRead([]Member) {}
 
-func (c *counter) MembersCounted(count Count) {
+func (c *settledCount) MembersCounted(count Count) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.count = 0
@@ -87,26 +87,26 @@
 	}
 }
 
-func (c *counter) get() int {
+func (c *settledCount) get() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.count
 }
 
-// channel is an observer that hands on counts.
-type channel chan Count
+// countChannel is an observer that sends the counts to a channel.
+type countChannel chan Count
 
-func (c channel) MembersRead([]Member) {}
+func (c countChannel) MembersRead([]Member) {}
 
-func (c channel) MembersCounted(count Count) { c <- count }
+func (c countChannel) MembersCounted(count Count) { c <- count }
 
 func TestNodesThatStartTogetherCountEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		shared := &registry{members: make(map[string]Member)}
+		shared := &memoryRegistry{members: make(map[string]Member)}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		counters := make([]counter, 3)
+		counters := make([]settledCount, 3)
 		stops := make([]context.CancelFunc, 3)
 		for index := range counters {
 			nodeContext, stop := context.WithCancel(ctx)
@@ -114,44 +114,44 @@
 			announcer := NewAnnouncer(shared, Member{Name: string(rune('a' + index))}, everywhere, &counters[index])
 			go announcer.Run(nodeContext)
 		}
-		time.Sleep(startInterval - time.Second)
-		is.Equal(counters[0].get(), 0) // no count is settled before others can have announced themselves
+		time.Sleep(settleTime - time.Second)
+		is.Equal(counters[0].get(), 0) // not settled before the others can have announced themselves
 		time.Sleep(2 * time.Second)
 		for index := range counters {
 			is.Equal(counters[index].get(), 3)
 		}
 		stops[2]()
-		time.Sleep(intervalsAt(3).lifetime() + 2*readInterval)
+		time.Sleep(intervalsAt(3).lifetime() + 2*minReadInterval)
 		is.Equal(counters[0].get(), 2) // the stopped node no longer counts
 	})
 }
 
-func TestCountSurvivesARegistryThatIsAway(t *testing.T) {
+func TestCountIsKeptWhileRegistryIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		shared := &registry{members: map[string]Member{"other": {Name: "other"}}}
+		shared := &memoryRegistry{members: map[string]Member{"other": {Name: "other"}}}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var told counter
-		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &told).Run(ctx)
-		time.Sleep(startInterval + time.Second)
-		is.Equal(told.get(), 2)
+		var count settledCount
+		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &count).Run(ctx)
+		time.Sleep(settleTime + time.Second)
+		is.Equal(count.get(), 2)
 		shared.setDown(true)
 		time.Sleep(5 * intervalsAt(3).lifetime())
-		is.Equal(told.get(), 2) // nothing is concluded from silence
+		is.Equal(count.get(), 2) // members do not expire while the registry is down
 	})
 }
 
-func TestRestartedNodeIsToldTheOthersAtOnce(t *testing.T) {
+func TestRestartedNodeCountsOthersImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		shared := &registry{members: map[string]Member{"b": {Name: "b"}, "c": {Name: "c"}}}
+		shared := &memoryRegistry{members: map[string]Member{"b": {Name: "b"}, "c": {Name: "c"}}}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		told := make(chan Count, 8)
-		go NewAnnouncer(shared, Member{Name: "a"}, everywhere, channel(told)).Run(ctx)
-		is.Equal(<-told, Count{All: 3, Region: 3})
-		is.Equal(<-told, Count{All: 3, Region: 3, Settled: true})
+		counts := make(chan Count, 8)
+		go NewAnnouncer(shared, Member{Name: "a"}, everywhere, countChannel(counts)).Run(ctx)
+		is.Equal(<-counts, Count{All: 3, Region: 3})
+		is.Equal(<-counts, Count{All: 3, Region: 3, Settled: true})
 	})
 }
 
@@ -159,19 +159,19 @@
 	is.New(t).Equal(Count{All: 60, Region: 2, Settled: true}.AtLeast(Count{All: 10, Region: 4}), Count{All: 60, Region: 4, Settled: true})
 }
 
-// The second announcement comes at the interval of all nodes, though the first one was
-// made before any was counted.
-func TestAnnouncementsAreSpacedByTheNodesThatAreThere(t *testing.T) {
+// The second announcement is made after the interval for the current number of nodes, though the
+// first one was made before any node was counted.
+func TestAnnounceIntervalFollowsNodeCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		shared := &registry{members: make(map[string]Member)}
+		shared := &memoryRegistry{members: make(map[string]Member)}
 		for number := range 100 {
 			name := fmt.Sprint("other-", number)
 			shared.members[name] = Member{Name: name}
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &counter{}).Run(ctx)
+		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &settledCount{}).Run(ctx)
 		time.Sleep(80 * time.Second) // the interval of 101 nodes is 101 s, less an eighth
 		shared.mutex.Lock()
 		is.Equal(shared.writes, 1)
@@ -183,14 +183,14 @@
 	})
 }
 
-// A node reads its fellows page by page. A registry that refuses one call in three must not
-// make it begin anew each time: with many pages it would never know the others.
-func TestManyPagesAreReadFromABusyRegistry(t *testing.T) {
+// Announcements are read page by page. If a registry that fails one call in three made the node
+// start over each time, it would never complete a list of many pages.
+func TestPagesAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		calls := 0
-		shared := &registry{members: make(map[string]Member), pageSize: 10}
-		shared.refuses = func() bool {
+		shared := &memoryRegistry{members: make(map[string]Member), pageSize: 10}
+		shared.fails = func() bool {
 			calls++
 			return calls%3 == 0
 		}
@@ -200,29 +200,29 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var told counter
-		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &told).Run(ctx)
-		time.Sleep(3 * startInterval)
-		is.Equal(told.get(), 401)
+		var count settledCount
+		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &count).Run(ctx)
+		time.Sleep(3 * settleTime)
+		is.Equal(count.get(), 401)
 	})
 }
 
-// Many nodes start together. What they read of the registry grows as their number, since all but
-// a few learn the others from one that has read them.
-func TestManyNodesLearnEachOtherFromFew(t *testing.T) {
+// Many nodes start together. What they read from the registry grows with their number only, since
+// all but a few get the announcements from a node that has read them.
+func TestManyNodesReadFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const nodes, seeds, pageSize = 200, 3, 10
 		calls := 0
-		shared := &registry{members: make(map[string]Member), pageSize: pageSize}
-		shared.refuses = func() bool {
+		shared := &memoryRegistry{members: make(map[string]Member), pageSize: pageSize}
+		shared.fails = func() bool {
 			calls++
 			return false
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var first *Announcer
-		counters := make([]counter, nodes)
+		counters := make([]settledCount, nodes)
 		for index := range nodes {
 			announcer := NewAnnouncer(shared, Member{Name: fmt.Sprintf("node-%03d", index)}, everywhere, &counters[index])
 			if index >= seeds {
@@ -238,11 +238,11 @@
 			}
 			go announcer.Run(ctx)
 		}
-		time.Sleep(startInterval - time.Second)
+		time.Sleep(settleTime - time.Second)
 		shared.mutex.Lock()
 		calls = 0
 		shared.mutex.Unlock()
-		time.Sleep(startSpread + 2*time.Second)
+		time.Sleep(startJitter + 2*time.Second)
 		for index := range counters {
 			is.Equal(counters[index].get(), nodes)
 		}
@@ -252,21 +252,21 @@
 	})
 }
 
-// Guards against shares of budgets that are too large because a restored registry lacks members that
-// live.
-func TestMembersThatACopyLacksStillCount(t *testing.T) {
+// Guards against shares of budgets that are too large because a restored registry lacks live
+// members.
+func TestUnlistedMembersCountAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		shared := &registry{members: make(map[string]Member)}
+		shared := &memoryRegistry{members: make(map[string]Member)}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		counters := make([]counter, 3)
+		counters := make([]settledCount, 3)
 		announcers := make([]*Announcer, len(counters))
 		for index := range counters {
 			announcers[index] = NewAnnouncer(shared, Member{Name: string(rune('a' + index))}, everywhere, &counters[index])
 			go announcers[index].Run(ctx)
 		}
-		time.Sleep(startInterval + 2*time.Second)
+		time.Sleep(settleTime + 2*time.Second)
 		shared.mutex.Lock()
 		clear(shared.members)
 		shared.mutex.Unlock()
@@ -282,6 +282,6 @@
 		shared.mutex.Lock()
 		defer shared.mutex.Unlock()
 		is.Equal(len(shared.members), 3)
-		is.True(shared.writes <= 3+3+3*3) // the first ones, once more each, then as always
+		is.True(shared.writes <= 3+3+3*3) // the first ones, one more each, then the regular ones
 	})
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,6 +1,6 @@
-// Package members counts the nodes of the query tier: each announces itself in a
-// registry from time to time and reads who else did. The count divides what all
-// nodes share: the connections of a server and the slack of the retry budget.
+// Package members counts the nodes of the query tier by a shared registry: each node announces
+// itself periodically and reads the announcements of the others. The count divides what all nodes
+// share: the connections of a server and the slack of the retry budget.
 package members
 
 import "time"
@@ -9,9 +9,9 @@
 type Member struct {
 	Name string
 	Zone string
-	// Sequence rises with each announcement of the node.
+	// Sequence increases with each announcement of the node.
 	Sequence uint64
-	// Address is where the node answers its peers (IP:port); empty for nowhere.
+	// Address is where the node serves its peers (IP:port); empty if it does not.
 	Address string
 }
 
@@ -19,86 +19,85 @@
 type Registry interface {
 	// Announce writes or replaces the node's announcement.
 	Announce(member Member, deadline time.Time) error
-	// Members returns the announcements after a name, or the first ones without a name; they
-	// may be seconds old.
+	// Members returns the announcements after a name, or the first ones if it is empty; they may be
+	// seconds old.
 	Members(after string, deadline time.Time) (Page, error)
 }
 
-// Page is a part of the list of announcements.
+// Page is one page of the list of announcements.
 type Page struct {
 	Members []Member
-	// Next is the name after which the list goes on; empty at its end.
+	// Next is the name after which the next page starts; empty on the last page.
 	Next string
 }
 
-// sighting is when an announcement was last seen to change.
-type sighting struct {
-	member Member
-	seen   time.Time
+// entry is an announcement and when it was last seen to change.
+type entry struct {
+	member    Member
+	changedAt time.Time
 }
 
-// Table is what a node knows of the others. It does no I/O and reads no clock.
+// Table tracks the announcements of all nodes. It does no I/O and reads no clock.
 type Table struct {
-	own       Member
-	near      func(zone string) bool
-	sightings map[string]sighting
-	// keepUntil is until when members that are not listed are kept.
+	own      Member
+	inRegion func(zone string) bool
+	entries  map[string]entry
+	// keepUntil is the time until which members that are not listed are kept.
 	keepUntil time.Time
 }
 
-// NewTable returns a table that knows only the node itself; near reports whether
-// a zone is in its region.
-func NewTable(own Member, near func(zone string) bool) *Table {
-	return &Table{own: own, near: near, sightings: make(map[string]sighting)}
+// NewTable returns a table that contains only the node itself; inRegion reports whether a zone is
+// in its region.
+func NewTable(own Member, inRegion func(zone string) bool) *Table {
+	return &Table{own: own, inRegion: inRegion, entries: make(map[string]entry)}
 }
 
-// Observe takes a list of all announcements into account.
+// Observe updates the table from a list of all announcements.
 func (t *Table) Observe(members []Member, now time.Time) {
 	listed := make(map[string]bool, len(members))
 	for _, member := range members {
 		listed[member.Name] = true
-		known, found := t.sightings[member.Name]
+		known, found := t.entries[member.Name]
 		if !found || known.member.Sequence != member.Sequence {
-			t.sightings[member.Name] = sighting{member: member, seen: now}
+			t.entries[member.Name] = entry{member: member, changedAt: now}
 		}
 	}
 	if now.Before(t.keepUntil) {
 		return
 	}
-	for name := range t.sightings {
+	for name := range t.entries {
 		if !listed[name] {
-			delete(t.sightings, name)
+			delete(t.entries, name)
 		}
 	}
 }
 
-// Keep keeps members that are not listed until then, as long as they would live else.
+// Keep keeps members that are not listed until the given time, as long as they count as live.
 func (t *Table) Keep(until time.Time) { t.keepUntil = until }
 
 // Count is a number of nodes.
 type Count struct {
 	All int
-	// Region are the nodes in the region of the one that counts.
+	// Region is the number of nodes in the region of the node that counts.
 	Region int
-	// Settled is set once nodes that started together have had time to announce
-	// themselves; before that the count may be too small.
+	// Settled is set once nodes that started together have had time to announce themselves; before
+	// that the count may be too small.
 	Settled bool
 }
 
-// AtLeast returns the count, or the other one where that is larger.
+// AtLeast returns the maximum of each number of the two counts.
 func (c Count) AtLeast(other Count) Count {
 	c.All = max(c.All, other.All)
 	c.Region = max(c.Region, other.Region)
 	return c
 }
 
-// Live returns this node and those whose announcement has changed within the
-// lifetime.
+// Live returns this node and those whose announcement has changed within the lifetime.
 func (t *Table) Live(now time.Time, lifetime time.Duration) []Member {
 	live := []Member{t.own}
-	for name, sighting := range t.sightings {
-		if name != t.own.Name && now.Sub(sighting.seen) < lifetime {
-			live = append(live, sighting.member)
+	for name, known := range t.entries {
+		if name != t.own.Name && now.Sub(known.changedAt) < lifetime {
+			live = append(live, known.member)
 		}
 	}
 	return live
@@ -109,7 +108,7 @@
 	live := t.Live(now, lifetime)
 	count := Count{All: len(live)}
 	for _, member := range live {
-		if member.Name == t.own.Name || t.near(member.Zone) {
+		if member.Name == t.own.Name || t.inRegion(member.Zone) {
 			count.Region++
 		}
 	}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// everywhere is a region that holds all zones.
+// everywhere reports all zones as part of the region.
 func everywhere(string) bool { return true }
 
 func TestCount(t *testing.T) {
@@ -42,21 +42,21 @@
 }
 
 func TestCountOfTheRegion(t *testing.T) {
-	near := func(zone string) bool { return zone == "z" || zone == "y" }
-	table := NewTable(Member{Name: "a", Zone: "z"}, near)
+	inRegion := func(zone string) bool { return zone == "z" || zone == "y" }
+	table := NewTable(Member{Name: "a", Zone: "z"}, inRegion)
 	table.Observe([]Member{{Name: "a", Zone: "z"}, {Name: "b", Zone: "z"}, {Name: "c", Zone: "y"}, {Name: "d", Zone: "x"}}, time.Unix(1, 0))
 	is.New(t).Equal(table.Count(time.Unix(2, 0), time.Minute), Count{All: 4, Region: 3})
 }
 
-func TestIntervalsGrowWithTheNodes(t *testing.T) {
+func TestIntervalsGrowWithNodeCount(t *testing.T) {
 	is := is.New(t)
-	is.Equal(intervalsAt(9), intervals{announce: announceInterval, read: readInterval})
+	is.Equal(intervalsAt(9), intervals{announce: minAnnounceInterval, read: minReadInterval})
 	is.Equal(intervalsAt(3600), intervals{announce: time.Hour, read: 12 * time.Minute})
 }
 
-// A list that lacks members for a while, as that of a restored registry does, forgets nobody before
-// they would be taken for dead.
-func TestKeptMembersCountUntilTheyWouldBeDead(t *testing.T) {
+// If a list lacks members for a while, as that of a restored registry does, none is dropped before
+// its lifetime is over.
+func TestKeptMembersExpire(t *testing.T) {
 	is := is.New(t)
 	const lifetime = time.Minute
 	now := time.Now()
@@ -67,5 +67,5 @@
 	is.Equal(table.Count(now.Add(lifetime-1), lifetime).All, 3)
 	is.Equal(table.Count(now.Add(lifetime), lifetime).All, 2)
 	table.Observe([]Member{{Name: "b", Sequence: 1}}, now.Add(lifetime))
-	is.Equal(table.Count(now.Add(lifetime), lifetime).All, 2) // a list counts in full again
+	is.Equal(table.Count(now.Add(lifetime), lifetime).All, 2) // members that are not listed are dropped again
 }
