--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Core is the membership protocol of one node. It is not safe for concurrent
-// use and does nothing by itself.
+// Core is the membership protocol of one node. It does no I/O, reads no clock and is not safe for
+// concurrent use.
 type Core struct {
 	options Options
 	random  *rand.Rand
@@ -18,22 +18,21 @@
 	table *table
 	peers peers
 	seeds []string
-	// synced tells that a table of another node was taken in.
-	synced bool
-	news   *newsQueue
-	// announcements is how many messages are still to be sent though there
-	// may be no news.
-	announcements int
+	// synced is set once the table of another node has been merged.
+	synced  bool
+	updates *updateQueue
+	// pendingGossip is how many gossip messages are still to be sent even without updates.
+	pendingGossip int
 
-	sequence uint64
-	probe    *probe
-	relays   map[uint64]relay
-	doubts   []*record
-	suspects []*record
+	sequence      uint64
+	probe         *probe
+	relays        map[uint64]relay
+	probeRequests []*record
+	suspects      []*record
 
 	started       time.Time
 	lastTick      time.Time
-	lastHeard     time.Time
+	lastReceived  time.Time
 	isolated      bool
 	nextProbe     time.Time
 	nextGossip    time.Time
@@ -43,36 +42,36 @@
 	nextExpiry    time.Time
 }
 
-// expiryPeriod is the time between two searches for records to forget.
+// expiryPeriod is the time between two searches for expired records.
 const expiryPeriod = 10 * time.Second
 
-// New returns the core of a node that knows nobody else. The incarnation of
-// self must be above that of an earlier process under the same ID or address:
-// a wall clock in milliseconds does; where it went back, the node finds out.
+// New returns the core of a node that knows no other. The incarnation of self must be above that of
+// an earlier process with the same ID or address: a wall clock in milliseconds is enough. If that
+// clock has gone back, the node raises its incarnation when others contradict it.
 func New(options Options, self Member, random *rand.Rand, now time.Time) *Core {
 	self.State = Alive
 	core := &Core{
-		options:   options,
-		random:    random,
-		now:       now,
-		self:      &record{Member: self},
-		table:     newTable(),
-		news:      newNewsQueue(),
-		sequence:  random.Uint64() >> 1,
-		relays:    make(map[uint64]relay),
-		started:   now,
-		lastSync:  now,
-		lastTick:  now,
-		lastHeard: now,
+		options:      options,
+		random:       random,
+		now:          now,
+		self:         &record{Member: self},
+		table:        newTable(),
+		updates:      newUpdateQueue(),
+		sequence:     random.Uint64() >> 1,
+		relays:       make(map[uint64]relay),
+		started:      now,
+		lastSync:     now,
+		lastTick:     now,
+		lastReceived: now,
 	}
 	core.table.insert(core.self)
 	core.peers.changed = true
 	core.nextProbe = now.Add(core.jitter(options.ProbePeriod))
-	core.news.push(core.self.detailedUpdate(), options.transmissions(1))
+	core.updates.push(core.self.detailedUpdate(), options.transmissions(1))
 	return core
 }
 
-// Step takes in an event.
+// Step processes an event and returns the resulting actions.
 func (core *Core) Step(event Event, now time.Time) []Action {
 	core.begin(now)
 	switch event := event.(type) {
@@ -83,7 +82,7 @@
 	case Synced:
 		core.merge(event.Entries)
 	case Announce:
-		core.announcements = core.options.transmissions(core.table.live)
+		core.pendingGossip = core.options.transmissions(core.table.live)
 		core.gossip(core.options.GossipFanout)
 	case Leave:
 		core.leave()
@@ -93,7 +92,7 @@
 	return core.end()
 }
 
-// Tick lets time pass; it is to be called several times per GossipPeriod.
+// Tick advances the time; it must be called several times per GossipPeriod.
 func (core *Core) Tick(now time.Time) []Action {
 	core.begin(now)
 	core.lastTick = now
@@ -103,29 +102,29 @@
 	core.startProbeWhenDue()
 	core.probeDead()
 	core.gossipWhenDue()
-	core.forget()
+	core.removeExpired()
 	return core.end()
 }
 
-// Self returns the node as it describes itself.
+// Self returns this node as it describes itself to others.
 func (core *Core) Self() Member { return core.self.Member }
 
-// Isolated tells whether the node hears nobody though it knows live members.
+// Isolated reports whether the node receives no messages although it knows live members.
 func (core *Core) Isolated() bool { return core.isolated }
 
-// Members returns all members that are not dead, by ID, the node itself included.
+// Members returns all members that are not dead, by ID, including the node itself.
 func (core *Core) Members() []Member {
 	members := make([]Member, 0, core.table.live)
 	for _, record := range core.table.ordered {
 		if !record.dead() {
-			members = append(members, record.visible())
+			members = append(members, record.view())
 		}
 	}
 	return members
 }
 
-// Failed returns the members that were found dead and are remembered, by ID,
-// without those that announced that they leave.
+// Failed returns the members that were found dead and have not expired, by ID, without those that
+// had announced a planned stop.
 func (core *Core) Failed() []Failed {
 	var failed []Failed
 	for _, record := range core.table.ordered {
@@ -136,9 +135,9 @@
 	return failed
 }
 
-// visible returns the member with a suspicion shown in its state; a suspect
-// that was leaving is still leaving.
-func (record *record) visible() Member {
+// view returns the member with any suspicion in its state; a suspect that was leaving stays
+// leaving.
+func (record *record) view() Member {
 	member := record.Member
 	if member.State == Alive && record.suspect() {
 		member.State = Suspect
@@ -150,7 +149,7 @@
 	core.now = now
 	gap := now.Sub(core.lastTick)
 	if gap > core.options.PauseThreshold {
-		core.resume(gap)
+		core.resumeAfterPause(gap)
 	}
 }
 
@@ -160,39 +159,38 @@
 	return actions
 }
 
-func (core *Core) act(action Action) { core.actions = append(core.actions, action) }
+func (core *Core) emit(action Action) { core.actions = append(core.actions, action) }
 
-// jitter returns a random part of a period, so that nodes do not act in step.
+// jitter returns a random part of a period, so that nodes do not act in lockstep.
 func (core *Core) jitter(period time.Duration) time.Duration {
 	return time.Duration(core.random.Int64N(int64(period) + 1))
 }
 
-// resume makes up for a pause of the process: what it waited for proves nothing,
-// and others may have given it up.
-func (core *Core) resume(gap time.Duration) {
+// resumeAfterPause handles a pause of the process: timeouts that expired during the pause prove
+// nothing, and other nodes may have suspected this one.
+func (core *Core) resumeAfterPause(gap time.Duration) {
 	core.lastTick = core.now
-	core.lastHeard = core.now
+	core.lastReceived = core.now
 	core.probe = nil
 	clear(core.relays)
 	for _, suspect := range core.suspects {
 		suspect.suspectUntil = suspect.suspectUntil.Add(gap)
 	}
 	core.raiseIncarnation(core.self.Incarnation)
-	core.act(Paused{Gap: gap})
+	core.emit(Paused{Gap: gap})
 	core.gossip(core.options.GossipFanout)
 }
 
-// raiseIncarnation overrides whatever others say of this node up to an
-// incarnation.
+// raiseIncarnation overrides all claims of others about this node up to an incarnation.
 func (core *Core) raiseIncarnation(above uint64) {
 	core.table.change(core.self, func() {
 		core.self.Incarnation = max(core.self.Incarnation, above) + 1
 	})
-	core.spread(core.selfUpdate())
+	core.broadcast(core.selfUpdate())
 }
 
-// detailsPeriod is how long a new process sends its details with all that it
-// says of itself: until then some may know an earlier one elsewhere.
+// detailsPeriod is how long a new process sends its details with every update about itself: until
+// then some nodes may know an earlier process at another address.
 const detailsPeriod = time.Minute
 
 func (core *Core) selfUpdate() Update {
@@ -210,12 +208,12 @@
 		core.self.State = Leaving
 		core.self.Incarnation++
 	})
-	core.act(Changed{Member: core.self.Member, Before: Alive})
-	core.spread(core.selfUpdate())
+	core.emit(Changed{Member: core.self.Member, Before: Alive})
+	core.broadcast(core.selfUpdate())
 	core.gossip(core.options.GossipFanout)
 }
 
-// exitFanout is how many members hear of an exit from the node itself.
+// exitFanout is the number of members to which a node sends its exit.
 const exitFanout = 6
 
 func (core *Core) exit() {
@@ -224,33 +222,33 @@
 		core.self.left = true
 		core.self.Incarnation++
 	})
-	core.spread(core.self.update())
+	core.broadcast(core.self.update())
 	core.gossip(exitFanout)
 }
 
-// checkIsolation compares the time of silence with what a node with several
-// live members must have heard. A node whose only peer is silent can not tell
-// who failed, and takes the peer for dead in the usual way.
+// checkIsolation compares the time since the last received message with the time in which a node
+// with several live members must have received one. A node whose only peer is silent cannot tell
+// which of the two failed, and declares the peer dead after the usual suspicion.
 func (core *Core) checkIsolation() {
-	silence := core.now.Sub(core.lastHeard)
+	silence := core.now.Sub(core.lastReceived)
 	if core.isolated || silence < core.options.IsolationTime || core.table.live <= 2 {
 		return
 	}
 	core.isolated = true
-	core.act(Isolated{})
+	core.emit(Isolated{})
 }
 
-func (core *Core) heard() {
-	core.lastHeard = core.now
+func (core *Core) noteReceived() {
+	core.lastReceived = core.now
 	if core.isolated {
 		core.isolated = false
 		core.raiseIncarnation(core.self.Incarnation)
-		core.act(Reconnected{})
+		core.emit(Reconnected{})
 	}
 }
 
-// forget drops records that were dead for long.
-func (core *Core) forget() {
+// removeExpired removes dead members whose retention is over, and expired relays.
+func (core *Core) removeExpired() {
 	if core.now.Before(core.nextExpiry) {
 		return
 	}
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -11,10 +11,10 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// The bounds are in virtual time; seeds make every run the same.
+// The bounds are in virtual time; fixed seeds make every run the same.
 const (
 	joinBound = 30 * time.Second
-	// deathBound covers a probe round, the suspicion and the spread.
+	// deathBound covers a probe round, the suspicion and the dissemination.
 	deathBound  = 30 * time.Second
 	rejoinBound = 90 * time.Second
 )
@@ -26,7 +26,7 @@
 	return simulation
 }
 
-// fataler is what testing.T and rapid.T have in common.
+// fataler is the common part of testing.T and rapid.T.
 type fataler interface {
 	Fatalf(format string, args ...any)
 }
@@ -39,9 +39,8 @@
 	return took
 }
 
-// Under loss, duplication, reordering, one-way cuts, freezes, kills and
-// restarts, drawn at random, all running nodes agree on who runs once the
-// faults are over.
+// After loss, duplication, reordering, one-way partitions, freezes, kills and restarts, drawn at
+// random, all running nodes agree on the running nodes.
 func TestAgreementAfterFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulation := newSimulator(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 12).Draw(t, "nodes"))
@@ -73,7 +72,7 @@
 				simulation.thaw(node)
 			}
 		}
-		// One of the seeds must run, or parts that never met can not find each other.
+		// One of the seeds must run: partitions that never knew each other cannot find each other otherwise.
 		if !simulation.nodes[0].running {
 			simulation.startNode(simulation.nodes[0], "node-000-again")
 		}
@@ -81,8 +80,8 @@
 	})
 }
 
-// Many nodes that start at once know each other soon: what is slow in news is
-// fetched by whole tables.
+// Many nodes that start at once soon know each other: what gossip delivers slowly is fetched by
+// table syncs.
 func TestManyStartAtOnce(t *testing.T) {
 	simulation := newSimulator(1, 200)
 	simulation.startAll()
@@ -90,8 +89,8 @@
 	t.Logf("agreed after %v", took)
 }
 
-// A killed node is found dead by all within the bound.
-func TestKilledNodeIsFound(t *testing.T) {
+// All nodes find a killed node dead within the bound.
+func TestKilledNodeIsFoundDead(t *testing.T) {
 	for _, count := range []int{3, 5, 40} {
 		for seed := range uint64(5) {
 			simulation := started(t, seed, count)
@@ -102,8 +101,8 @@
 	}
 }
 
-// Without faults but some loss, nobody is ever found dead.
-func TestNobodyDiesOfLoss(t *testing.T) {
+// With some message loss and no other fault, no node is ever found dead.
+func TestNoFalseDeathsUnderLoss(t *testing.T) {
 	for seed := range uint64(5) {
 		simulation := started(t, seed, 20)
 		simulation.loss = 0.05
@@ -116,7 +115,7 @@
 	}
 }
 
-// A link that is cut one way, between two nodes that others reach, makes nobody suspect.
+// If a link between two nodes is cut in one direction and others reach both, no node is suspected.
 func TestOneWayCutBetweenTwoNodes(t *testing.T) {
 	for seed := range uint64(5) {
 		simulation := started(t, seed, 8)
@@ -131,30 +130,30 @@
 	}
 }
 
-// A node that can send but not hear is found dead, while its own doubts about
-// the others, which it can spread, kill nobody for good.
-func TestDeafNode(t *testing.T) {
+// A node that can send but not receive is found dead. Its own suspicions of the others, which it
+// can send, do not permanently remove any of them.
+func TestNodeThatCannotReceive(t *testing.T) {
 	for seed := range uint64(5) {
 		simulation := started(t, seed, 8)
-		deaf := simulation.nodes[3]
-		simulation.cut = func(_, receiver *simulatedNode) bool { return receiver == deaf }
+		unreachable := simulation.nodes[3]
+		simulation.cut = func(_, receiver *simulatedNode) bool { return receiver == unreachable }
 		simulation.run(time.Minute)
 		for _, node := range simulation.nodes {
-			_, found := node.deaths[deaf.id]
-			if node != deaf && (!found || len(node.deaths) > 1) {
+			_, found := node.deaths[unreachable.id]
+			if node != unreachable && (!found || len(node.deaths) > 1) {
 				t.Fatalf("seed %d: %s found dead: %v", seed, node.id, node.deaths)
 			}
 		}
-		if !deaf.core.Isolated() {
-			t.Fatalf("seed %d: the deaf node did not notice", seed)
+		if !unreachable.core.Isolated() {
+			t.Fatalf("seed %d: the unreachable node did not detect its isolation", seed)
 		}
 		simulation.cut = newSimulator(0, 0).cut
 		mustAgree(t, simulation, rejoinBound)
 	}
 }
 
-// Regions that lost each other for an hour, and all their nodes meanwhile
-// replaced in one of them, join again, with or without seeds.
+// Regions that are partitioned for an hour, during which all nodes of one of them are replaced,
+// rejoin with or without seeds.
 func TestRegionsRejoin(t *testing.T) {
 	for seed := range uint64(4) {
 		withSeeds := seed%2 == 0
@@ -181,8 +180,8 @@
 	}
 }
 
-// A frozen node is found dead, notices at wake-up, and is taken back.
-func TestFrozenNodeComesBack(t *testing.T) {
+// A frozen node is found dead, detects the pause when it resumes, and rejoins.
+func TestFrozenNodeRejoins(t *testing.T) {
 	is := is.New(t)
 	simulation := started(t, 1, 8)
 	frozen := simulation.nodes[4]
@@ -194,12 +193,12 @@
 	simulation.run(tickPeriod)
 	is.Equal(frozen.paused, 1)
 	mustAgree(t, simulation, 10*time.Second)
-	is.Equal(len(frozen.deaths), 0) // its own stop proves nothing about the others
+	is.Equal(len(frozen.deaths), 0) // its own pause proves nothing about the others
 }
 
-// A process that restarts at once, under a new ID or the same one, replaces the
-// old one without waiting for its death.
-func TestRestartReplacesAtOnce(t *testing.T) {
+// A process that restarts immediately, under a new ID or the same one, replaces the old one before
+// that would be found dead.
+func TestRestartReplacesImmediately(t *testing.T) {
 	for _, suffix := range []string{"", "-new"} {
 		simulation := started(t, 1, 8)
 		simulation.run(10 * time.Second)
@@ -209,8 +208,8 @@
 	}
 }
 
-// A process that restarts under its name at another address is known there, also
-// when messages are lost and it is suspected meanwhile.
+// A process that restarts under its ID at another address is known at the new address, even if
+// messages are lost and it is suspected meanwhile.
 func TestRestartAtAnotherAddress(t *testing.T) {
 	for seed := range uint64(20) {
 		simulation := started(t, seed, 8)
@@ -234,7 +233,7 @@
 	}
 }
 
-// A restarted process whose wall clock went back still replaces the old one.
+// A restarted process whose wall clock has gone back still replaces the old one.
 func TestRestartWithEarlierClock(t *testing.T) {
 	for _, suffix := range []string{"", "-new"} {
 		simulation := started(t, 1, 8)
@@ -246,7 +245,7 @@
 	}
 }
 
-// A leaving node is seen as such by all, and its exit is no failure.
+// All nodes see a leaving node as leaving, and its exit is not a failure.
 func TestLeave(t *testing.T) {
 	is := is.New(t)
 	simulation := started(t, 1, 20)
@@ -271,12 +270,12 @@
 	mustAgree(t, simulation, 3*time.Second)
 }
 
-// No message is larger than the bound.
+// No message exceeds the bound.
 func TestMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
 	simulation := newSimulator(1, 60)
 	simulation.startAll()
 	simulation.run(time.Minute)
-	is.True(simulation.largest > 600) // so that the bound was put to the test
+	is.True(simulation.largest > 600) // otherwise the bound was not tested
 	is.True(simulation.largest <= simulation.options.DatagramBytes)
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,18 +1,18 @@
-// Package membership decides which nodes are alive, suspect, leaving or dead, in
-// the manner of SWIM (Das, Gupta and Motivala, 2002) with suspicion and
-// incarnations. It is a pure core: events and the time go in by Core.Step and
-// Core.Tick, actions for the shell come out.
+// Package membership decides which nodes are alive, suspect, leaving or dead. It implements SWIM
+// (Das, Gupta and Motivala, 2002) with suspicion and incarnations as a pure core: Core.Step and
+// Core.Tick take events and the time and return actions for the caller to perform.
 //
-// What differs from the paper, and why:
+// Differences from the paper:
 //
-//   - Probes and gossip go mostly to nodes of the own zone, some to all others,
-//     so that the cost on links between regions stays low.
-//   - Dead members are remembered and pinged now and then, so that regions that
-//     lost each other join again without help. A member learns from such a ping
-//     that it is held dead, and raises its incarnation.
+//   - Most probes and gossip go to nodes of the same zone, the rest to nodes of
+//     any zone, to keep the traffic between regions low.
+//   - Dead members are remembered and pinged periodically, so that regions that
+//     were partitioned rejoin without operator action. Such a ping tells a member
+//     that it is considered dead, and it raises its incarnation.
 //   - Messages carry a hash of the sender's table. Tables that differ while
-//     neither side has news left are compared by buckets over TCP; where they
-//     contradict each other, the member in question is probed.
-//   - A node that was paused (its clock jumped between ticks) or that hears
-//     nobody says so, by the actions Paused and Isolated.
+//     neither side has updates left to send are compared by buckets over TCP
+//     (anti-entropy). If they contradict each other about a member, that member
+//     is probed.
+//   - A node that was paused (its clock jumped between ticks) or that receives no
+//     messages reports that by the actions Paused and Isolated.
 package membership
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Event is something that happened to a node.
+// Event is an input of the protocol.
 type Event interface{ isEvent() }
 
-// Received is a message that came from a gossip address.
+// Received is a message received from a gossip address.
 type Received struct {
 	Address string
 	Message Message
 }
 
-// Seeds replaces the list of gossip addresses at which other nodes may be: the
-// join list of the settings and the machine list.
+// Seeds replaces the list of gossip addresses at which other nodes may be: the join list of the
+// settings and the machine list.
 type Seeds struct{ Addresses []string }
 
-// Synced brings entries of another node's table.
+// Synced delivers entries of another node's table.
 type Synced struct{ Entries []Update }
 
-// Announce asks for a message to several members at once; the shell's part of
-// the message has changed.
+// Announce requests a message to several members immediately, because the caller's own part of the
+// message has changed.
 type Announce struct{}
 
-// Leave begins a planned stop.
+// Leave starts a planned stop.
 type Leave struct{}
 
-// Exit ends it: the node is about to vanish.
+// Exit completes a planned stop: the process is about to end.
 type Exit struct{}
 
 func (Received) isEvent() {}
@@ -35,7 +35,7 @@
 func (Leave) isEvent()    {}
 func (Exit) isEvent()     {}
 
-// Action is something that the shell must do, in the order given.
+// Action is something that the caller must do, in the given order.
 type Action interface{ isAction() }
 
 // Send sends a message to a gossip address.
@@ -44,22 +44,22 @@
 	Message Message
 }
 
-// Changed tells that a member is new or changed its state.
+// Changed reports a new member or a change of a member's state.
 type Changed struct {
 	Member Member
 	// Before is Dead for a new member.
 	Before State
 }
 
-// Sync asks to compare tables with the node at a wire address: send Digest,
-// step Synced with the answer's entries, and send back Entries.
+// Sync requests a comparison of tables with the node at a wire address: send Digest, pass the
+// entries of the reply to Step as Synced, and send back Entries.
 type Sync struct{ Address string }
 
-// Paused tells that the node stood still for Gap. It has raised its own
-// incarnation; it must learn the newest configuration before it takes requests.
+// Paused reports that the process did not run for Gap. The core has raised its incarnation; the
+// node must load the latest configuration before it accepts requests.
 type Paused struct{ Gap time.Duration }
 
-// Isolated tells that the node hears nobody though it knows live members.
+// Isolated reports that the node receives no messages although it knows live members.
 type Isolated struct{}
 
 // Reconnected ends Isolated.
--- a/internal/membership/leave_test.go
+++ b/internal/membership/leave_test.go
@@ -10,26 +10,26 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// tell has a peer send news about the last peer.
-func (one *single) tell(teller int, update membership.Update) []membership.Action {
-	return one.step(membership.Received{Address: peerAddress(teller), Message: membership.Message{
-		From: peerID(teller), FromIncarnation: 5, Kind: membership.Gossip,
+// deliverUpdate delivers an update from a peer.
+func (h *harness) deliverUpdate(sender int, update membership.Update) []membership.Action {
+	return h.step(membership.Received{Address: peerAddress(sender), Message: membership.Message{
+		From: peerID(sender), FromIncarnation: 5, Kind: membership.Gossip,
 		Updates: []membership.Update{update},
 	}})
 }
 
-// hears runs for a while in which the first peer goes on talking.
-func (one *single) hears(duration time.Duration) []membership.Action {
+// runWithGossip runs for a while in which the first peer keeps sending messages.
+func (h *harness) runWithGossip(duration time.Duration) []membership.Action {
 	var actions []membership.Action
-	for end := one.now.Add(duration); one.now.Before(end); {
-		one.hear(0)
-		actions = append(actions, one.run(tickPeriod)...)
+	for end := h.now.Add(duration); h.now.Before(end); {
+		h.deliverGossip(0)
+		actions = append(actions, h.run(tickPeriod)...)
 	}
 	return actions
 }
 
-// spreadOf returns the last status of a peer that was sent to others.
-func spreadOf(actions []membership.Action, index int) (status membership.Status) {
+// sentStatus returns the last status of a peer that was sent to others.
+func sentStatus(actions []membership.Action, index int) (status membership.Status) {
 	for _, action := range actions {
 		send, sent := action.(membership.Send)
 		if !sent {
@@ -45,34 +45,34 @@
 }
 
 // failed reports whether a peer counts as failed.
-func (one *single) failed(index int) bool {
-	return slices.ContainsFunc(one.core.Failed(), func(failed membership.Failed) bool { return failed.ID == peerID(index) })
+func (h *harness) failed(index int) bool {
+	return slices.ContainsFunc(h.core.Failed(), func(failed membership.Failed) bool { return failed.ID == peerID(index) })
 }
 
-// A member that announced that it leaves and falls silent after that has left, for those
-// as well that hear of its end only.
-func TestLeavingMemberThatFallsSilentHasLeft(t *testing.T) {
+// A member that announced a leave and then stops answering has left, also for nodes that only
+// receive the claim of its death.
+func TestSilentLeavingMemberHasLeft(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(2)
-	one.tell(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusLeaving})
-	one.tell(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusSuspect})
-	actions := one.hears(10 * time.Second)
-	is.True(!one.failed(1))
-	is.Equal(spreadOf(actions, 1), membership.StatusLeft)
+	h := newHarness(2)
+	h.deliverUpdate(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusLeaving})
+	h.deliverUpdate(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusSuspect})
+	actions := h.runWithGossip(10 * time.Second)
+	is.True(!h.failed(1))
+	is.Equal(sentStatus(actions, 1), membership.StatusLeft)
 }
 
-// Another node that has not heard of the leave may find the member dead first.
+// Another node that has not received the leave may find the member dead first.
 func TestLeavingMemberFoundDeadByOthersHasLeft(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(2)
-	one.tell(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusLeaving})
-	one.tell(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusDead})
-	is.True(!one.failed(1))
-	is.Equal(spreadOf(one.hears(time.Second), 1), membership.StatusLeft)
+	h := newHarness(2)
+	h.deliverUpdate(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusLeaving})
+	h.deliverUpdate(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusDead})
+	is.True(!h.failed(1))
+	is.Equal(sentStatus(h.runWithGossip(time.Second), 1), membership.StatusLeft)
 }
 
-// The news of a leave may come after the suspicion or the end that it explains.
-func TestLateNewsOfALeaveCounts(t *testing.T) {
+// The leave may arrive after the suspicion or the death that it explains.
+func TestLateLeaveCounts(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		end  membership.Status
@@ -82,21 +82,21 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			one := newSingle(2)
-			one.tell(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: test.end})
-			one.tell(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusLeaving})
-			actions := one.hears(10 * time.Second)
-			is.True(!one.failed(1))
-			is.Equal(spreadOf(actions, 1), membership.StatusLeft)
+			h := newHarness(2)
+			h.deliverUpdate(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: test.end})
+			h.deliverUpdate(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusLeaving})
+			actions := h.runWithGossip(10 * time.Second)
+			is.True(!h.failed(1))
+			is.Equal(sentStatus(actions, 1), membership.StatusLeft)
 		})
 	}
 }
 
-// A member that never announced anything has failed.
-func TestMemberThatAnnouncedNothingHasFailed(t *testing.T) {
+// A member that never announced a leave has failed.
+func TestSilentMemberHasFailed(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(2)
-	one.tell(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusSuspect})
-	one.hears(10 * time.Second)
-	is.True(one.failed(1))
+	h := newHarness(2)
+	h.deliverUpdate(0, membership.Update{ID: peerID(1), Incarnation: 6, Status: membership.StatusSuspect})
+	h.runWithGossip(10 * time.Second)
+	is.True(h.failed(1))
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// State is what a node believes of a member.
+// State is the state of a member as this node sees it.
 type State uint8
 
 const (
 	// Alive members take work.
 	Alive State = iota
-	// Suspect members did not answer lately; they still own servers.
+	// Suspect members have not answered recently; they still own servers.
 	Suspect
 	// Leaving members have announced a planned stop: they get no new work.
 	Leaving
@@ -30,7 +30,7 @@
 	}
 }
 
-// Member is one node of the system as others see it.
+// Member is one node of the system as other nodes see it.
 type Member struct {
 	// ID names the node; it is unique among the live nodes.
 	ID string
@@ -45,16 +45,16 @@
 	State       State
 }
 
-// TakesWork tells whether a member in this state may own servers. A suspect
-// still does: suspicion is often wrong, and moving its servers twice costs more.
+// TakesWork reports whether a member in this state may own servers. A suspect may: suspicions are
+// often false, and moving its servers twice costs more.
 func (state State) TakesWork() bool {
 	return state == Alive || state == Suspect
 }
 
-// Failed is a member that was found dead though it never said that it leaves:
-// it has crashed or is cut off.
+// Failed is a member that was found dead without having announced a planned stop: it has crashed or
+// is partitioned.
 type Failed struct {
 	Member
-	// Since is when this node learnt of it.
+	// Since is when this node found it dead.
 	Since time.Time
 }
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -1,16 +1,16 @@
 package membership
 
-// Kind tells messages apart.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
-	// Ping asks for an Ack.
+	// Ping requests an Ack.
 	Ping Kind = iota
-	// Ack answers a Ping, or passes on the Ack that a PingRequest asked for.
+	// Ack answers a Ping, or forwards the Ack that a PingRequest asked for.
 	Ack
 	// PingRequest asks the receiver to ping the target for the sender.
 	PingRequest
-	// Gossip carries news and wants no answer.
+	// Gossip carries updates and requests no answer.
 	Gossip
 )
 
@@ -19,52 +19,50 @@
 	Kind Kind
 	// Sequence matches an Ack with its Ping or PingRequest.
 	Sequence uint64
-	// From is the ID of the sender; FromIncarnation and FromStatus are what
-	// it says of itself.
+	// From is the ID of the sender; FromIncarnation and FromStatus are its own claims about itself.
 	From            string
 	FromIncarnation uint64
 	FromStatus      Status
-	// Target is who is meant by a Ping or PingRequest; empty for whoever
-	// listens at the address.
+	// Target is the ID of the member to be pinged; empty for any node at the address.
 	Target            string
 	TargetIncarnation uint64
 	// TargetAddress is the gossip address of the target of a PingRequest.
 	TargetAddress string
 	// TableHash is equal for senders that hold the same members.
 	TableHash uint64
-	// Quiet tells that the sender has no news left to spread.
+	// Quiet means that the sender has no updates left to send.
 	Quiet   bool
 	Updates []Update
 }
 
-// Status is what an update says of a member. At the same incarnation a higher
-// status overrides a lower one.
+// Status is the claim of an update about a member. At the same incarnation a higher status
+// overrides a lower one.
 type Status uint8
 
 const (
-	// StatusAlive is said by the member itself.
+	// StatusAlive is claimed by the member itself.
 	StatusAlive Status = iota
-	// StatusLeaving is said by a member that has begun a planned stop.
+	// StatusLeaving is claimed by a member that has started a planned stop.
 	StatusLeaving
-	// StatusSuspect is said by others of a member that did not answer.
+	// StatusSuspect is claimed by others about a member that did not answer.
 	StatusSuspect
-	// StatusDead is said by others of a suspect that did not refute in time.
+	// StatusDead is claimed by others about a suspect that did not refute in time.
 	StatusDead
-	// StatusLeft is said by a member that ends, or of one whose address was
-	// taken over by another.
+	// StatusLeft is claimed by a member that exits, or by others about a member whose address was
+	// taken over by another process.
 	StatusLeft
 )
 
-// Update is one piece of news about one member.
+// Update is a claim about one member.
 type Update struct {
 	ID          string
 	Incarnation uint64
 	Status      Status
-	// Details are there when a member joins; who missed them compares tables.
+	// Details are set when a member joins; a node that missed them gets them by a sync.
 	Details *Details
 }
 
-// Details are the properties of a member that never change.
+// Details are the properties of a member that do not change while its process runs.
 type Details struct {
 	Address       string
 	GossipAddress string
@@ -72,7 +70,7 @@
 	Region        string
 }
 
-// The sizes of encoded messages are estimated from above, in bytes.
+// Upper bounds of the encoded size of the parts of a message, in bytes.
 const (
 	messageBytes = 100
 	updateBytes  = 16
@@ -88,7 +86,7 @@
 	return size
 }
 
-// Size estimates the encoded size of the message from above, in bytes.
+// Size returns an upper bound of the encoded size of the message in bytes.
 func (message Message) Size() int {
 	size := message.headerSize()
 	for _, update := range message.Updates {
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -5,45 +5,44 @@
 	"time"
 )
 
-// Options are the periods and bounds of the protocol. Every node of a system
-// should use the same.
+// Options are the periods and limits of the protocol. All nodes of a system should use the same.
 type Options struct {
 	// ProbePeriod is the time between two probes by one node.
 	ProbePeriod time.Duration
-	// ProbeTimeout is how long to wait for a direct answer before others are
-	// asked to probe; below ProbePeriod.
+	// ProbeTimeout is how long to wait for a direct answer before other members are asked to probe;
+	// it must be below ProbePeriod.
 	ProbeTimeout time.Duration
-	// IndirectProbes is how many members are asked to probe.
+	// IndirectProbes is the number of members asked to probe.
 	IndirectProbes int
-	// SuspicionPeriods is how many probe periods a suspect has to refute,
-	// besides one for each factor of ten in the number of members.
+	// SuspicionPeriods is the number of probe periods that a suspect has to refute, plus one for
+	// each factor of ten in the number of members.
 	SuspicionPeriods int
-	// GossipPeriod is the time between two rounds of gossip while there is news.
+	// GossipPeriod is the time between two rounds of gossip while there are updates to send.
 	GossipPeriod time.Duration
-	// GossipFanout is the number of members in a round.
+	// GossipFanout is the number of members that receive a round of gossip.
 	GossipFanout int
-	// RetransmitFactor times the logarithm (base 10) of the number of members
-	// is how often one node sends one piece of news.
+	// RetransmitFactor times the logarithm (base 10) of the number of members is how often a node
+	// sends each update.
 	RetransmitFactor int
-	// DatagramBytes bounds a message; under the usual MTU of 1,500 bytes.
+	// DatagramBytes is the maximum size of a message, below the usual MTU of 1,500 bytes.
 	DatagramBytes int
 	// DeadProbePeriod is the time between two pings to dead members or seeds.
 	DeadProbePeriod time.Duration
-	// DeadRetention is how long a failed member is remembered; it bounds how
-	// long regions may lose each other and still join without a seed.
+	// DeadRetention is how long a failed member is remembered; it bounds how long regions can be
+	// partitioned and still rejoin without a seed.
 	DeadRetention time.Duration
 	// LeftRetention is how long a member that left by itself is remembered.
 	LeftRetention time.Duration
-	// SyncPeriod is the least time between two comparisons of whole tables.
+	// SyncPeriod is the minimum time between two comparisons of tables.
 	SyncPeriod time.Duration
-	// PauseThreshold is the gap between two ticks that counts as a pause.
+	// PauseThreshold is the gap between two ticks that counts as a pause of the process.
 	PauseThreshold time.Duration
-	// IsolationTime is how long a node that knows several live members may
-	// hear nothing before it takes itself for cut off.
+	// IsolationTime is how long a node that knows several live members may receive no messages
+	// before it considers itself isolated.
 	IsolationTime time.Duration
 }
 
-// DefaultOptions holds for 3 to 3,600 nodes with round trips of up to 50 ms.
+// DefaultOptions returns options for 3 to 3,600 nodes with round trips of up to 50 ms.
 func DefaultOptions() Options {
 	return Options{
 		ProbePeriod:      time.Second,
@@ -63,15 +62,15 @@
 	}
 }
 
-// magnitude is the number of decimal digits of a count of members.
-func magnitude(members int) int {
+// decimalDigits returns the number of decimal digits of a number of members.
+func decimalDigits(members int) int {
 	return max(1, int(math.Ceil(math.Log10(float64(members+1)))))
 }
 
 func (options Options) suspicionTime(members int) time.Duration {
-	return time.Duration(options.SuspicionPeriods+magnitude(members)) * options.ProbePeriod
+	return time.Duration(options.SuspicionPeriods+decimalDigits(members)) * options.ProbePeriod
 }
 
 func (options Options) transmissions(members int) int {
-	return options.RetransmitFactor * magnitude(members)
+	return options.RetransmitFactor * decimalDigits(members)
 }
--- a/internal/membership/peers.go
+++ b/internal/membership/peers.go
@@ -4,27 +4,28 @@
 
 // peers are the other members in the groups from which targets are drawn.
 type peers struct {
-	// changed asks for a rebuild before the next use.
-	changed bool
-	near    []*record
-	all     []*record
-	// dead failed and did not leave by themselves.
+	// changed requests a rebuild before the next use.
+	changed  bool
+	sameZone []*record
+	all      []*record
+	// dead are the members that failed, without those that left by themselves.
 	dead []*record
-	// nearRound and allRound are what is left of a round of probes, in random
-	// order: probing in rounds bounds the time until a member is probed.
-	nearRound []*record
+	// zoneRound and allRound are the rest of a round of probes, in random order: probing in rounds
+	// bounds the time until a member is probed.
+	zoneRound []*record
 	allRound  []*record
-	sinceFar  int
+	// probes is the number of probes whose target was drawn from a round.
+	probes int
 }
 
 const (
-	// nearMinimum is how many members of the own zone it takes to probe mostly
-	// there; below it all are probed alike.
-	nearMinimum = 4
-	// farProbeShare is the share of probes that go to any zone: one in four.
-	farProbeShare = 4
-	// randomTries bounds the draws for a member that fits a condition.
-	randomTries = 16
+	// minZonePeers is the number of members in the same zone from which most probes go there; below
+	// it all members are probed alike.
+	minZonePeers = 4
+	// anyZoneProbeEvery is the interval, in probes, at which one goes to any zone: one in four.
+	anyZoneProbeEvery = 4
+	// maxDraws bounds the random draws for a member that meets a condition.
+	maxDraws = 16
 )
 
 func (core *Core) refreshPeers() *peers {
@@ -33,14 +34,14 @@
 		return peers
 	}
 	peers.changed = false
-	peers.near, peers.all, peers.dead = peers.near[:0], peers.all[:0], peers.dead[:0]
+	peers.sameZone, peers.all, peers.dead = peers.sameZone[:0], peers.all[:0], peers.dead[:0]
 	for _, record := range core.table.ordered {
 		switch {
 		case record == core.self:
 		case !record.dead():
 			peers.all = append(peers.all, record)
 			if record.Zone == core.self.Zone {
-				peers.near = append(peers.near, record)
+				peers.sameZone = append(peers.sameZone, record)
 			}
 		case !record.left && core.table.byAddress[record.GossipAddress] == nil:
 			peers.dead = append(peers.dead, record)
@@ -49,22 +50,21 @@
 	return peers
 }
 
-// probeTarget returns the next member to probe: a doubted one, else mostly one
-// of the own zone.
+// probeTarget returns the next member to probe: one with a requested probe, otherwise mostly one of
+// the same zone.
 func (core *Core) probeTarget() *record {
-	if doubted := core.takeDoubt(false); doubted != nil {
-		return doubted
+	if requested := core.takeProbeRequest(false); requested != nil {
+		return requested
 	}
 	peers := core.refreshPeers()
-	peers.sinceFar++
-	if len(peers.near) >= nearMinimum && peers.sinceFar%farProbeShare != 0 {
-		return core.nextOfRound(&peers.nearRound, peers.near)
+	peers.probes++
+	if len(peers.sameZone) >= minZonePeers && peers.probes%anyZoneProbeEvery != 0 {
+		return core.nextOfRound(&peers.zoneRound, peers.sameZone)
 	}
 	return core.nextOfRound(&peers.allRound, peers.all)
 }
 
-// nextOfRound takes the next live member of a round, and begins another when
-// the round is over.
+// nextOfRound takes the next live member of a round, and starts another round at the end.
 func (core *Core) nextOfRound(round *[]*record, group []*record) *record {
 	for range 2 {
 		for len(*round) > 0 {
@@ -82,11 +82,11 @@
 	return nil
 }
 
-// randomPeer returns a live member of the own zone, or of any.
-func (core *Core) randomPeer(far bool) *record {
+// randomPeer returns a random live member of the same zone or, with anyZone, of any zone.
+func (core *Core) randomPeer(anyZone bool) *record {
 	peers := core.refreshPeers()
-	group := peers.near
-	if far || len(group) < nearMinimum {
+	group := peers.sameZone
+	if anyZone || len(group) < minZonePeers {
 		group = peers.all
 	}
 	return core.randomOf(group)
@@ -99,10 +99,10 @@
 	return group[core.random.IntN(len(group))]
 }
 
-// randomWhere returns a live member that fits, if a few draws find one.
+// randomWhere returns a live member that meets a condition, if maxDraws draws find one.
 func (core *Core) randomWhere(fits func(*record) bool) *record {
 	peers := core.refreshPeers()
-	for range randomTries {
+	for range maxDraws {
 		candidate := core.randomOf(peers.all)
 		if candidate != nil && fits(candidate) {
 			return candidate
@@ -111,25 +111,26 @@
 	return nil
 }
 
-// doubt asks for a probe of a member, out of turn.
-func (core *Core) doubt(record *record) {
-	if record.doubted || record == core.self {
+// requestProbe requests a probe of a member out of turn.
+func (core *Core) requestProbe(record *record) {
+	if record.probeRequested || record == core.self {
 		return
 	}
-	record.doubted = true
-	core.doubts = append(core.doubts, record)
+	record.probeRequested = true
+	core.probeRequests = append(core.probeRequests, record)
 }
 
-// takeDoubt returns the first doubted member that is dead, or that is not.
-func (core *Core) takeDoubt(dead bool) *record {
-	index := slices.IndexFunc(core.doubts, func(record *record) bool { return record.dead() == dead })
+// takeProbeRequest removes and returns the first member with a requested probe that is dead, or
+// that is not dead.
+func (core *Core) takeProbeRequest(dead bool) *record {
+	index := slices.IndexFunc(core.probeRequests, func(record *record) bool { return record.dead() == dead })
 	if index < 0 {
 		return nil
 	}
-	doubted := core.doubts[index]
-	core.doubts = slices.Delete(core.doubts, index, index+1)
-	doubted.doubted = false
-	return doubted
+	requested := core.probeRequests[index]
+	core.probeRequests = slices.Delete(core.probeRequests, index, index+1)
+	requested.probeRequested = false
+	return requested
 }
 
 func (core *Core) replaceSeeds(addresses []string) {
@@ -137,11 +138,11 @@
 	core.nextDeadProbe = core.now
 }
 
-// probeDead pings a member that is held dead though another node disagrees, and
-// from time to time any dead member or silent seed: it may be back.
+// probeDead pings a member that this node considers dead but another does not, and periodically any
+// dead member and seeds without a known member: they may be running again.
 func (core *Core) probeDead() {
-	if doubted := core.takeDoubt(true); doubted != nil {
-		core.ping(doubted, core.nextSequence())
+	if requested := core.takeProbeRequest(true); requested != nil {
+		core.ping(requested, core.nextSequence())
 	}
 	if core.now.Before(core.nextDeadProbe) {
 		return
@@ -154,27 +155,27 @@
 	if dead := core.randomOf(peers.dead); dead != nil {
 		core.ping(dead, core.nextSequence())
 	}
-	for _, seed := range core.silentSeeds() {
+	for _, seed := range core.unknownSeeds() {
 		core.pingAddress(seed)
 	}
 }
 
-// seedsPerRound bounds the seeds that are pinged at a time.
+// seedsPerRound is the maximum number of seeds that are pinged at a time.
 const seedsPerRound = 3
 
-// silentSeeds draws seeds at which no live member is known.
-func (core *Core) silentSeeds() []string {
-	var silent []string
+// unknownSeeds returns random seeds at whose address no live member is known.
+func (core *Core) unknownSeeds() []string {
+	var unknown []string
 	for _, seed := range core.seeds {
 		if core.table.byAddress[seed] == nil {
-			silent = append(silent, seed)
+			unknown = append(unknown, seed)
 		}
 	}
-	core.random.Shuffle(len(silent), func(i, j int) { silent[i], silent[j] = silent[j], silent[i] })
-	return silent[:min(len(silent), seedsPerRound)]
+	core.random.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
+	return unknown[:min(len(unknown), seedsPerRound)]
 }
 
-// pingAddress pings whoever is at an address, and introduces this node.
+// pingAddress pings any node at an address, and sends the details of this node.
 func (core *Core) pingAddress(address string) {
 	message := core.message(Ping)
 	message.Sequence = core.nextSequence()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// probe is the one member that is being probed.
+// probe is the probe in progress.
 type probe struct {
 	target   *record
 	sequence uint64
-	// indirectAt is when others are asked; zero once they were.
+	// indirectAt is when other members are asked to probe; zero once they were asked.
 	indirectAt time.Time
 	deadline   time.Time
 }
 
-// relay is a ping sent for another member.
+// relay is a ping sent on behalf of another member.
 type relay struct {
 	address  string
 	sequence uint64
@@ -51,18 +51,20 @@
 	message.Sequence = sequence
 	message.Target = target.ID
 	message.TargetIncarnation = target.Incarnation
-	core.send(target.GossipAddress, message, buddy(target)...)
+	core.send(target.GossipAddress, message, ownStatusUpdate(target)...)
 }
 
-// buddy returns what a member must hear of itself: that it is suspect or dead.
-func buddy(target *record) []Update {
+// ownStatusUpdate returns what a member must learn about itself in order to refute it: that it is
+// suspect or dead.
+func ownStatusUpdate(target *record) []Update {
 	if target.suspect() || target.dead() {
 		return []Update{target.update()}
 	}
 	return nil
 }
 
-// continueProbe asks others to probe, and in the end suspects the target.
+// continueProbe asks other members to probe after the timeout, and suspects the target at the
+// deadline.
 func (core *Core) continueProbe() {
 	probe := core.probe
 	if probe == nil {
@@ -86,7 +88,7 @@
 	update := target.update()
 	update.Status = StatusSuspect
 	core.overwrite(target, update)
-	core.spread(update)
+	core.broadcast(update)
 }
 
 func (core *Core) probeIndirectly(probe *probe) {
@@ -100,14 +102,14 @@
 	}
 }
 
-// receive takes in a message.
+// receive processes a message.
 func (core *Core) receive(address string, message Message) {
 	if message.From == core.self.ID || core.self.dead() {
 		return
 	}
-	core.heard()
+	core.noteReceived()
 	before := core.self.Incarnation
-	core.takeUpdates(address, message)
+	core.applyUpdates(address, message)
 	sender := core.table.byID[message.From]
 	if core.self.Incarnation != before && message.Kind != Ping {
 		core.send(address, core.message(Gossip))
@@ -121,19 +123,20 @@
 		core.receiveAck(message)
 	case Gossip:
 	}
-	core.inform(address, message, sender)
+	core.informSender(address, message, sender)
 	core.compareTables(message, sender)
 }
 
-// takeUpdates applies what the sender says of itself, then its news of others,
-// unless the sender is held dead: it may be cut off from those that it judges.
-func (core *Core) takeUpdates(address string, message Message) {
+// applyUpdates applies the sender's claims about itself and about this node, then those about
+// others, unless the sender is considered dead: it may be partitioned from the members that it
+// suspects.
+func (core *Core) applyUpdates(address string, message Message) {
 	for _, update := range message.Updates {
 		if update.ID == message.From || update.ID == core.self.ID {
 			core.apply(update)
 		}
 	}
-	core.takeHeader(address, message)
+	core.applyHeader(address, message)
 	sender := core.table.byID[message.From]
 	if sender != nil && sender.dead() {
 		return
@@ -143,13 +146,13 @@
 	}
 }
 
-// takeHeader applies what a message says of its sender, who is asked for details
-// when it is not where it was: they belong to its incarnation.
-func (core *Core) takeHeader(address string, message Message) {
+// applyHeader applies the header's claim about the sender. If the sender is at a new address, it is
+// asked for its details instead, which belong to its incarnation.
+func (core *Core) applyHeader(address string, message Message) {
 	update := Update{ID: message.From, Incarnation: message.FromIncarnation, Status: message.FromStatus}
 	known := core.table.byID[message.From]
 	switch {
-	case known == nil || !known.olderThan(update):
+	case known == nil || !known.overriddenBy(update):
 	case known.GossipAddress == address:
 		core.apply(update)
 	case core.now.Sub(known.informedAt) >= core.options.GossipPeriod:
@@ -158,10 +161,10 @@
 	}
 }
 
-// inform tells a sender that it is held dead, and asks one that is not known for
-// its details. Neither may answer itself without end: a member is informed once
-// in a while, and a message that introduces its sender is not asked back.
-func (core *Core) inform(address string, message Message, sender *record) {
+// informSender tells a sender that it is considered dead, and asks an unknown one for its details.
+// To avoid endless replies, a member is informed at most once per GossipPeriod, and the sender of a
+// message that introduces it is not asked.
+func (core *Core) informSender(address string, message Message, sender *record) {
 	if message.FromStatus >= StatusDead {
 		return
 	}
@@ -178,7 +181,7 @@
 
 func (core *Core) answerPing(address string, message Message, sender *record) {
 	if message.Target != "" && message.Target != core.self.ID {
-		core.claimAddress(address, message)
+		core.answerMisaddressedPing(address, message)
 		return
 	}
 	answer := core.message(Ack)
@@ -188,18 +191,18 @@
 		urgent = append(urgent, core.self.detailedUpdate())
 	}
 	if sender != nil {
-		urgent = append(urgent, buddy(sender)...)
+		urgent = append(urgent, ownStatusUpdate(sender)...)
 	}
 	core.send(address, answer, urgent...)
 }
 
-// claimAddress answers a ping for a process that was at this address before.
-func (core *Core) claimAddress(address string, message Message) {
+// answerMisaddressedPing answers a ping for an earlier process at this node's address.
+func (core *Core) answerMisaddressedPing(address string, message Message) {
 	if message.TargetIncarnation >= core.self.Incarnation {
 		core.raiseIncarnation(message.TargetIncarnation)
 	}
-	gone := Update{ID: message.Target, Incarnation: message.TargetIncarnation, Status: StatusLeft}
-	core.send(address, core.message(Gossip), core.self.detailedUpdate(), gone)
+	replaced := Update{ID: message.Target, Incarnation: message.TargetIncarnation, Status: StatusLeft}
+	core.send(address, core.message(Gossip), core.self.detailedUpdate(), replaced)
 }
 
 func (core *Core) relayPing(address string, message Message) {
@@ -234,8 +237,8 @@
 	core.send(relay.address, answer)
 }
 
-// helpers returns members to probe the target from elsewhere: one of the
-// target's zone, one of a third region, the others at random.
+// helpers returns members that probe the target from other places: one in the target's zone, one in
+// a third region, the others at random.
 func (core *Core) helpers(target *record) []*record {
 	var helpers []*record
 	add := func(fits func(*record) bool) {
--- a/internal/membership/simulator_test.go
+++ b/internal/membership/simulator_test.go
@@ -11,8 +11,8 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// simulator runs many cores in virtual time over a network that loses, delays,
-// duplicates and reorders, and whose links can be cut one way.
+// simulator runs many cores in virtual time over a network that loses, delays, duplicates and
+// reorders messages, and whose links can be cut in one direction.
 type simulator struct {
 	options membership.Options
 	random  *rand.Rand
@@ -21,11 +21,11 @@
 	queue   eventQueue
 	serial  int
 	nodes   []*simulatedNode
-	// cut tells whether the link from one address to another is down.
+	// cut reports whether the link from one node to another is down.
 	cut       func(from, to *simulatedNode) bool
 	loss      float64
 	duplicate float64
-	// largest is the largest estimate of a message's size, in bytes.
+	// largest is the largest size of a message as estimated by Message.Size, in bytes.
 	largest int
 }
 
@@ -40,11 +40,11 @@
 	running bool
 	frozen  bool
 	paused  int
-	// deaths holds when this node found another dead, by ID.
+	// deaths holds when this node found others dead, by ID.
 	deaths map[string]time.Time
-	// suspicions counts how often this node took others for suspect.
+	// suspicions counts how often this node suspected others.
 	suspicions int
-	// backlog waits for the end of a freeze.
+	// backlog holds the messages received during a freeze.
 	backlog []func()
 }
 
@@ -162,7 +162,7 @@
 	}
 }
 
-// deliver hands over a datagram; those of a frozen node wait in its socket.
+// deliver delivers a datagram; those to a frozen node stay in its socket buffer.
 func (simulation *simulator) deliver(to *simulatedNode, event membership.Event) {
 	switch {
 	case !to.running:
@@ -173,7 +173,7 @@
 	}
 }
 
-// sync compares tables over a reliable connection, if both ways are open.
+// sync compares tables over a reliable connection if the link is up in both directions.
 func (simulation *simulator) sync(node *simulatedNode, address string) {
 	peer := simulation.at(address)
 	broken := func() bool {
@@ -194,7 +194,7 @@
 	})
 }
 
-// latency varies by half, so that messages overtake each other.
+// latency varies by up to its base value, so that messages are reordered.
 func (simulation *simulator) latency(from, to *simulatedNode) time.Duration {
 	base := betweenZones
 	switch {
@@ -224,7 +224,7 @@
 
 func (simulation *simulator) kill(node *simulatedNode) { node.running = false }
 
-// run lets virtual time pass.
+// run advances the virtual time.
 func (simulation *simulator) run(duration time.Duration) {
 	end := simulation.now.Add(duration)
 	for len(simulation.queue) > 0 && !simulation.queue[0].at.After(end) {
@@ -235,8 +235,8 @@
 	simulation.now = end
 }
 
-// runUntil returns how long it took for a condition to hold, looked at ten
-// times a second, or false when it did not hold within the bound.
+// runUntil returns the time until a condition holds, checked ten times a second, or false if it
+// does not hold within the bound.
 func (simulation *simulator) runUntil(bound time.Duration, holds func() bool) (time.Duration, bool) {
 	begin := simulation.now
 	for simulation.now.Sub(begin) <= bound {
@@ -248,8 +248,8 @@
 	return bound, false
 }
 
-// disagreement says where a running node's view differs from what runs; it is
-// empty when all agree.
+// disagreement describes where a running node's view differs from the running nodes; it is empty if
+// all agree.
 func (simulation *simulator) disagreement() string {
 	var want []string
 	for _, node := range simulation.nodes {
@@ -278,7 +278,7 @@
 
 func (simulation *simulator) agreed() bool { return simulation.disagreement() == "" }
 
-// scheduled is something to do at a virtual time.
+// scheduled is a function to run at a virtual time.
 type scheduled struct {
 	at     time.Time
 	serial int
--- a/internal/membership/step_test.go
+++ b/internal/membership/step_test.go
@@ -11,23 +11,23 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// single drives one core by hand; its peers are only names.
-type single struct {
+// harness drives a single core step by step; its peers are simulated by messages.
+type harness struct {
 	core *membership.Core
 	now  time.Time
 }
 
-func newSingle(peers int) *single {
+func newHarness(peers int) *harness {
 	now := time.Unix(1_000_000, 0)
 	self := membership.Member{ID: "self", GossipAddress: "10.1.0.0:7000", Incarnation: 1}
-	one := &single{now: now}
-	one.core = membership.New(membership.DefaultOptions(), self, rand.New(rand.NewPCG(1, 2)), now)
+	h := &harness{now: now}
+	h.core = membership.New(membership.DefaultOptions(), self, rand.New(rand.NewPCG(1, 2)), now)
 	var entries []membership.Update
 	for index := range peers {
 		entries = append(entries, peerUpdate(index, membership.StatusAlive))
 	}
-	one.step(membership.Synced{Entries: entries})
-	return one
+	h.step(membership.Synced{Entries: entries})
+	return h
 }
 
 func peerID(index int) string      { return fmt.Sprintf("peer-%d", index) }
@@ -38,23 +38,23 @@
 	return membership.Update{ID: peerID(index), Incarnation: 5, Status: status, Details: details}
 }
 
-func (one *single) step(event membership.Event) []membership.Action {
-	return one.core.Step(event, one.now)
+func (h *harness) step(event membership.Event) []membership.Action {
+	return h.core.Step(event, h.now)
 }
 
-// run ticks for a while and returns what was done.
-func (one *single) run(duration time.Duration) []membership.Action {
+// run ticks for a while and returns the actions.
+func (h *harness) run(duration time.Duration) []membership.Action {
 	var actions []membership.Action
-	for end := one.now.Add(duration); one.now.Before(end); {
-		one.now = one.now.Add(tickPeriod)
-		actions = append(actions, one.core.Tick(one.now)...)
+	for end := h.now.Add(duration); h.now.Before(end); {
+		h.now = h.now.Add(tickPeriod)
+		actions = append(actions, h.core.Tick(h.now)...)
 	}
 	return actions
 }
 
-// hear keeps the core from taking itself for isolated.
-func (one *single) hear(index int) {
-	one.step(membership.Received{Address: peerAddress(index), Message: membership.Message{
+// deliverGossip delivers a message from a peer, which keeps the core from becoming isolated.
+func (h *harness) deliverGossip(index int) {
+	h.step(membership.Received{Address: peerAddress(index), Message: membership.Message{
 		Kind: membership.Gossip, From: peerID(index), FromIncarnation: 5,
 	}})
 }
@@ -81,78 +81,78 @@
 	return found
 }
 
-// A probe that was under way when the node stopped proves nothing.
+// A probe in progress when the process was paused proves nothing.
 func TestProbeEndsWithPause(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(1)
-	for len(pings(one.run(tickPeriod), 0)) == 0 {
+	h := newHarness(1)
+	for len(pings(h.run(tickPeriod), 0)) == 0 {
 	}
-	one.now = one.now.Add(time.Hour)
-	actions := one.run(tickPeriod)
-	is.Equal(one.core.Self().Incarnation, uint64(2)) // raised at wake-up
+	h.now = h.now.Add(time.Hour)
+	actions := h.run(tickPeriod)
+	is.Equal(h.core.Self().Incarnation, uint64(2)) // raised after the pause
 	is.Equal(len(changes(actions)), 0)
-	is.Equal(len(changes(one.run(500*time.Millisecond))), 0)
+	is.Equal(len(changes(h.run(500*time.Millisecond))), 0)
 }
 
-// A suspect keeps its time to refute although the node stopped meanwhile.
+// A suspect keeps its time to refute although the process was paused meanwhile.
 func TestSuspicionOutlastsPause(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(1)
-	one.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
+	h := newHarness(1)
+	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
 		From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip,
 		Updates: []membership.Update{{ID: peerID(0), Incarnation: 5, Status: membership.StatusSuspect}},
 	}})
-	is.Equal(one.core.Members()[0].State, membership.Suspect)
-	one.run(time.Second)
-	one.now = one.now.Add(time.Hour)
-	is.Equal(len(changes(one.run(2*time.Second))), 0)
-	is.Equal(len(changes(one.run(3*time.Second))), 1) // dead after four seconds in all
+	is.Equal(h.core.Members()[0].State, membership.Suspect)
+	h.run(time.Second)
+	h.now = h.now.Add(time.Hour)
+	is.Equal(len(changes(h.run(2*time.Second))), 0)
+	is.Equal(len(changes(h.run(3*time.Second))), 1) // dead after four seconds in total
 }
 
-// A ping to a suspect tells it so, also when the news was spread long ago.
-func TestSuspectIsTold(t *testing.T) {
+// A ping to a suspect carries the suspicion, even if it was sent to all members long ago.
+func TestPingCarriesSuspicion(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(1)
-	one.run(2500 * time.Millisecond)
-	is.Equal(one.core.Members()[0].State, membership.Suspect)
-	sent := pings(one.run(2*time.Second), 0)
+	h := newHarness(1)
+	h.run(2500 * time.Millisecond)
+	is.Equal(h.core.Members()[0].State, membership.Suspect)
+	sent := pings(h.run(2*time.Second), 0)
 	last := sent[len(sent)-1]
 	is.Equal(last.Updates[0], membership.Update{ID: peerID(0), Incarnation: 5, Status: membership.StatusSuspect})
 }
 
-// Where another table contradicts this one, the member itself is asked at once.
+// If another table contradicts this one about a member, that member is probed immediately.
 func TestContradictedMemberIsProbed(t *testing.T) {
 	const peers, contradicted = 40, 17
 	for _, status := range []membership.Status{membership.StatusAlive, membership.StatusDead} {
 		is := is.New(t)
-		one := newSingle(peers)
+		h := newHarness(peers)
 		other := membership.StatusDead
 		if status == membership.StatusDead {
 			other = membership.StatusAlive
 			for index := range peers {
 				update := peerUpdate(index, membership.StatusDead)
 				update.Details = nil
-				one.hear(0)
-				one.step(membership.Received{Address: peerAddress(99), Message: membership.Message{
+				h.deliverGossip(0)
+				h.step(membership.Received{Address: peerAddress(99), Message: membership.Message{
 					From: "stranger", Kind: membership.Gossip, Updates: []membership.Update{update},
 				}})
 			}
-			is.Equal(len(one.core.Members()), 1)
+			is.Equal(len(h.core.Members()), 1)
 		}
-		one.step(membership.Synced{Entries: []membership.Update{peerUpdate(contradicted, other)}})
-		is.Equal(len(pings(one.run(time.Second), contradicted)), 1)
+		h.step(membership.Synced{Entries: []membership.Update{peerUpdate(contradicted, other)}})
+		is.Equal(len(pings(h.run(time.Second), contradicted)), 1)
 	}
 }
 
-// Two nodes that hold each other dead, and one of which can not refute, do not
-// answer each other without end.
-func TestInformingIsBounded(t *testing.T) {
+// Two nodes that consider each other dead, one of which cannot refute, do not reply to each other
+// endlessly.
+func TestRepliesAreBounded(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(1)
+	h := newHarness(1)
 	dead := peerUpdate(0, membership.StatusDead)
 	answers := 0
 	for range 100 {
-		actions := one.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
+		actions := h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
 			From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip, Updates: []membership.Update{dead},
 		}})
 		answers += len(actions) - len(changes(actions))
@@ -163,35 +163,34 @@
 // A later process at the address of a member replaces it without a probe.
 func TestLaterProcessReplacesMember(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(1)
+	h := newHarness(1)
 	later := peerUpdate(0, membership.StatusAlive)
 	later.ID, later.Incarnation = "later", 6
-	one.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
+	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
 		From: "later", FromIncarnation: 6, Kind: membership.Gossip, Updates: []membership.Update{later},
 	}})
-	members := one.core.Members()
+	members := h.core.Members()
 	is.Equal(len(members), 2)
 	is.Equal(members[0].ID, "later")
 }
 
-// A member that is held dead may be cut off from those that it judges.
-func TestNewsOfDeadMemberIsIgnored(t *testing.T) {
+// A member that is considered dead may be partitioned from the members that it suspects.
+func TestUpdatesFromDeadMemberAreIgnored(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(2)
+	h := newHarness(2)
 	suspicion := membership.Update{ID: peerID(1), Incarnation: 5, Status: membership.StatusSuspect}
-	one.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
+	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
 		From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip,
 		Updates: []membership.Update{peerUpdate(0, membership.StatusDead), suspicion},
 	}})
-	is.Equal(one.core.Members()[0].State, membership.Alive)
+	is.Equal(h.core.Members()[0].State, membership.Alive)
 }
 
-// Who hears that it is held dead answers the one that said so, who may be out
-// of reach of gossip.
-func TestRefutationGoesToInformer(t *testing.T) {
+// A node that is told that it is considered dead replies to the sender, which gossip may not reach.
+func TestRefutationGoesToSender(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(1)
-	actions := one.step(membership.Received{Address: peerAddress(9), Message: membership.Message{
+	h := newHarness(1)
+	actions := h.step(membership.Received{Address: peerAddress(9), Message: membership.Message{
 		From: "stranger", Kind: membership.Ack,
 		Updates: []membership.Update{{ID: "self", Incarnation: 7, Status: membership.StatusDead}},
 	}})
@@ -200,17 +199,17 @@
 	is.Equal(answer.Message.FromIncarnation, uint64(8))
 }
 
-// A new process sends its details also when it has had to refute: some may know
-// an earlier one elsewhere.
+// A new process sends its details even after it had to refute: some nodes may know an earlier
+// process at another address.
 func TestRefutationOfNewProcessHasDetails(t *testing.T) {
 	is := is.New(t)
-	one := newSingle(1)
-	one.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
+	h := newHarness(1)
+	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
 		From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip,
 		Updates: []membership.Update{{ID: "self", Incarnation: 3, Status: membership.StatusSuspect}},
 	}})
 	found := false
-	for _, action := range one.run(time.Second) {
+	for _, action := range h.run(time.Second) {
 		send, sent := action.(membership.Send)
 		for _, update := range send.Message.Updates {
 			found = found || sent && update.ID == "self" && update.Incarnation == 4 && update.Details != nil
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// Digest is the hash of each part of a table.
+// Digest holds the hash of each bucket of a table.
 type Digest struct{ Buckets []uint64 }
 
-// Difference is the content of the parts in which two tables differ.
+// Difference is the content of the buckets in which two tables differ.
 type Difference struct {
 	Buckets []int
 	Entries []Update
 }
 
-// Digest describes the table of this node.
+// Digest returns the digest of this node's table.
 func (core *Core) Digest() Digest {
 	return Digest{Buckets: slices.Clone(core.table.hashes[:])}
 }
 
-// Compare returns the content of the parts that differ from another node's.
+// Compare returns the content of the buckets that differ from another node's.
 func (core *Core) Compare(other Digest) Difference {
 	var buckets []int
 	for bucket, hash := range core.table.hashes {
@@ -27,7 +27,7 @@
 	return Difference{Buckets: buckets, Entries: core.Entries(buckets)}
 }
 
-// Entries returns the content of parts of the table, dead members included.
+// Entries returns the content of buckets of the table, dead members included.
 func (core *Core) Entries(buckets []int) []Update {
 	var wanted [syncBuckets]bool
 	for _, bucket := range buckets {
@@ -48,12 +48,12 @@
 	return entries
 }
 
-// compareTables asks for a sync when tables differ.
+// compareTables requests a sync when tables differ.
 func (core *Core) compareTables(message Message, sender *record) {
 	if message.TableHash == core.table.hash || sender == nil || sender.dead() {
 		return
 	}
-	if core.now.Before(core.nextSync) || !core.maySync(message) {
+	if core.now.Before(core.nextSync) || !core.shouldSync(message) {
 		return
 	}
 	core.lastSync = core.now
@@ -61,24 +61,23 @@
 	if !core.synced {
 		core.nextSync = core.now.Add(core.options.ProbePeriod)
 	}
-	core.act(Sync{Address: sender.Address})
+	core.emit(Sync{Address: sender.Address})
 }
 
-// syncOverdue times the SyncPeriod is how long news may put off a sync.
-const syncOverdue = 3
+// overdueSyncPeriods is the number of sync periods for which pending updates may delay a sync.
+const overdueSyncPeriods = 3
 
-// maySync tells whether it is worth while to compare tables that differ: not when
-// news is still on its way, unless this node is new, as many may be with it, or
-// there has been news for long.
-func (core *Core) maySync(message Message) bool {
-	quiet := message.Quiet && core.news.empty()
-	young := core.now.Sub(core.started) < detailsPeriod
-	overdue := core.now.Sub(core.lastSync) > syncOverdue*core.options.SyncPeriod
-	return quiet || young || overdue
+// shouldSync reports whether tables that differ should be compared: not while updates are being
+// sent, unless this node has just started (as many others may have) or a sync is overdue.
+func (core *Core) shouldSync(message Message) bool {
+	quiet := message.Quiet && core.updates.empty()
+	justStarted := core.now.Sub(core.started) < detailsPeriod
+	overdue := core.now.Sub(core.lastSync) > overdueSyncPeriods*core.options.SyncPeriod
+	return quiet || justStarted || overdue
 }
 
-// merge takes in entries of another table. They are no news to most, and are
-// not spread; where they contradict this table, the member itself is asked.
+// merge merges entries of another table. Most nodes know them already, so that they are not
+// broadcast; if they contradict this table, the member in question is probed.
 func (core *Core) merge(entries []Update) {
 	core.synced = true
 	for _, entry := range entries {
@@ -95,7 +94,7 @@
 }
 
 func (core *Core) mergeUnknown(entry Update) {
-	if entry.Details == nil || !core.takesAddress(entry) {
+	if entry.Details == nil || !core.takeOverAddress(entry) {
 		return
 	}
 	unknown := &record{Member: Member{ID: entry.ID, State: Dead}}
@@ -113,10 +112,10 @@
 		entry.Status = StatusSuspect
 		core.apply(entry)
 	case entry.Incarnation > known.Incarnation:
-		if core.takesAddress(entry) {
+		if core.takeOverAddress(entry) {
 			core.overwrite(known, entry)
 		}
 	case claimsDeath != known.dead():
-		core.doubt(known)
+		core.requestProbe(known)
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -8,23 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// record is what a node knows of one member.
+// record is what a node knows about one member.
 type record struct {
 	Member
-	// suspectUntil is when an unrefuted suspicion ends in death; zero when
-	// there is no suspicion.
+	// suspectUntil is when a suspect that has not refuted is declared dead; zero without a
+	// suspicion.
 	suspectUntil time.Time
-	// left tells a member that ended by itself from one that failed.
+	// left distinguishes a member that left by itself from one that failed.
 	left bool
-	// announcedLeave tells that the member was last seen to be leaving.
+	// announcedLeave is set if the member was leaving when last seen.
 	announcedLeave bool
 	// deadSince is when the member was found dead.
 	deadSince time.Time
-	// informedAt is when the member was last told that it is held dead.
+	// informedAt is when the member was last told that it is considered dead.
 	informedAt time.Time
-	// doubted marks a member that waits for a probe of its own because
-	// another node holds a different state.
-	doubted bool
+	// probeRequested is set while the member waits for a probe out of turn because another node
+	// holds a different state.
+	probeRequested bool
 }
 
 func (record *record) dead() bool    { return record.State == Dead }
@@ -43,7 +43,7 @@
 	}
 }
 
-// ownStatus is what the member last said of itself.
+// ownStatus is the member's last claim about itself.
 func (record *record) ownStatus() Status {
 	if record.State == Leaving {
 		return StatusLeaving
@@ -66,27 +66,27 @@
 	return update
 }
 
-// olderThan tells whether the update overrides what the record holds.
-func (record *record) olderThan(update Update) bool {
+// overriddenBy reports whether the update overrides the record.
+func (record *record) overriddenBy(update Update) bool {
 	if update.Incarnation != record.Incarnation {
 		return update.Incarnation > record.Incarnation
 	}
 	return update.Status > record.status()
 }
 
-// syncBuckets is the number of parts in which tables are compared.
+// syncBuckets is the number of buckets in which tables are compared.
 const syncBuckets = 64
 
-// table holds the records of all members, the node itself included. Its order
-// is that of the IDs, so that equal inputs give equal outputs.
+// table holds the records of all members, the node itself included. They are ordered by ID, so that
+// equal inputs give equal outputs.
 type table struct {
 	byID      map[string]*record
 	byAddress map[string]*record
 	ordered   []*record
-	// hashes covers the members that are not dead, by bucket.
+	// hashes are the hashes of the members that are not dead, by bucket.
 	hashes [syncBuckets]uint64
 	hash   uint64
-	// live counts the members that are not dead.
+	// live is the number of members that are not dead.
 	live int
 }
 
@@ -114,7 +114,7 @@
 	delete(table.byID, record.ID)
 }
 
-// change applies a function to a record and keeps hashes and indexes right.
+// change applies a function to a record and keeps hashes and indexes consistent.
 func (table *table) change(record *record, apply func()) {
 	table.exclude(record)
 	apply()
@@ -145,7 +145,7 @@
 	}
 }
 
-// recordHash covers what a member says of itself; suspicions pass by.
+// recordHash covers the member's claims about itself, without suspicions.
 func recordHash(record *record) (hash uint64, bucket int) {
 	id := xxhash.Sum64String(record.ID)
 	mixed := id ^ (record.Incarnation * 0x9e3779b97f4a7c15)
--- a/internal/membership/update.go
+++ b/internal/membership/update.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// apply takes in an update about any member, and spreads it when it is new.
+// apply processes an update about any member, and broadcasts it if it is new.
 func (core *Core) apply(update Update) {
 	if update.ID == core.self.ID {
 		core.refute(update)
@@ -13,18 +13,18 @@
 		core.join(update)
 		return
 	}
-	update = known.explained(update)
-	if !known.olderThan(update) || !core.takesAddress(update) {
+	update = known.withLeave(update)
+	if !known.overriddenBy(update) || !core.takeOverAddress(update) {
 		return
 	}
 	core.overwrite(known, update)
-	core.spread(update)
+	core.broadcast(update)
 }
 
-// explained returns the update with what is known of a leave: a member that announced
-// one and is found dead has left. The two pieces of news may come in either order, and
-// of the later one the lower status alone would change nothing.
-func (record *record) explained(update Update) Update {
+// withLeave returns the update with what is known about a leave: a member that announced a leave
+// and is found dead has left. The leave and the death may arrive in either order. If the leave
+// comes later, its lower status alone would have no effect.
+func (record *record) withLeave(update Update) Update {
 	if update.Status == StatusLeaving && update.Incarnation == record.Incarnation {
 		record.announcedLeave = true
 		if record.dead() {
@@ -37,7 +37,7 @@
 	return update
 }
 
-// refute answers a claim about this node that is not its own.
+// refute answers a claim of others about this node.
 func (core *Core) refute(update Update) {
 	if core.self.dead() {
 		return
@@ -50,18 +50,18 @@
 
 // join inserts a member that was not known.
 func (core *Core) join(update Update) {
-	if update.Details == nil || update.Status >= StatusDead || !core.takesAddress(update) {
+	if update.Details == nil || update.Status >= StatusDead || !core.takeOverAddress(update) {
 		return
 	}
 	joined := &record{Member: Member{ID: update.ID, State: Dead}}
 	core.table.insert(joined)
 	core.overwrite(joined, update)
-	core.spread(update)
+	core.broadcast(update)
 }
 
-// overwrite makes a record say what the update says.
+// overwrite sets a record to what the update claims.
 func (core *Core) overwrite(known *record, update Update) {
-	before := known.visible().State
+	before := known.view().State
 	core.table.change(known, func() {
 		known.Incarnation = update.Incarnation
 		if update.Details != nil {
@@ -72,14 +72,14 @@
 		}
 		core.setStatus(known, update.Status)
 	})
-	after := known.visible()
+	after := known.view()
 	if after.State == before {
 		return
 	}
 	if (after.State == Dead) != (before == Dead) {
 		core.peers.changed = true
 	}
-	core.act(Changed{Member: after, Before: before})
+	core.emit(Changed{Member: after, Before: before})
 }
 
 func (core *Core) setStatus(known *record, status Status) {
@@ -127,16 +127,16 @@
 		}
 		update := suspect.update()
 		update.Status = StatusDead
-		update = suspect.explained(update)
+		update = suspect.withLeave(update)
 		core.overwrite(suspect, update)
-		core.spread(update)
+		core.broadcast(update)
 	}
 }
 
-// takesAddress decides between two members that claim one address: a process
-// replaced another there, and the higher incarnation is the later one. It is
-// false when the update is about the earlier one.
-func (core *Core) takesAddress(update Update) bool {
+// takeOverAddress decides between two members with the same address: one process replaced the other
+// there, and the higher incarnation is the later one. It returns false if the update is about the
+// earlier one.
+func (core *Core) takeOverAddress(update Update) bool {
 	if update.Details == nil || update.Status >= StatusDead {
 		return true
 	}
@@ -148,12 +148,12 @@
 		return false
 	}
 	if holder.Incarnation >= update.Incarnation {
-		core.doubt(holder)
+		core.requestProbe(holder)
 		return false
 	}
 	replaced := holder.update()
 	replaced.Status = StatusLeft
 	core.overwrite(holder, replaced)
-	core.spread(replaced)
+	core.broadcast(replaced)
 	return true
 }
