--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -8,26 +8,26 @@
 	Holder string
 	// Epoch is raised at every takeover.
 	Epoch int64
-	// Renewal tells the writes of one epoch apart.
+	// Renewal distinguishes the writes of one epoch.
 	Renewal int64
-	// Term is how long others wait after the last change that they saw.
+	// Term is how long others wait after the last change that they observed.
 	Term time.Duration
 }
 
-// Event is something that happened.
+// Event is an input of the lease.
 type Event interface{ isEvent() }
 
-// Tick tells that time has passed.
+// Tick signals that time has passed.
 type Tick struct {
-	// Candidate tells whether this node may take the lease.
+	// Candidate reports whether this node may take the lease.
 	Candidate bool
 }
 
 // ReadDone is the reply to a Read.
 type ReadDone struct {
-	// Failed tells that no answer came; the other fields are then empty.
+	// Failed means that there was no reply; the other fields are then empty.
 	Failed bool
-	// Found is false when there is no record yet.
+	// Found is false if there is no record yet.
 	Found  bool
 	Record Record
 	// Version is the record's version in the Object API.
@@ -37,7 +37,7 @@
 // WriteDone is the reply to a Write.
 type WriteDone struct {
 	Outcome Outcome
-	// Version is the new version of the record when it was written.
+	// Version is the new version of the record if it was written.
 	Version string
 }
 
@@ -49,17 +49,17 @@
 	Uncertain Outcome = iota
 	// Written means that it took effect.
 	Written
-	// Refused means that it has not, and will not, take effect.
+	// Refused means that it has not taken effect and will not.
 	Refused
 )
 
-// RaiseEpoch asks for an epoch above Above: some accepted revision is of that
-// epoch, so the record must have been lost and begun anew.
+// RaiseEpoch requests an epoch above Above: some accepted revision is of that epoch, so that the
+// record must have been lost and created again.
 type RaiseEpoch struct {
 	Above int64
 }
 
-// Resign asks to release the lease, for a planned stop.
+// Resign requests to release the lease, for a planned stop.
 type Resign struct{}
 
 func (Tick) isEvent()       {}
@@ -68,8 +68,7 @@
 func (RaiseEpoch) isEvent() {}
 func (Resign) isEvent()     {}
 
-// Action is a request to the Object API. The shell answers each one with
-// ReadDone or WriteDone.
+// Action is a request to the Object API. The caller answers each one with ReadDone or WriteDone.
 type Action interface{ isAction() }
 
 // Read reads the record.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -7,17 +7,17 @@
 	DefaultTerm = 3 * time.Second
 	// MaxTerm bounds the term when the Object API is slow.
 	MaxTerm = 60 * time.Second
-	// intervalsPerTerm is how often the holder renews, and candidates read, in a term.
+	// intervalsPerTerm is the number of renewals by the holder, or reads by a candidate, per term.
 	intervalsPerTerm = 4
-	// roundTripsPerTerm keeps the term well above the time of a renewal.
+	// roundTripsPerTerm keeps the term well above the duration of a renewal.
 	roundTripsPerTerm = 6
 )
 
 // Options configure a Lease.
 type Options struct {
-	// Self names this run of this process; it must never be used again.
+	// Self names this run of this process; it must never be reused.
 	Self string
-	// Term is the least term; zero means DefaultTerm.
+	// Term is the minimum term; zero means DefaultTerm.
 	Term time.Duration
 }
 
@@ -25,25 +25,25 @@
 type Lease struct {
 	self     string
 	baseTerm time.Duration
-	// roundTrip is a decaying maximum of the time that replies took.
+	// roundTrip is a decaying maximum of the round-trip times.
 	roundTrip time.Duration
-	// failures counts the reads in a row that brought no answer.
+	// failures is the number of consecutive failed reads.
 	failures int
 
 	// nextAt is when the next action is due.
 	nextAt time.Duration
-	// waiting tells that an action, sent at sentAt, has no reply yet.
+	// waiting is set while an action, sent at sentAt, has no reply yet.
 	waiting bool
 	sentAt  time.Duration
-	// known tells that observed is what the last reply showed.
+	// known is set while observed is up to date with the last reply.
 	known    bool
 	observed observation
-	// attempts are writes on top of the observed version whose outcome is open.
+	// attempts are the writes over the observed version with an unknown outcome.
 	attempts []attempt
 	renewal  int64
-	// highestEpoch is the highest epoch seen, also in a record since lost.
+	// highestEpoch is the highest epoch seen, including those of a record that was lost.
 	highestEpoch int64
-	// epochFloor is an epoch that the holder's must exceed.
+	// epochFloor is the epoch that the holder's must exceed.
 	epochFloor int64
 	holding    holding
 	resigning  bool
@@ -64,14 +64,14 @@
 	sentAt time.Duration
 }
 
-// holding is what this node may act on.
+// holding is the lease as held by this node.
 type holding struct {
 	held  bool
 	epoch int64
 	until time.Duration
 }
 
-// New returns a Lease that holds nothing and is due at once.
+// New returns a Lease that is not held and whose first action is due immediately.
 func New(options Options) *Lease {
 	if options.Term <= 0 {
 		options.Term = DefaultTerm
@@ -79,7 +79,7 @@
 	return &Lease{self: options.Self, baseTerm: options.Term}
 }
 
-// Held returns the epoch held at a moment, and whether any is.
+// Held returns the epoch held at the given time, and whether any is held.
 func (lease *Lease) Held(now time.Duration) (int64, bool) {
 	if !lease.holding.held || now >= lease.holding.until {
 		return 0, false
@@ -87,8 +87,8 @@
 	return lease.holding.epoch, true
 }
 
-// NextAt is when the next Tick is useful: the next action is due or the lease
-// lapses. While an action has no reply yet, no other is due.
+// NextAt returns when the next Tick is useful: when the next action is due or the lease expires. No
+// action is due while another has no reply yet.
 func (lease *Lease) NextAt() time.Duration {
 	next := lease.nextAt
 	if lease.waiting {
@@ -100,8 +100,8 @@
 	return next
 }
 
-// Step takes one event and returns the action to carry out, or nil. An epoch
-// that has lapsed is never held again.
+// Step processes an event and returns the action to perform, or nil. An epoch that has expired is
+// never held again.
 func (lease *Lease) Step(now time.Duration, event Event) Action {
 	if lease.holding.held && now >= lease.holding.until {
 		lease.holding = holding{}
@@ -129,7 +129,7 @@
 		return lease.release(now)
 	}
 	if !candidate && !lease.holding.held {
-		lease.forget(now)
+		lease.discard(now)
 		return nil
 	}
 	if !lease.known || !lease.mayWrite(now) {
@@ -138,7 +138,7 @@
 	return lease.write(now, Record{Holder: lease.self, Epoch: lease.nextEpoch(), Term: lease.term()})
 }
 
-// mayWrite tells whether to renew or to take over.
+// mayWrite reports whether the record may be renewed or taken over.
 func (lease *Lease) mayWrite(now time.Duration) bool {
 	observed := &lease.observed
 	if !observed.found || observed.record.Holder == "" || observed.record.Holder == lease.self {
@@ -148,7 +148,7 @@
 	return now-observed.since >= term
 }
 
-// nextEpoch is the epoch held, if any, or one above all that were seen.
+// nextEpoch returns the epoch held, if any, or one above all that were seen.
 func (lease *Lease) nextEpoch() int64 {
 	if lease.holding.held && lease.holding.epoch > lease.epochFloor {
 		return lease.holding.epoch
@@ -164,8 +164,8 @@
 	return lease.term() / intervalsPerTerm
 }
 
-// retryInterval doubles with each failure, up to a term, except for a holder,
-// which needs its renewal.
+// retryInterval doubles with each failure up to a term, except for the holder, which must renew in
+// time.
 func (lease *Lease) retryInterval() time.Duration {
 	if lease.holding.held {
 		return lease.interval()
@@ -192,7 +192,7 @@
 	return Write{Record: record, Previous: lease.observed.version}
 }
 
-// release gives the lease up, if it is held; nothing follows.
+// release releases the lease if it is held; no action follows.
 func (lease *Lease) release(now time.Duration) Action {
 	if !lease.holding.held {
 		return nil
@@ -205,9 +205,9 @@
 	return lease.write(now, Record{Epoch: epoch, Term: lease.term()})
 }
 
-// forget drops what was seen: a node that is no candidate reads nothing, so
-// what it knew grows old.
-func (lease *Lease) forget(now time.Duration) {
+// discard drops the observation: a node that is no candidate does not read, so that what it knows
+// becomes outdated.
+func (lease *Lease) discard(now time.Duration) {
 	lease.known = false
 	lease.attempts = nil
 	lease.nextAt = now + lease.interval()
@@ -222,7 +222,7 @@
 		return
 	}
 	lease.failures = 0
-	lease.measure(now)
+	lease.recordRoundTrip(now)
 	lease.highestEpoch = max(lease.highestEpoch, reply.Record.Epoch)
 	seen := observation{found: reply.Found, record: reply.Record, version: reply.Version, since: now}
 	if lease.observed.found == seen.found && lease.observed.version == seen.version {
@@ -238,7 +238,7 @@
 	}
 }
 
-// confirm takes the lease if the record is one of the open attempts.
+// confirm takes the lease if the record is one of the attempts.
 func (lease *Lease) confirm(record Record) {
 	for _, attempt := range lease.attempts {
 		if attempt.record == record {
@@ -251,8 +251,8 @@
 	}
 }
 
-// hold counts from before the attempt was sent. A renewal confirmed after its
-// epoch lapsed restores nothing: the next write takes a higher epoch.
+// hold starts the holding at the time before the attempt was sent. A renewal that is confirmed
+// after its epoch expired has no effect: the next write takes a higher epoch.
 func (lease *Lease) hold(attempt attempt) {
 	if attempt.record.Holder != lease.self || lease.resigning {
 		return
@@ -274,7 +274,7 @@
 	last := lease.attempts[len(lease.attempts)-1]
 	switch reply.Outcome {
 	case Written:
-		lease.measure(now)
+		lease.recordRoundTrip(now)
 		lease.hold(last)
 		lease.highestEpoch = max(lease.highestEpoch, last.record.Epoch)
 		lease.attempts = nil
@@ -293,8 +293,8 @@
 	lease.nextAt = now
 }
 
-// measure keeps a maximum that halves at each reply.
-func (lease *Lease) measure(now time.Duration) {
+// recordRoundTrip keeps a maximum that is halved at each reply.
+func (lease *Lease) recordRoundTrip(now time.Duration) {
 	lease.roundTrip = max(now-lease.sentAt, lease.roundTrip/2)
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// store is the Object API's record under compare-and-set.
+// store is the Object API with one record and compare-and-set.
 type store struct {
 	found   bool
 	record  Record
 	version int
 }
 
-func (store *store) label() string {
+func (store *store) versionString() string {
 	if !store.found {
 		return ""
 	}
@@ -26,14 +26,14 @@
 func (store *store) apply(action Action) Event {
 	switch action := action.(type) {
 	case Write:
-		if action.Previous != store.label() {
+		if action.Previous != store.versionString() {
 			return WriteDone{Outcome: Refused}
 		}
 		store.found, store.record = true, action.Record
 		store.version++
-		return WriteDone{Outcome: Written, Version: store.label()}
+		return WriteDone{Outcome: Written, Version: store.versionString()}
 	default:
-		return ReadDone{Found: store.found, Record: store.record, Version: store.label()}
+		return ReadDone{Found: store.found, Record: store.record, Version: store.versionString()}
 	}
 }
 
@@ -41,15 +41,15 @@
 type participant struct {
 	lease *Lease
 	rate  float64
-	// awaits numbers the request whose reply the shell still waits for.
-	awaits int
+	// pending is the number of the request whose reply the node waits for.
+	pending int
 }
 
 func (participant *participant) now(global time.Duration) time.Duration {
 	return time.Duration(float64(global) * participant.rate)
 }
 
-// message is a request on its way to the store, or a reply on its way back.
+// message is a request to the store or its reply.
 type message struct {
 	from   int
 	number int
@@ -57,8 +57,8 @@
 	reply  Event
 }
 
-// simulation drives nodes, the store and a network that delays, reorders and
-// loses messages. A node that is not chosen for long is a paused one.
+// simulation runs nodes, the store and a network that delays, reorders and loses messages. A node
+// that is not drawn for long acts as a paused one.
 type simulation struct {
 	t        *rapid.T
 	global   time.Duration
@@ -77,7 +77,7 @@
 	for index := range simulatedNodes {
 		simulation.nodes = append(simulation.nodes, &participant{
 			lease: New(Options{Self: fmt.Sprint("node-", index)}),
-			// One third of margin bears clocks 15 % off.
+			// The margin of one third of the term tolerates clock rates that are 15 % off.
 			rate: rapid.Float64Range(0.85, 1.15).Draw(t, "rate"),
 		})
 	}
@@ -89,13 +89,13 @@
 	action := node.lease.Step(node.now(simulation.global), event)
 	if action != nil {
 		simulation.sent++
-		node.awaits = simulation.sent
+		node.pending = simulation.sent
 		simulation.network = append(simulation.network, message{from: index, number: simulation.sent, action: action})
 	}
 	simulation.check()
 }
 
-// check is the safety of the lease.
+// check checks the safety properties of the lease.
 func (simulation *simulation) check() {
 	holders := 0
 	for index, node := range simulation.nodes {
@@ -118,7 +118,7 @@
 	}
 }
 
-// advance moves time and looks at the moments in between too.
+// advance advances the time and checks at moments in between.
 func (simulation *simulation) advance(by time.Duration) {
 	const parts = 8
 	for range parts {
@@ -127,7 +127,7 @@
 	}
 }
 
-// deliver takes one message from the network one hop on.
+// deliver delivers one message: a request to the store, or a reply to its node.
 func (simulation *simulation) deliver(position int) {
 	next := simulation.network[position]
 	simulation.network = append(simulation.network[:position:position], simulation.network[position+1:]...)
@@ -137,20 +137,20 @@
 		return
 	}
 	node := simulation.nodes[next.from]
-	if node.awaits == next.number {
-		node.awaits = 0
+	if node.pending == next.number {
+		node.pending = 0
 		simulation.step(next.from, next.reply)
 	}
 }
 
-// timeOut makes a node give up on its request, which may still arrive.
+// timeOut lets a node's request time out, which may still reach the store.
 func (simulation *simulation) timeOut(index int) {
 	node := simulation.nodes[index]
 	for _, sent := range simulation.network {
-		if sent.number != node.awaits {
+		if sent.number != node.pending {
 			continue
 		}
-		node.awaits = 0
+		node.pending = 0
 		if _, isWrite := sent.action.(Write); isWrite {
 			simulation.step(index, WriteDone{Outcome: Uncertain})
 		} else {
@@ -188,7 +188,7 @@
 	}
 }
 
-// TestOneHolderAtATime also checks that an epoch has one holder for good.
+// TestOneHolderAtATime also checks that an epoch never has a second holder.
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulation := newSimulation(t)
@@ -196,12 +196,12 @@
 		for range steps {
 			simulation.randomStep()
 		}
-		simulation.settle()
+		simulation.runWithoutFaults()
 	})
 }
 
-// settle runs without faults, after which some node must hold the lease.
-func (simulation *simulation) settle() {
+// runWithoutFaults delivers all messages; some node must hold the lease afterwards.
+func (simulation *simulation) runWithoutFaults() {
 	for range 40 * int(MaxTerm/time.Second) {
 		simulation.advance(100 * time.Millisecond)
 		for index := range simulation.nodes {
@@ -219,8 +219,8 @@
 	simulation.t.Fatalf("nobody holds the lease after the faults: %+v", simulation.store)
 }
 
-// take makes a node the holder at time zero, writing version "1".
-func take(t *testing.T) *Lease {
+// acquire returns a lease held since time zero, with the record at version "1".
+func acquire(t *testing.T) *Lease {
 	t.Helper()
 	is := is.New(t)
 	lease := New(Options{Self: "a"})
@@ -235,16 +235,16 @@
 
 func TestHolderCountsFromBeforeTheRenewal(t *testing.T) {
 	is := is.New(t)
-	lease := take(t)
+	lease := acquire(t)
 	_, held := lease.Held(DefaultTerm*2/3 - 1)
 	is.True(held)
 	_, held = lease.Held(DefaultTerm * 2 / 3)
 	is.True(!held)
 }
 
-func TestLostReplyIsReadFirst(t *testing.T) {
+func TestUncertainWriteIsFollowedByRead(t *testing.T) {
 	is := is.New(t)
-	lease := take(t)
+	lease := acquire(t)
 	renewal := lease.Step(time.Second, Tick{}).(Write)
 	is.Equal(renewal.Previous, "1")
 	lease.Step(time.Second, WriteDone{Outcome: Uncertain})
@@ -255,19 +255,19 @@
 	is.Equal(epoch, int64(1))
 }
 
-func TestLapsedEpochIsNeverHeldAgain(t *testing.T) {
+func TestExpiredEpochIsNeverHeldAgain(t *testing.T) {
 	is := is.New(t)
-	lease := take(t)
-	lapse := DefaultTerm * 2 / 3
-	lease.Step(lapse-1, Tick{})
-	lease.Step(lapse+1, WriteDone{Outcome: Written, Version: "2"})
-	_, held := lease.Held(lapse + 1)
+	lease := acquire(t)
+	expiry := DefaultTerm * 2 / 3
+	lease.Step(expiry-1, Tick{})
+	lease.Step(expiry+1, WriteDone{Outcome: Written, Version: "2"})
+	_, held := lease.Held(expiry + 1)
 	is.True(!held)
-	write := lease.Step(2*lapse, Tick{Candidate: true}).(Write)
+	write := lease.Step(2*expiry, Tick{Candidate: true}).(Write)
 	is.Equal(write.Record.Epoch, int64(2))
 }
 
-func TestTermFollowsASlowPlatform(t *testing.T) {
+func TestTermGrowsWithRoundTrips(t *testing.T) {
 	is := is.New(t)
 	lease := New(Options{Self: "a"})
 	now := time.Duration(0)
@@ -292,9 +292,9 @@
 	is.True(record.Epoch <= 2)
 }
 
-func TestReleaseLetsAnotherTakeOverAtOnce(t *testing.T) {
+func TestReleaseAllowsImmediateTakeover(t *testing.T) {
 	is := is.New(t)
-	lease := take(t)
+	lease := acquire(t)
 	lease.Step(time.Second, Resign{})
 	write := lease.Step(time.Second, Tick{}).(Write)
 	is.Equal(write.Record.Holder, "")
@@ -315,11 +315,11 @@
 	}
 }
 
-// TestLostRecord: when the record is deleted, who knew it goes above its epoch,
-// and who did not is raised above what was accepted.
+// TestLostRecord checks that, when the record is deleted, a node that knew it takes an epoch above
+// it, and another one is raised above the accepted epoch.
 func TestLostRecord(t *testing.T) {
 	is := is.New(t)
-	lease := take(t)
+	lease := acquire(t)
 	lease.Step(time.Second, Tick{})
 	lease.Step(time.Second, WriteDone{Outcome: Refused})
 	lease.Step(time.Second, Tick{})
@@ -329,7 +329,7 @@
 	write := lease.Step(time.Second, Tick{Candidate: true}).(Write)
 	is.Equal(write.Record.Epoch, int64(2))
 
-	newcomer := take(t)
+	newcomer := acquire(t)
 	newcomer.Step(time.Second, RaiseEpoch{Above: 7})
 	write = newcomer.Step(time.Second, Tick{}).(Write)
 	is.Equal(write.Record.Epoch, int64(8))
@@ -338,7 +338,7 @@
 	is.Equal(epoch, int64(8))
 }
 
-// TestDeadHolderIsReplaced after one term without a change, not before.
+// TestDeadHolderIsReplaced checks for a takeover after one term without a change, not before.
 func TestDeadHolderIsReplaced(t *testing.T) {
 	is := is.New(t)
 	dead := Record{Holder: "b", Epoch: 4, Renewal: 9, Term: DefaultTerm}
@@ -357,10 +357,10 @@
 	t.Fatal("no takeover within two terms")
 }
 
-// TestHoldsTheEpochThatTookEffect of several writes whose outcome was open.
+// TestHoldsTheEpochThatTookEffect covers several writes with an unknown outcome.
 func TestHoldsTheEpochThatTookEffect(t *testing.T) {
 	is := is.New(t)
-	lease := take(t)
+	lease := acquire(t)
 	var last Write
 	for _, above := range []int64{1, 7} {
 		lease.Step(time.Second, RaiseEpoch{Above: above})
