--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -1,14 +1,14 @@
 package placement
 
-// Index ranks servers over one fixed set of nodes. It gives what Rank gives, but
-// looks only at the nodes of the server's zone where these fill both ranks: at
-// 3,600 nodes in 16 zones that is a sixteenth of the work.
+// Index ranks servers over a fixed set of nodes. It returns the same as Rank, but only considers
+// the nodes in the server's zone if these fill both ranks: at 3,600 nodes in 16 zones that is a
+// sixteenth of the work.
 type Index struct {
 	all    []keyedNode
 	byZone map[string][]keyedNode
 }
 
-// rankedNodes is how many ranks a zone's nodes must fill.
+// rankedNodes is the number of ranks that the nodes of a zone must fill.
 const rankedNodes = 2
 
 // NewIndex returns the index of a set of nodes, which must not change later.
@@ -20,10 +20,10 @@
 	return index
 }
 
-// Rank returns the owner of a server and the second-ranked node, as Rank does.
+// Rank returns the owner of a server and the second-ranked node, as the function Rank does.
 func (index *Index) Rank(server Server) (first, second string) {
-	if near := index.byZone[server.Zone]; len(near) >= rankedNodes {
-		return rank(server, near)
+	if inZone := index.byZone[server.Zone]; len(inZone) >= rankedNodes {
+		return rank(server, inZone)
 	}
 	return rank(server, index.all)
 }
--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -14,7 +14,7 @@
 	"github.com/driftstage/driftstage/internal/placement"
 )
 
-// scenario is a size at which placement is measured.
+// scenario is a deployment size at which placement is measured.
 type scenario struct {
 	name    string
 	nodes   int
@@ -22,13 +22,13 @@
 	servers []placement.Server
 	// shards is the number of shards of the service that is queried.
 	shards int
-	// Bounds on what is measured for Rank.
-	largestOverMean, movesOverLeast float64
+	// Upper bounds of the results of Rank.
+	largestOverMean, movesOverMinimum float64
 }
 
-// services makes count services of so many servers each, spread over zones. The
-// servers of one replica column are next to each other and in one zone: a shard
-// has its replicas in as many columns.
+// services returns count services of the given number of servers each, spread over zones. The
+// servers of one replica column are adjacent and in one zone: each replica of a shard is in another
+// column.
 func services(prefix string, count, servers, zones int) []placement.Server {
 	var made []placement.Server
 	columns := min(zones, replicas)
@@ -51,22 +51,22 @@
 	gzebi := slices.Concat(services("app", 4, 4, 3), services("portal", 6, 4, 3), services("desk", 1, 25, 3), services("dues", 1, 15, 3))
 	konferencelinjen := slices.Concat(services("search", 4, 4, 3), services("archive", 6, 4, 3), services("billing", 1, 20, 3), services("usage", 1, 10, 3))
 	return []scenario{
-		{name: "Gzebi today", nodes: 15, zones: 3, servers: gzebi, shards: 8, largestOverMean: 2.6, movesOverLeast: 1.3},
-		{name: "Konferencelinjen today", nodes: 15, zones: 3, servers: konferencelinjen, shards: 6, largestOverMean: 2.6, movesOverLeast: 1.3},
-		{name: "target", nodes: 3600, zones: 16, servers: services("index", 10, 1400, 16), shards: 466, largestOverMean: 4.5, movesOverLeast: 1.3},
+		{name: "Gzebi today", nodes: 15, zones: 3, servers: gzebi, shards: 8, largestOverMean: 2.6, movesOverMinimum: 1.3},
+		{name: "Konferencelinjen today", nodes: 15, zones: 3, servers: konferencelinjen, shards: 6, largestOverMean: 2.6, movesOverMinimum: 1.3},
+		{name: "target", nodes: 3600, zones: 16, servers: services("index", 10, 1400, 16), shards: 466, largestOverMean: 4.5, movesOverMinimum: 1.3},
 	}
 }
 
-// strategy gives the owner of each server, in the order of the servers.
+// strategy returns the owner of each server, in the order of the servers.
 type strategy struct {
 	name   string
 	assign func(servers []placement.Server, nodes []placement.Node) []string
 }
 
-// strategies are what is in use and what was weighed against it: groups of four
-// neighbours under one owner, and rendezvous hashing with bounded loads (after
-// Mirrokni, Thorup and Zadimoghaddam, 2018), where a server goes to the highest
-// ranked node that has less than a quarter more than the mean of its zone.
+// strategies are the strategy in use and the alternatives considered: groups of four adjacent
+// servers with one owner, and rendezvous hashing with bounded loads (after Mirrokni, Thorup and
+// Zadimoghaddam, 2018), where a server goes to the highest-ranked node whose load is less than a
+// quarter above the mean of its zone.
 func strategies() []strategy {
 	return []strategy{
 		{"rendezvous (in use)", func(servers []placement.Server, nodes []placement.Node) []string {
@@ -86,7 +86,7 @@
 
 const groupSize = 4
 
-// group returns the server that stands for a group of neighbours in one zone.
+// group returns the server that represents a group of adjacent servers in one zone.
 func group(servers []placement.Server, index, size int) placement.Server {
 	first := index - index%size
 	for servers[first].Service != servers[index].Service || servers[first].Zone != servers[index].Zone {
@@ -170,13 +170,13 @@
 	return count
 }
 
-// trials is the number of joins and leaves, few by default for the sake of time.
+// trials is the number of joins and leaves; the default is small to keep the test short.
 var trials = flag.Int("trials", 3, "joins and leaves that are measured")
 
-// movesOverLeast is the number of servers that change their owner over the least
-// possible: on a leave those of the node that leaves, on a join the mean share of
-// a node. Both are summed up over trials.
-func movesOverLeast(scenario scenario, assign func([]placement.Server, []placement.Node) []string, nodes []placement.Node, owners []string) (leave, join float64) {
+// movesOverMinimum returns the number of servers that change their owner, divided by the minimum: on
+// a leave the servers of the node that leaves, on a join the mean number per node. Both are summed
+// over the trials.
+func movesOverMinimum(scenario scenario, assign func([]placement.Server, []placement.Node) []string, nodes []placement.Node, owners []string) (leave, join float64) {
 	var leaveMoves, leaveLeast, joinMoves, joinLeast float64
 	for trial := range *trials {
 		leaver := nodes[trial*7919%len(nodes)]
@@ -197,9 +197,9 @@
 // queries is the number of queries for which owners are counted.
 const queries = 20
 
-// ownersMet is the mean number of owners of a query to the last service: with one
+// ownersPerQuery returns the mean number of owners that a query to the last service reaches: with one
 // replica of each shard drawn at random, and with all from one column.
-func ownersMet(scenario scenario, owners []string) (random, column float64) {
+func ownersPerQuery(scenario scenario, owners []string) (random, column float64) {
 	last := scenario.servers[len(scenario.servers)-1].Service
 	first := slices.IndexFunc(scenario.servers, func(server placement.Server) bool { return server.Service == last })
 	count := len(scenario.servers) - first
@@ -218,9 +218,9 @@
 	return random, column
 }
 
-// Balance, moves and owners met, at today's sizes and at the target; the bounds
-// hold for what is in use. `go test -v -run PlacementMeasured -trials 20`
-// prints the table of the documentation.
+// Balance, moves and owners per query at the present sizes and at the target size; the bounds apply
+// to the strategy in use. `go test -v -run PlacementMeasured -trials 20` prints the table of the
+// documentation.
 func TestPlacementMeasured(t *testing.T) {
 	for _, scenario := range scenarios() {
 		nodes := makeNodes(scenario.nodes, scenario.zones)
@@ -228,22 +228,21 @@
 		for number, strategy := range strategies() {
 			owners := strategy.assign(scenario.servers, nodes)
 			balance := largestOverMean(owners, len(nodes))
-			leave, join := movesOverLeast(scenario, strategy.assign, nodes, owners)
-			random, column := ownersMet(scenario, owners)
+			leave, join := movesOverMinimum(scenario, strategy.assign, nodes, owners)
+			random, column := ownersPerQuery(scenario, owners)
 			t.Logf("%-22s largest/mean %.2f, moves/least: leave %.2f, join %.2f, owners met of %d shards: any replica %.1f, one column %.1f",
 				strategy.name, balance, leave, join, scenario.shards, random, column)
 			if number > 0 {
 				continue
 			}
-			if balance > scenario.largestOverMean || leave > 1 || join > scenario.movesOverLeast {
+			if balance > scenario.largestOverMean || leave > 1 || join > scenario.movesOverMinimum {
 				t.Errorf("%s: largest/mean %.2f, moves over least %.2f and %.2f", scenario.name, balance, leave, join)
 			}
 		}
 	}
 }
 
-// BenchmarkIndex ranks all servers of the target anew, as after a change of
-// members.
+// BenchmarkIndex ranks all servers of the target size again, as after a change of members.
 func BenchmarkIndex(b *testing.B) {
 	target := scenarios()[2]
 	nodes := makeNodes(target.nodes, target.zones)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -16,12 +16,11 @@
 	Zone    string
 }
 
-// Rank returns the IDs of the two highest-ranked nodes for a server: the owner,
-// and the one that takes over when the owner can not be reached. Nodes of the
-// server's zone go before all others; within a zone the rank is by rendezvous
-// hashing (Thaler and Ravishankar, 1998), so that a join or leave moves only
-// the servers of the node that came or went. A result is empty when there are
-// too few nodes. The order of nodes does not matter.
+// Rank returns the IDs of the two highest-ranked nodes for a server: the owner, and the node that
+// takes over when the owner cannot be reached. Nodes in the server's zone rank above all others.
+// Within a zone the rank is by rendezvous hashing (Thaler and Ravishankar, 1998), so that a join or
+// leave moves only the servers of the node that joined or left. A result is empty if there are too
+// few nodes. The order of nodes does not matter.
 func Rank(server Server, nodes []Node) (first, second string) {
 	return rank(server, withKeys(nodes))
 }
@@ -51,24 +50,23 @@
 			weight: weight(key, node.key),
 		}
 		switch {
-		case offered.above(best):
+		case offered.ranksAbove(best):
 			best, next = offered, best
-		case offered.above(next):
+		case offered.ranksAbove(next):
 			next = offered
 		}
 	}
 	return best.id, next.id
 }
 
-// candidate is a node together with its rank for one server; the zero value
-// ranks below every node.
+// candidate is a node with its rank for one server; the zero value ranks below every node.
 type candidate struct {
 	id     string
 	inZone bool
 	weight uint64
 }
 
-func (candidate candidate) above(other candidate) bool {
+func (candidate candidate) ranksAbove(other candidate) bool {
 	if other.id == "" {
 		return candidate.id != ""
 	}
@@ -81,8 +79,7 @@
 	return candidate.id < other.id
 }
 
-// keySeparator stands between the parts of a hashed name; it can not occur in
-// the name of a service.
+// keySeparator separates the parts of a hashed name; it cannot occur in the name of a service.
 const keySeparator = "\x00"
 
 func serverKey(server Server) uint64 {
@@ -98,8 +95,7 @@
 	return xxhash.Sum64String(id)
 }
 
-// weight mixes the two hashes by the finalizer of SplitMix64 (Steele, Lea and
-// Flood, 2014).
+// weight mixes the two hashes by the finalizer of SplitMix64 (Steele, Lea and Flood, 2014).
 func weight(server, node uint64) uint64 {
 	mixed := server ^ (node * 0x9e3779b97f4a7c15)
 	mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,8 +26,8 @@
 	return nodes[index].Zone
 }
 
-// Rank does not depend on the order of nodes, prefers the zone, and a leave
-// moves only the servers that the node owned: to their second-ranked node.
+// Rank does not depend on the order of nodes and prefers the zone. A leave moves only the servers
+// that the node owned, to their second-ranked node.
 func TestRankProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t)
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestRankOfNothing(t *testing.T) {
+func TestRankWithoutNodes(t *testing.T) {
 	is := is.New(t)
 	first, second := placement.Rank(placement.Server{Name: "server"}, nil)
 	is.Equal(first, "")
