--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -109,17 +109,17 @@
 	return server.window.typicalLatency() * time.Duration(ahead) / time.Duration(size)
 }
 
-// Withdraw cancels an attempt that its sender gave up. A queued one is refused
+// Cancel cancels an attempt that its sender gave up. A queued one is refused
 // with the guarantee NotRun; a running one keeps its slot until End.
-func (server *Server) Withdraw(now time.Time, id ID) []Action {
+func (server *Server) Cancel(now time.Time, id ID) []Action {
 	if server.waiting.interactive.remove(id) || server.waiting.batch.remove(id) {
 		server.refuse(id, verdict.New(verdict.NotRun, verdict.CodeCanceled, "given up while queued"))
 	}
 	return server.admit(now)
 }
 
-// Judge records the outcome of an attempt, whose slot may still be occupied.
-func (server *Server) Judge(now time.Time, id ID, outcome Outcome) []Action {
+// RecordOutcome records the outcome of an attempt, whose slot may still be occupied.
+func (server *Server) RecordOutcome(now time.Time, id ID, outcome Outcome) []Action {
 	attempt, ok := server.running[id]
 	if !ok || attempt.outcomeRecorded {
 		return nil
@@ -136,8 +136,8 @@
 	return server.admit(now)
 }
 
-// End frees the slot of an attempt, which its server no longer runs.
-func (server *Server) End(now time.Time, id ID) []Action {
+// Release frees the slot of an attempt, which its server no longer runs.
+func (server *Server) Release(now time.Time, id ID) []Action {
 	attempt, ok := server.running[id]
 	if !ok {
 		return nil
--- a/internal/admission/server_test.go
+++ b/internal/admission/server_test.go
@@ -146,16 +146,16 @@
 	case "withdraw":
 		// Includes running attempts, which keep their slots.
 		id := ID(rapid.Uint64Range(1, uint64(sim.lastID)+1).Draw(sim.t, "attempt"))
-		sim.apply(sim.server.Withdraw(sim.now, id))
+		sim.apply(sim.server.Cancel(sim.now, id))
 	case "judge":
 		if id, ok := pick(sim, sim.running); ok {
 			outcome := Outcome(rapid.IntRange(int(Succeeded), int(Canceled)).Draw(sim.t, "outcome"))
-			sim.apply(sim.server.Judge(sim.now, id, outcome))
+			sim.apply(sim.server.RecordOutcome(sim.now, id, outcome))
 		}
 	case "end":
 		if id, ok := pick(sim, sim.running); ok {
 			delete(sim.running, id)
-			sim.apply(sim.server.End(sim.now, id))
+			sim.apply(sim.server.Release(sim.now, id))
 		}
 	case "drain":
 		sim.draining = !sim.draining
@@ -204,8 +204,8 @@
 	}
 	driver.now = driver.now.Add(took)
 	for id := first; id <= driver.lastID; id++ {
-		driver.server.Judge(driver.now, id, outcome)
-		driver.server.End(driver.now, id)
+		driver.server.RecordOutcome(driver.now, id, outcome)
+		driver.server.Release(driver.now, id)
 	}
 }
 
@@ -255,8 +255,8 @@
 	is.Equal(started, []Action{{ID: probe}})
 	_, refused := driver.offer(v1.ClassInteractive, time.Second)
 	is.Equal(refused[0].Failure.Code, verdict.CodeUnreachable)
-	driver.server.Judge(driver.now, probe, Succeeded)
-	driver.server.End(driver.now, probe)
+	driver.server.RecordOutcome(driver.now, probe, Succeeded)
+	driver.server.Release(driver.now, probe)
 	is.True(!driver.server.View().Ejected)
 	is.Equal(driver.server.View().Window, 1) // starts cold again
 }
@@ -270,7 +270,7 @@
 	starts := 0
 	for running != batch {
 		driver.offer(v1.ClassInteractive, time.Hour)
-		started := driver.server.End(driver.now, running)
+		started := driver.server.Release(driver.now, running)
 		is.Equal(len(started), 1)
 		running = started[0].ID
 		starts++
@@ -285,9 +285,9 @@
 	first, _ := driver.offer(v1.ClassInteractive, time.Second)
 	second, waits := driver.offer(v1.ClassInteractive, time.Second)
 	is.Equal(len(waits), 0)
-	is.Equal(len(driver.server.Withdraw(driver.now, first)), 0)
-	is.Equal(len(driver.server.Judge(driver.now, first, Canceled)), 0)
-	is.Equal(driver.server.End(driver.now, first), []Action{{ID: second}})
+	is.Equal(len(driver.server.Cancel(driver.now, first)), 0)
+	is.Equal(len(driver.server.RecordOutcome(driver.now, first, Canceled)), 0)
+	is.Equal(driver.server.Release(driver.now, first), []Action{{ID: second}})
 }
 
 func TestRefusesAtOnceWhatCannotFinish(t *testing.T) {
--- a/internal/catalog/backoff.go
+++ b/internal/catalog/backoff.go
@@ -99,17 +99,17 @@
 	b.failures = 0
 }
 
-// Restored records that the store was restored from a backup: all feeds read it again immediately.
-func (b *Backoff) Restored() {
+// StoreRestored records that the store was restored from a backup: all feeds read it again immediately.
+func (b *Backoff) StoreRestored() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.failures = 0
 	b.signalRecovery()
 }
 
-// Wake records a sign that the store is reachable again: the next call does not wait, and the
+// RetryNow records a sign that the store is reachable again: the next call does not wait, and the
 // delays after it start short. It does nothing if the latest call succeeded.
-func (b *Backoff) Wake(now time.Time) {
+func (b *Backoff) RetryNow(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.failures > 0 {
@@ -132,9 +132,9 @@
 	}
 }
 
-// Woken returns a channel that is closed when the store seems to be reachable again. Calls sent
+// Recovered returns a channel that is closed when the store seems to be reachable again. Calls sent
 // before that may hang for longer than a new call takes.
-func (b *Backoff) Woken() <-chan struct{} {
+func (b *Backoff) Recovered() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.recovered == nil {
@@ -143,9 +143,9 @@
 	return b.recovered
 }
 
-// Heard records that a feed holds the data of the store as of a time. If the node was disconnected,
+// DataReceived records that a feed holds the data of the store as of a time. If the node was disconnected,
 // its other feeds take that as a sign that the store is reachable again.
-func (b *Backoff) Heard(asOf, now time.Time) {
+func (b *Backoff) DataReceived(asOf, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.disconnected(now) {
@@ -156,8 +156,8 @@
 	}
 }
 
-// InTouch reports whether the node holds recent data of the store.
-func (b *Backoff) InTouch(now time.Time) bool {
+// UpToDate reports whether the node holds recent data of the store.
+func (b *Backoff) UpToDate(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return now.Sub(b.dataAt) < maxContactAge
@@ -170,9 +170,9 @@
 	return b.failures > 0
 }
 
-// Suspected returns how long to wait before the next call, and true, if calls began to fail so
+// TransientFailure returns how long to wait before the next call, and true, if calls began to fail so
 // recently that the store may only have been unavailable for a moment.
-func (b *Backoff) Suspected(now time.Time) (wait time.Duration, transient bool) {
+func (b *Backoff) TransientFailure(now time.Time) (wait time.Duration, transient bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if !b.transientFailure(now) {
@@ -185,11 +185,11 @@
 	return b.failures > 0 && now.Sub(b.failingSince) < outageThreshold
 }
 
-// Patience returns how long to wait for a peer whose data is outdated: a random time if no call has
+// CatchUpWait returns how long to wait for a peer whose data is outdated: a random time if no call has
 // failed, until this node's next call if calls have just begun to fail, and not at all once they have
 // failed for outageThreshold. A store that some nodes cannot reach may be reachable for others, which
 // have to be found.
-func (b *Backoff) Patience(now time.Time) time.Duration {
+func (b *Backoff) CatchUpWait(now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	longest := min(time.Duration(b.callers)*catchUpWaitPerNode, maxCatchUpWait)
@@ -202,9 +202,9 @@
 	return 0
 }
 
-// Lost reports whether calls to the store have failed for a while and no other node has provided
+// Disconnected reports whether calls to the store have failed for a while and no other node has provided
 // data instead.
-func (b *Backoff) Lost(now time.Time) bool {
+func (b *Backoff) Disconnected(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.disconnected(now)
--- a/internal/catalog/backoff_test.go
+++ b/internal/catalog/backoff_test.go
@@ -58,7 +58,7 @@
 			feed, sink := newMemoryFeed(), &memorySink{}
 			feed.set("main", "one")
 			follower := NewFollower("test", feed, sink, noopObserver{})
-			follower.ShareBackoff(&backoff)
+			follower.UseBackoff(&backoff)
 			go follower.Run(ctx)
 			feeds, sinks = append(feeds, feed), append(sinks, sink)
 		}
@@ -91,11 +91,11 @@
 	now := time.Now()
 	var backoff Backoff
 	backoff.SetCallers(300)
-	is.True(backoff.Patience(now) <= maxCatchUpWait)
+	is.True(backoff.CatchUpWait(now) <= maxCatchUpWait)
 	backoff.Failed(now)
-	is.True(backoff.Patience(now) > 0)
+	is.True(backoff.CatchUpWait(now) > 0)
 	for after := outageThreshold; after < 10*time.Second; after += 700 * time.Millisecond {
 		backoff.Failed(now.Add(after))
-		is.Equal(backoff.Patience(now.Add(after)), time.Duration(0))
+		is.Equal(backoff.CatchUpWait(now.Add(after)), time.Duration(0))
 	}
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -18,9 +18,9 @@
 	Value      T
 }
 
-// Flaw describes an object of a feed that cannot be decoded, for example because another client
+// DecodeFailure describes an object of a feed that cannot be decoded, for example because another client
 // wrote it.
-type Flaw struct {
+type DecodeFailure struct {
 	// Name is empty if not even the name can be read.
 	Name  string
 	Cause string
@@ -29,8 +29,8 @@
 // Page is one page of the list of a kind of objects.
 type Page[T any] struct {
 	Items []T
-	// Flaws are the objects that cannot be decoded. They are not in Items.
-	Flaws []Flaw
+	// DecodeFailures are the objects that cannot be decoded. They are not in Items.
+	DecodeFailures []DecodeFailure
 	// Revision is the revision of the store when the page was read.
 	Revision Revision
 	// Next is the name after which the next page starts; empty on the last page.
@@ -40,12 +40,12 @@
 // Changes are the changes of a kind of objects up to a revision.
 type Changes[T any] struct {
 	Changes []Change[T]
-	// Flaws are the changed objects that cannot be decoded.
-	Flaws    []Flaw
-	Revision Revision
-	// Whole means that Changes are all objects of the kind, without names: the answering node no
+	// DecodeFailures are the changed objects that cannot be decoded.
+	DecodeFailures []DecodeFailure
+	Revision       Revision
+	// Full means that Changes are all objects of the kind, without names: the answering node no
 	// longer has the history since the requested revision.
-	Whole bool
+	Full bool
 	// Age is how long ago the store returned this revision; zero if the answer comes from the store
 	// itself. FreshAge is the same for the latest answer of the store that could not be stale.
 	Age, FreshAge time.Duration
@@ -58,16 +58,16 @@
 	Wait time.Duration
 	// Stale allows an answer that lags behind the store; it is cheaper.
 	Stale bool
-	// Patience is how long a peer whose data is outdated may wait to catch up before it answers.
-	Patience time.Duration
+	// CatchUpWait is how long a peer whose data is outdated may wait to catch up before it answers.
+	CatchUpWait time.Duration
 }
 
 // ErrHistoryGone means that the store no longer has the history since the revision: the state must
 // be listed again.
 var ErrHistoryGone = errors.New("the history since this revision is gone")
 
-// ErrOlder means that an answer is of an earlier revision than the known one.
-var ErrOlder = errors.New("the answer is older than what is known")
+// ErrOutdated means that an answer is of an earlier revision than the known one.
+var ErrOutdated = errors.New("the answer is older than what is known")
 
 // ErrNewEra means that the store was restored from a backup after the revision: the state must be
 // listed again.
@@ -80,7 +80,7 @@
 const (
 	OutcomeOK          Outcome = "ok"
 	OutcomeHistoryGone Outcome = "history_gone"
-	OutcomeOlder       Outcome = "older"
+	OutcomeOutdated    Outcome = "older"
 	OutcomeNewEra      Outcome = "new_era"
 	OutcomeFailed      Outcome = "failed"
 )
@@ -92,8 +92,8 @@
 		return OutcomeOK
 	case errors.Is(err, ErrHistoryGone):
 		return OutcomeHistoryGone
-	case errors.Is(err, ErrOlder):
-		return OutcomeOlder
+	case errors.Is(err, ErrOutdated):
+		return OutcomeOutdated
 	case errors.Is(err, ErrNewEra):
 		return OutcomeNewEra
 	}
@@ -134,11 +134,11 @@
 	Publish(after Revision, changes Changes[T], fresh bool)
 	// StoreFailed records that the store did not answer.
 	StoreFailed()
-	// Followed reports whether other nodes follow this one.
-	Followed() bool
-	// Reads reports whether this node calls the store even while the store answers, so that it
+	// HasFollowers reports whether other nodes follow this one.
+	HasFollowers() bool
+	// IsReader reports whether this node calls the store even while the store answers, so that it
 	// follows no peer.
-	Reads() bool
+	IsReader() bool
 }
 
 // Sink receives the state that a follower reads.
@@ -162,13 +162,13 @@
 // Differ is a sink that can compute what a list changes, so that followers of this node do not need
 // the full state after this node has listed again.
 type Differ[T any] interface {
-	// Differences returns the changes that turn the state of the sink into the list.
-	Differences(items []T) []Change[T]
+	// Diff returns the changes that turn the state of the sink into the list.
+	Diff(items []T) []Change[T]
 }
 
 // RevisionSink is a sink that is told how current it is.
 type RevisionSink interface {
-	// Reached is called after the changes themselves. The sink then holds all changes up to the
+	// ReachedRevision is called after the changes themselves. The sink then holds all changes up to the
 	// revision, as the store returned them at the given time.
-	Reached(revision Revision, asOf time.Time)
+	ReachedRevision(revision Revision, asOf time.Time)
 }
--- a/internal/catalog/era.go
+++ b/internal/catalog/era.go
@@ -15,12 +15,12 @@
 type Era uint32
 
 const (
-	// OldestCopy is above the age of any backup from which the store may be restored: writes of
+	// MaxBackupAge is above the age of any backup from which the store may be restored: writes of
 	// that time may be lost with a restore.
-	OldestCopy = time.Minute
-	// RewriteTime is how long after a restore the store may lack objects that operators have
+	MaxBackupAge = time.Minute
+	// OperatorRewriteTime is how long after a restore the store may lack objects that operators have
 	// written and still hold objects that they have removed: they repeat both within this time.
-	RewriteTime = 10 * time.Second
+	OperatorRewriteTime = 10 * time.Second
 )
 
 // Revision orders the states of the store by era and, within an era, by the store's own counter,
@@ -31,30 +31,30 @@
 const (
 	// numberBits are the low bits, which hold the store's counter; the bits above hold the era.
 	numberBits = 40
-	// LatestEra and LargestNumber are the largest values that fit into a Revision.
-	LatestEra     = Era(1<<(64-numberBits) - 1)
-	LargestNumber = uint64(1<<numberBits - 1)
+	// MaxEra and LargestNumber are the largest values that fit into a Revision.
+	MaxEra    = Era(1<<(64-numberBits) - 1)
+	MaxNumber = uint64(1<<numberBits - 1)
 )
 
 // NewRevision returns the revision of an era and a value of the store's counter. Values above
 // LatestEra and LargestNumber are clamped.
 func NewRevision(era Era, number uint64) Revision {
-	return Revision(uint64(min(era, LatestEra))<<numberBits | min(number, LargestNumber))
+	return Revision(uint64(min(era, MaxEra))<<numberBits | min(number, MaxNumber))
 }
 
 // Era returns the era of the revision.
 func (r Revision) Era() Era { return Era(r >> numberBits) }
 
 // Number returns the store's counter.
-func (r Revision) Number() uint64 { return uint64(r) & LargestNumber }
+func (r Revision) Number() uint64 { return uint64(r) & MaxNumber }
 
-// Precedes reports whether the revision is of an earlier era than the other. No changes lead from
+// EarlierEraThan reports whether the revision is of an earlier era than the other. No changes lead from
 // one era to another.
-func (r Revision) Precedes(other Revision) bool { return r.Era() < other.Era() }
+func (r Revision) EarlierEraThan(other Revision) bool { return r.Era() < other.Era() }
 
-// Eras tracks the latest era that a node has seen, in answers of the store or of a peer. The zero
+// EraTracker tracks the latest era that a node has seen, in answers of the store or of a peer. The zero
 // value has seen none. It is safe for concurrent use.
-type Eras struct {
+type EraTracker struct {
 	latest atomic.Uint32
 
 	mutex sync.Mutex
@@ -77,7 +77,7 @@
 }
 
 // recordRestoredFeed records that a feed was listed in a later era.
-func (e *Eras) recordRestoredFeed(feed string, before, after Revision, now time.Time) {
+func (e *EraTracker) recordRestoredFeed(feed string, before, after Revision, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.restoredFeeds == nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Describe returns the feeds that were listed since the latest restore, by name.
-func (e *Eras) Describe(now time.Time) []RestoredFeed {
+// RestoredFeeds returns the feeds that were listed since the latest restore, by name.
+func (e *EraTracker) RestoredFeeds(now time.Time) []RestoredFeed {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	described := make([]RestoredFeed, 0, len(e.restoredFeeds))
@@ -102,18 +102,18 @@
 }
 
 // Latest returns the latest era.
-func (e *Eras) Latest() Era { return Era(e.latest.Load()) }
+func (e *EraTracker) Latest() Era { return Era(e.latest.Load()) }
 
 // OnRestore adds a function that is called, before Hear returns, with each era that is later than a
 // known one. It must not block or call methods of Eras.
-func (e *Eras) OnRestore(restored func(Era)) {
+func (e *EraTracker) OnRestore(restored func(Era)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.onRestore = append(e.onRestore, restored)
 }
 
-// Hear records an era seen in an answer.
-func (e *Eras) Hear(era Era) {
+// Observe records an era seen in an answer.
+func (e *EraTracker) Observe(era Era) {
 	if era <= e.Latest() {
 		return
 	}
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -34,7 +34,7 @@
 // well: if the store is unavailable for a moment, the nodes that read it must not all wait for each
 // other.
 func (f *Follower[T]) peerWait() (wait time.Duration, probe bool) {
-	if wait, transient := f.backoff.Suspected(time.Now()); transient && f.relay.Reads() {
+	if wait, transient := f.backoff.TransientFailure(time.Now()); transient && f.relay.IsReader() {
 		return min(wait, relayWait), true
 	}
 	return relayWait, false
@@ -42,21 +42,21 @@
 
 // watchPeer takes changes from one node. It returns false if that node has none to offer.
 func (f *Follower[T]) watchPeer(ctx context.Context, source Watcher[T], wait time.Duration) bool {
-	request := WatchRequest{After: f.revision, Wait: wait, Patience: f.catchUpWait()}
-	ctx, cancel := context.WithTimeout(ctx, max(relayWait, request.Patience)+relayGrace)
+	request := WatchRequest{After: f.revision, Wait: wait, CatchUpWait: f.catchUpWait()}
+	ctx, cancel := context.WithTimeout(ctx, max(relayWait, request.CatchUpWait)+relayGrace)
 	defer cancel()
 	start := time.Now()
-	changes, err := callUntilRecovered(ctx, f.backoff.Woken(), func(ctx context.Context) (Changes[T], error) {
+	changes, err := callUntilRecovered(ctx, f.backoff.Recovered(), func(ctx context.Context) (Changes[T], error) {
 		return source.Watch(ctx, request)
 	})
 	if err != nil {
 		return false
 	}
-	f.eras.Hear(changes.Revision.Era())
+	f.eras.Observe(changes.Revision.Era())
 	if !f.accepts(changes) {
 		return false
 	}
-	if changes.Whole {
+	if changes.Full {
 		f.replace(changes)
 	} else {
 		f.endOutage()
@@ -72,7 +72,7 @@
 	if f.fromEarlierEra() {
 		return restoredDelay
 	}
-	return f.backoff.Patience(time.Now())
+	return f.backoff.CatchUpWait(time.Now())
 }
 
 // accepts reports whether changes from a peer continue the known state.
@@ -80,7 +80,7 @@
 	switch {
 	case changes.Revision.Era() < f.eras.Latest():
 		return false
-	case changes.Whole:
+	case changes.Full:
 		return changes.Revision >= f.revision
 	}
 	return changes.Revision.Era() == f.revision.Era()
@@ -92,7 +92,7 @@
 	for index, change := range full.Changes {
 		items[index] = change.Value
 	}
-	f.reportUnreadable(full.Flaws)
+	f.reportUnreadable(full.DecodeFailures)
 	f.setState(items, full.Revision)
 	f.recordProgress(time.Now().Add(-full.Age))
 	klog.InfoS("state taken over from another node", "feed", f.name, "objects", len(items), "revision", f.revision.Number())
@@ -100,5 +100,5 @@
 
 // hasFollowers reports whether other nodes follow this one.
 func (f *Follower[T]) hasFollowers() bool {
-	return f.relay != nil && f.relay.Followed()
+	return f.relay != nil && f.relay.HasFollowers()
 }
--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -50,7 +50,7 @@
 	// StoreCalled is called at the end of each call for the feed.
 	StoreCalled(feed string, err error)
 	// ObjectUnreadable is called for each object of the feed that cannot be decoded.
-	ObjectUnreadable(feed string, flaw Flaw)
+	ObjectUnreadable(feed string, flaw DecodeFailure)
 }
 
 // Follower keeps a sink current from a feed. It lists once, then watches. After a failed call it
@@ -75,7 +75,7 @@
 	// relay may be nil: then only the store is called.
 	relay Relay[T]
 	// handover may be nil: then only the store is listed.
-	handover *Handed[T]
+	handover *Handover[T]
 	// batchDelay returns the delay after a number of changes, in which further changes accumulate;
 	// nil for none.
 	batchDelay func(changes int) time.Duration
@@ -84,29 +84,29 @@
 	// backoff spaces the calls to a failing store.
 	backoff *Backoff
 	// eras tracks the latest era, to reject answers of earlier ones.
-	eras *Eras
+	eras *EraTracker
 }
 
 // NewFollower returns a follower; the name is used in logs.
 func NewFollower[T any](name string, feed Feed[T], sink Sink[T], observer Observer) *Follower[T] {
-	return &Follower[T]{name: name, feed: feed, sink: sink, observer: observer, backoff: &Backoff{}, eras: &Eras{}}
+	return &Follower[T]{name: name, feed: feed, sink: sink, observer: observer, backoff: &Backoff{}, eras: &EraTracker{}}
 }
 
-// Share sets the relay by which the nodes reduce the load on the store.
-func (f *Follower[T]) Share(relay Relay[T]) { f.relay = relay }
+// UseRelay sets the relay by which the nodes reduce the load on the store.
+func (f *Follower[T]) UseRelay(relay Relay[T]) { f.relay = relay }
 
-// Bootstrap lets a follower that has just started take a long list from another node.
-func (f *Follower[T]) Bootstrap(handover *Handed[T]) { f.handover = handover }
+// UseHandover lets a follower that has just started take a long list from another node.
+func (f *Follower[T]) UseHandover(handover *Handover[T]) { f.handover = handover }
 
-// ShareBackoff lets the followers of a node's feeds space their calls together.
-func (f *Follower[T]) ShareBackoff(backoff *Backoff) { f.backoff = backoff }
+// UseBackoff lets the followers of a node's feeds space their calls together.
+func (f *Follower[T]) UseBackoff(backoff *Backoff) { f.backoff = backoff }
 
-// ShareEras lets the followers of a node's feeds track the same era.
-func (f *Follower[T]) ShareEras(eras *Eras) { f.eras = eras }
+// UseEraTracker lets the followers of a node's feeds track the same era.
+func (f *Follower[T]) UseEraTracker(eras *EraTracker) { f.eras = eras }
 
-// Settle sets the delay after a number of changes, in which further changes accumulate: one call
+// SetBatchDelay sets the delay after a number of changes, in which further changes accumulate: one call
 // for all of them costs as much as one for each. The delay ends early once ended is closed.
-func (f *Follower[T]) Settle(delay func(changes int) time.Duration, ended <-chan struct{}) {
+func (f *Follower[T]) SetBatchDelay(delay func(changes int) time.Duration, ended <-chan struct{}) {
 	f.batchDelay, f.batchDelayEnd = delay, ended
 }
 
@@ -123,7 +123,7 @@
 	if f.revision > 0 && !f.mustReadRestored() && f.followPeer(ctx) {
 		return
 	}
-	recovered := f.backoff.Woken()
+	recovered := f.backoff.Recovered()
 	if f.defersList() {
 		sleepUntil(ctx, maxSleep, recovered)
 		return
@@ -151,7 +151,7 @@
 
 // mustReadRestored reports whether this node must read a restored store before it follows others.
 func (f *Follower[T]) mustReadRestored() bool {
-	return f.fromEarlierEra() && !f.backoff.Failing() && (f.relay == nil || f.relay.Reads())
+	return f.fromEarlierEra() && !f.backoff.Failing() && (f.relay == nil || f.relay.IsReader())
 }
 
 // defersList reports whether a list that is due is left to the nodes that this one follows: if the
@@ -221,14 +221,14 @@
 }
 
 // reportUnreadable reports objects that cannot be decoded to the observer.
-func (f *Follower[T]) reportUnreadable(flaws []Flaw) {
+func (f *Follower[T]) reportUnreadable(flaws []DecodeFailure) {
 	for _, flaw := range flaws {
 		f.observer.ObjectUnreadable(f.name, flaw)
 	}
 }
 
 func (f *Follower[T]) apply(changes Changes[T]) {
-	f.reportUnreadable(changes.Flaws)
+	f.reportUnreadable(changes.DecodeFailures)
 	for _, change := range changes.Changes {
 		f.sink.Apply(change)
 	}
@@ -239,9 +239,9 @@
 // recordProgress reports how current the sink is, to the backoff and to a sink that implements
 // RevisionSink.
 func (f *Follower[T]) recordProgress(asOf time.Time) {
-	f.backoff.Heard(asOf, time.Now())
+	f.backoff.DataReceived(asOf, time.Now())
 	if sink, ok := f.sink.(RevisionSink); ok {
-		sink.Reached(f.revision, asOf)
+		sink.ReachedRevision(f.revision, asOf)
 	}
 }
 
@@ -282,7 +282,7 @@
 func (f *Follower[T]) callWatch(ctx context.Context, request WatchRequest) (Changes[T], error) {
 	ctx, cancel := context.WithTimeout(ctx, request.Wait+watchGrace)
 	defer cancel()
-	return callUntilRecovered(ctx, f.backoff.Woken(), func(ctx context.Context) (Changes[T], error) {
+	return callUntilRecovered(ctx, f.backoff.Recovered(), func(ctx context.Context) (Changes[T], error) {
 		return f.feed.Watch(ctx, request)
 	})
 }
--- a/internal/catalog/follower_test.go
+++ b/internal/catalog/follower_test.go
@@ -209,7 +209,7 @@
 // noopObserver ignores all calls.
 type noopObserver struct{}
 
-func (noopObserver) ObjectUnreadable(string, Flaw) {}
+func (noopObserver) ObjectUnreadable(string, DecodeFailure) {}
 
 func (noopObserver) StoreCalled(string, error) {}
 
--- a/internal/catalog/handover.go
+++ b/internal/catalog/handover.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Handed passes the full state of a kind from a peer to a follower that has just started. The zero
+// Handover passes the full state of a kind from a peer to a follower that has just started. The zero
 // value holds no state. It is safe for concurrent use.
-type Handed[T any] struct {
+type Handover[T any] struct {
 	mutex sync.Mutex
 	// decided is closed once there is a state, or none is to be expected.
 	decided chan struct{}
@@ -18,7 +18,7 @@
 }
 
 // Put provides the full state, as the store returned it at the given time.
-func (h *Handed[T]) Put(page Page[T], asOf time.Time) {
+func (h *Handover[T]) Put(page Page[T], asOf time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.page, h.asOf, h.found = page, asOf, true
@@ -26,14 +26,14 @@
 }
 
 // Abandon ends the wait for a state without one: no other node answers.
-func (h *Handed[T]) Abandon() {
+func (h *Handover[T]) Abandon() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.decide()
 }
 
 // decide ends the current wait. The caller holds the mutex.
-func (h *Handed[T]) decide() {
+func (h *Handover[T]) decide() {
 	decided := h.channel()
 	select {
 	case <-decided:
@@ -44,7 +44,7 @@
 
 // Take waits for the state, returns it and removes it. It returns false if none is to be expected
 // or ctx ends first.
-func (h *Handed[T]) Take(ctx context.Context) (page Page[T], asOf time.Time, found bool) {
+func (h *Handover[T]) Take(ctx context.Context) (page Page[T], asOf time.Time, found bool) {
 	h.mutex.Lock()
 	decided := h.channel()
 	h.mutex.Unlock()
@@ -61,7 +61,7 @@
 }
 
 // channel returns the channel of the current wait. The caller holds the mutex.
-func (h *Handed[T]) channel() chan struct{} {
+func (h *Handover[T]) channel() chan struct{} {
 	if h.decided == nil {
 		h.decided = make(chan struct{})
 	}
--- a/internal/catalog/handover_test.go
+++ b/internal/catalog/handover_test.go
@@ -32,10 +32,10 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		sinks, handovers := make([]memorySink, nodes), make([]Handed[string], nodes)
+		sinks, handovers := make([]memorySink, nodes), make([]Handover[string], nodes)
 		for index := range nodes {
 			follower := NewFollower("test", feed, &sinks[index], noopObserver{})
-			follower.Bootstrap(&handovers[index])
+			follower.UseHandover(&handovers[index])
 			go follower.Run(ctx)
 		}
 		time.Sleep(time.Second)
@@ -58,14 +58,14 @@
 	const pages = 12
 	for _, test := range []struct {
 		name   string
-		change func(*Handed[string])
+		change func(*Handover[string])
 		within time.Duration
 	}{
-		{"nobody answers", func(handover *Handed[string]) { handover.Abandon() }, time.Second},
-		{"what is handed over is old", func(handover *Handed[string]) {
+		{"nobody answers", func(handover *Handover[string]) { handover.Abandon() }, time.Second},
+		{"what is handed over is old", func(handover *Handover[string]) {
 			handover.Put(Page[string]{Revision: 1, Items: []string{"old"}}, time.Now().Add(-maxHandoverAge-time.Second))
 		}, time.Second},
-		{"others are busy", func(*Handed[string]) {}, handoverWait + handoverJitter + time.Second},
+		{"others are busy", func(*Handover[string]) {}, handoverWait + handoverJitter + time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -74,9 +74,9 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				var sink memorySink
-				var handover Handed[string]
+				var handover Handover[string]
 				follower := NewFollower("test", feed, &sink, noopObserver{})
-				follower.Bootstrap(&handover)
+				follower.UseHandover(&handover)
 				test.change(&handover)
 				go follower.Run(ctx)
 				time.Sleep(test.within)
@@ -95,10 +95,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var sink memorySink
-		var handover Handed[string]
+		var handover Handover[string]
 		handover.Abandon()
 		follower := NewFollower("test", feed, &sink, noopObserver{})
-		follower.Bootstrap(&handover)
+		follower.UseHandover(&handover)
 		go follower.Run(ctx)
 		time.Sleep(time.Second)
 		is.Equal(feed.listed(), 2*maxOwnPages)
--- a/internal/catalog/list.go
+++ b/internal/catalog/list.go
@@ -36,10 +36,10 @@
 		return err
 	}
 	if read.Revision < f.revision || read.Revision.Era() < f.eras.Latest() {
-		return fmt.Errorf("%w: revision %d of era %d, known %d of era %d", ErrOlder,
+		return fmt.Errorf("%w: revision %d of era %d, known %d of era %d", ErrOutdated,
 			read.Revision.Number(), read.Revision.Era(), f.revision.Number(), f.revision.Era())
 	}
-	f.reportUnreadable(read.Flaws)
+	f.reportUnreadable(read.DecodeFailures)
 	publish := f.diffPublisher(read)
 	f.setState(read.Items, read.Revision)
 	publish()
@@ -52,7 +52,7 @@
 // setState passes a full state to the sink.
 func (f *Follower[T]) setState(items []T, revision Revision) {
 	sink, ok := f.sink.(RestoredSink[T])
-	restored := f.revision > 0 && f.revision.Precedes(revision)
+	restored := f.revision > 0 && f.revision.EarlierEraThan(revision)
 	if restored {
 		klog.InfoS("state of a restored store", "feed", f.name, "objects", len(items), "era", revision.Era(), "revision", revision.Number(),
 			"era_before", f.revision.Era(), "revision_before", f.revision.Number())
@@ -70,7 +70,7 @@
 // sink holds the list. After an outage it publishes nothing: missing objects may only have expired,
 // which nodes that take the full state detect themselves.
 func (f *Follower[T]) diffPublisher(read Page[T]) (publish func()) {
-	if f.relay != nil && f.revision > 0 && f.revision.Precedes(read.Revision) {
+	if f.relay != nil && f.revision > 0 && f.revision.EarlierEraThan(read.Revision) {
 		// No changes lead from one era to another: followers take the full state.
 		return func() { f.relay.Publish(read.Revision, Changes[T]{Revision: read.Revision}, true) }
 	}
@@ -78,7 +78,7 @@
 	if !ok || f.relay == nil || f.revision == 0 || f.outage {
 		return func() {}
 	}
-	changes := Changes[T]{Changes: differ.Differences(read.Items), Revision: read.Revision}
+	changes := Changes[T]{Changes: differ.Diff(read.Items), Revision: read.Revision}
 	after := f.revision
 	return func() { f.relay.Publish(after, changes, true) }
 }
@@ -101,7 +101,7 @@
 			err = ErrNewEra
 		}
 		all.Items = append(all.Items, page.Items...)
-		all.Flaws = append(all.Flaws, page.Flaws...)
+		all.DecodeFailures = append(all.DecodeFailures, page.DecodeFailures...)
 		all.Next = page.Next
 	}
 	return all, asOf, err
@@ -136,7 +136,7 @@
 func (f *Follower[T]) readPage(ctx context.Context, after string) (Page[T], error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	return callUntilRecovered(ctx, f.backoff.Woken(), func(ctx context.Context) (Page[T], error) {
+	return callUntilRecovered(ctx, f.backoff.Recovered(), func(ctx context.Context) (Page[T], error) {
 		return f.lister()(ctx, after)
 	})
 }
--- a/internal/catalog/log.go
+++ b/internal/catalog/log.go
@@ -12,10 +12,10 @@
 	minRetention = 5 * time.Second
 )
 
-// Log keeps the latest changes of a kind of objects, so that other nodes can follow them without
+// ChangeLog keeps the latest changes of a kind of objects, so that other nodes can follow them without
 // calling the store. The zero value is an empty log. It does no I/O, reads no clock and is not safe
 // for concurrent use.
-type Log[T any] struct {
+type ChangeLog[T any] struct {
 	batches []batch[T]
 	// base is the revision before the first batch, last the one after the latest batch.
 	base, last Revision
@@ -29,16 +29,16 @@
 }
 
 // Reset drops all changes after the state was listed at the revision.
-func (l *Log[T]) Reset(revision Revision) {
-	*l = Log[T]{base: revision, last: revision}
+func (l *ChangeLog[T]) Reset(revision Revision) {
+	*l = ChangeLog[T]{base: revision, last: revision}
 }
 
 // Last returns the latest revision.
-func (l *Log[T]) Last() Revision { return l.last }
+func (l *ChangeLog[T]) Last() Revision { return l.last }
 
 // Append adds the changes that lead from one revision to another. If they do not continue from the
 // latest revision, all earlier changes are dropped.
-func (l *Log[T]) Append(after Revision, changes Changes[T], now time.Time) {
+func (l *ChangeLog[T]) Append(after Revision, changes Changes[T], now time.Time) {
 	if after != l.last {
 		l.Reset(after)
 	}
@@ -54,7 +54,7 @@
 }
 
 // dropOldest drops the oldest batch.
-func (l *Log[T]) dropOldest() {
+func (l *ChangeLog[T]) dropOldest() {
 	oldest := l.batches[0]
 	l.base = oldest.changes.Revision
 	l.size -= len(oldest.changes.Changes)
@@ -63,7 +63,7 @@
 
 // Since returns the changes after a revision. All changes of the batch that contains the revision
 // are returned again. It returns ErrHistoryGone for a revision before the first one kept.
-func (l *Log[T]) Since(after Revision) (Changes[T], error) {
+func (l *ChangeLog[T]) Since(after Revision) (Changes[T], error) {
 	found := Changes[T]{Revision: l.last}
 	if after < l.base {
 		return found, ErrHistoryGone
--- a/internal/catalog/log_test.go
+++ b/internal/catalog/log_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestLogSince(t *testing.T) {
-	var log Log[string]
+	var log ChangeLog[string]
 	log.Append(10, changesTo(12, "a", "b"), epoch)
 	log.Append(12, changesTo(15, "c"), epoch)
 	log.Append(15, changesTo(20), epoch) // no changes up to 20
@@ -56,7 +56,7 @@
 
 func TestLogIsResetByGap(t *testing.T) {
 	is := is.New(t)
-	var log Log[string]
+	var log ChangeLog[string]
 	log.Append(10, changesTo(12, "a"), epoch)
 	log.Append(14, changesTo(16, "c"), epoch) // the changes between 12 and 14 are not known
 	_, err := log.Since(12)
@@ -68,7 +68,7 @@
 
 func TestLogIsBounded(t *testing.T) {
 	is := is.New(t)
-	var log Log[string]
+	var log ChangeLog[string]
 	for number := range 10 * maxChanges {
 		at := epoch.Add(time.Duration(number) * minRetention)
 		log.Append(Revision(number), changesTo(Revision(number+1), fmt.Sprint(number)), at)
@@ -86,7 +86,7 @@
 // them.
 func TestLogKeepsBurst(t *testing.T) {
 	is := is.New(t)
-	var log Log[string]
+	var log ChangeLog[string]
 	const bursts, each = 5, 10 * maxChanges
 	for number := range bursts {
 		names := make([]string, each)
--- a/internal/catalog/recovery_test.go
+++ b/internal/catalog/recovery_test.go
@@ -19,7 +19,7 @@
 		feed, sink := newMemoryFeed(), &memorySink{}
 		feed.set("main", "one")
 		follower := NewFollower("test", feed, sink, noopObserver{})
-		follower.ShareBackoff(backoff)
+		follower.UseBackoff(backoff)
 		go follower.Run(ctx)
 		feeds, sinks = append(feeds, feed), append(sinks, sink)
 	}
@@ -46,7 +46,7 @@
 			feed.discardHistory()
 			feed.configure(func() { feed.fail = false })
 		}
-		backoff.Wake(time.Now())
+		backoff.RetryNow(time.Now())
 		time.Sleep(abandonGrace)
 		for _, sink := range sinks {
 			is.Equal(sink.get(), "two")
@@ -126,19 +126,19 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var backoff Backoff
-	is.True(!backoff.Lost(now))
-	is.True(!backoff.InTouch(now))
-	backoff.Heard(now, now)
-	is.True(backoff.InTouch(now.Add(maxContactAge / 2)))
-	is.True(!backoff.InTouch(now.Add(maxContactAge)))
-	is.True(!backoff.Lost(now.Add(time.Hour))) // no call has failed
+	is.True(!backoff.Disconnected(now))
+	is.True(!backoff.UpToDate(now))
+	backoff.DataReceived(now, now)
+	is.True(backoff.UpToDate(now.Add(maxContactAge / 2)))
+	is.True(!backoff.UpToDate(now.Add(maxContactAge)))
+	is.True(!backoff.Disconnected(now.Add(time.Hour))) // no call has failed
 	backoff.Failed(now)
-	is.True(!backoff.Lost(now.Add(disconnectedAfter / 2)))
-	is.True(backoff.Lost(now.Add(disconnectedAfter)))
-	backoff.Heard(now.Add(disconnectedAfter/2), now.Add(disconnectedAfter/2)) // from another node
-	is.True(!backoff.Lost(now.Add(disconnectedAfter)))
+	is.True(!backoff.Disconnected(now.Add(disconnectedAfter / 2)))
+	is.True(backoff.Disconnected(now.Add(disconnectedAfter)))
+	backoff.DataReceived(now.Add(disconnectedAfter/2), now.Add(disconnectedAfter/2)) // from another node
+	is.True(!backoff.Disconnected(now.Add(disconnectedAfter)))
 	backoff.Succeeded(now.Add(disconnectedAfter))
-	is.True(!backoff.Lost(now.Add(time.Hour)))
+	is.True(!backoff.Disconnected(now.Add(time.Hour)))
 }
 
 // After a sign that the store has recovered one call is made immediately. If it fails, the delays
@@ -148,14 +148,14 @@
 	now := time.Unix(100, 0)
 	var backoff Backoff
 	backoff.SetCallers(manyNodes)
-	backoff.Wake(now)
+	backoff.RetryNow(now)
 	is.True(!backoff.Failing()) // no call has failed: nothing to end
 	for range 20 {
 		backoff.Failed(now)
 	}
 	is.True(backoff.Reserve(now) >= maxSharedBackoff/2)
-	recovered := backoff.Woken()
-	backoff.Wake(now)
+	recovered := backoff.Recovered()
+	backoff.RetryNow(now)
 	<-recovered
 	is.Equal(backoff.Reserve(now), time.Duration(0))
 	wait := backoff.Reserve(now)
@@ -172,11 +172,11 @@
 	for range 20 {
 		backoff.Failed(now)
 	}
-	recovered := backoff.Woken()
-	backoff.Heard(now, now.Add(disconnectedAfter/2))
+	recovered := backoff.Recovered()
+	backoff.DataReceived(now, now.Add(disconnectedAfter/2))
 	is.True(backoff.Reserve(now.Add(disconnectedAfter/2)) > 0) // not disconnected yet
 	now = now.Add(2 * disconnectedAfter)
-	backoff.Heard(now, now)
+	backoff.DataReceived(now, now)
 	<-recovered
 	is.Equal(backoff.Reserve(now), time.Duration(0))
 }
@@ -191,7 +191,7 @@
 
 func (h *fullStateRelay) Watch(ctx context.Context, request WatchRequest) (Changes[string], error) {
 	if request.After != h.revision {
-		return Changes[string]{Changes: []Change[string]{{Value: "handed over"}, {Value: "b"}}, Revision: h.revision, Whole: true}, nil
+		return Changes[string]{Changes: []Change[string]{{Value: "handed over"}, {Value: "b"}}, Revision: h.revision, Full: true}, nil
 	}
 	sleep(ctx, request.Wait)
 	return Changes[string]{Revision: request.After}, ctx.Err()
@@ -217,7 +217,7 @@
 		feed, sink := newMemoryFeed(), &memorySink{}
 		feed.set("main", "one")
 		follower := NewFollower("test", feed, sink, noopObserver{})
-		follower.Share(&fullStateRelay{revision: 50})
+		follower.UseRelay(&fullStateRelay{revision: 50})
 		runFor(t, follower, time.Minute, func() {
 			feed.configure(func() { is.Equal(feed.lists+feed.fresh+feed.stale, 1) })
 		})
@@ -237,7 +237,7 @@
 			feed.set("main", "one")
 		}
 		follower := NewFollower("test", feed, sink, noopObserver{})
-		follower.Share(&fullStateRelay{revision: 50})
+		follower.UseRelay(&fullStateRelay{revision: 50})
 		runFor(t, follower, 10*time.Second, func() {})
 		is.Equal(sink.get(), "one")
 		is.Equal(sink.replaced, 1)
--- a/internal/catalog/relay_test.go
+++ b/internal/catalog/relay_test.go
@@ -40,9 +40,9 @@
 	m.failed++
 }
 
-func (m *memoryRelay) Reads() bool { return false }
+func (m *memoryRelay) IsReader() bool { return false }
 
-func (m *memoryRelay) Followed() bool {
+func (m *memoryRelay) HasFollowers() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.followed
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		follower := NewFollower("test", store, sink, noopObserver{})
-		follower.Share(relay)
+		follower.UseRelay(relay)
 		go follower.Run(ctx)
 		synctest.Wait()
 		test(is.New(t), store, sink)
@@ -103,7 +103,7 @@
 	successes int
 }
 
-func (*countingObserver) ObjectUnreadable(string, Flaw) {}
+func (*countingObserver) ObjectUnreadable(string, DecodeFailure) {}
 
 func (c *countingObserver) StoreCalled(_ string, err error) {
 	c.mutex.Lock()
@@ -122,7 +122,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		follower := NewFollower("test", store, &memorySink{}, calls)
-		follower.Share(&memoryRelay{source: other})
+		follower.UseRelay(&memoryRelay{source: other})
 		go follower.Run(ctx)
 		time.Sleep(time.Minute)
 		calls.mutex.Lock()
@@ -169,7 +169,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		follower := NewFollower("test", feed, sink, noopObserver{})
-		follower.Settle(func(int) time.Duration { return 250 * time.Millisecond }, nil)
+		follower.SetBatchDelay(func(int) time.Duration { return 250 * time.Millisecond }, nil)
 		go follower.Run(ctx)
 		synctest.Wait()
 		for range 100 { // a change every 10 ms
@@ -186,7 +186,7 @@
 // diffSink returns one change for each object that the list has more.
 type diffSink struct{ memorySink }
 
-func (d *diffSink) Differences(items []string) []Change[string] {
+func (d *diffSink) Diff(items []string) []Change[string] {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var changes []Change[string]
@@ -206,7 +206,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		follower := NewFollower("test", store, &diffSink{}, noopObserver{})
-		follower.Share(relay)
+		follower.UseRelay(relay)
 		go follower.Run(ctx)
 		time.Sleep(500 * time.Millisecond)
 		relay.mutex.Lock()
@@ -247,11 +247,11 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				sink := &memorySink{}
-				var handover Handed[string]
+				var handover Handover[string]
 				handover.Abandon()
 				follower := NewFollower("test", store, sink, noopObserver{})
-				follower.Bootstrap(&handover)
-				follower.Share(relay)
+				follower.UseHandover(&handover)
+				follower.UseRelay(relay)
 				go follower.Run(ctx)
 				time.Sleep(time.Second)
 				is.Equal(store.listed(), 1)
--- a/internal/catalog/unreadable.go
+++ b/internal/catalog/unreadable.go
@@ -24,9 +24,9 @@
 	SecondsAgo float64
 }
 
-// Unreadable collects the objects that could not be decoded. The zero value is empty. It is safe
+// UnreadableObjects collects the objects that could not be decoded. The zero value is empty. It is safe
 // for concurrent use.
-type Unreadable struct {
+type UnreadableObjects struct {
 	mutex   sync.Mutex
 	objects map[unreadableKey]*occurrences
 }
@@ -39,9 +39,9 @@
 	latest time.Time
 }
 
-// Note records an object. It reports whether the object or its cause is new, so that it should be
+// Record records an object. It reports whether the object or its cause is new, so that it should be
 // logged.
-func (u *Unreadable) Note(feed string, flaw Flaw, now time.Time) bool {
+func (u *UnreadableObjects) Record(feed string, flaw DecodeFailure, now time.Time) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	cause := flaw.Cause[:min(len(flaw.Cause), maxCauseBytes)]
@@ -63,8 +63,8 @@
 	return isNew
 }
 
-// Describe returns the objects by feed and name.
-func (u *Unreadable) Describe(now time.Time) []UnreadableObject {
+// List returns the objects by feed and name.
+func (u *UnreadableObjects) List(now time.Time) []UnreadableObject {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	described := make([]UnreadableObject, 0, len(u.objects))
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // Candidates returns the two members that may take the lease besides its
@@ -14,11 +14,11 @@
 // if there is one. Rank is a hash of the ID, so that control does not pile up
 // on one machine, and is the same on every node. When regions lose each other,
 // each part names its own two.
-func Candidates(members []membership.Member) []string {
-	ranked := slices.DeleteFunc(slices.Clone(members), func(member membership.Member) bool {
-		return member.State != membership.Alive
+func Candidates(members []swim.Member) []string {
+	ranked := slices.DeleteFunc(slices.Clone(members), func(member swim.Member) bool {
+		return member.State != swim.Alive
 	})
-	slices.SortFunc(ranked, func(a, b membership.Member) int {
+	slices.SortFunc(ranked, func(a, b swim.Member) int {
 		return cmp.Or(cmp.Compare(rank(b), rank(a)), cmp.Compare(a.ID, b.ID))
 	})
 	if len(ranked) == 0 {
@@ -28,10 +28,10 @@
 	if len(others) == 0 {
 		return []string{first.ID}
 	}
-	second := slices.IndexFunc(others, func(member membership.Member) bool { return member.Zone != first.Zone })
+	second := slices.IndexFunc(others, func(member swim.Member) bool { return member.Zone != first.Zone })
 	return []string{first.ID, others[max(second, 0)].ID}
 }
 
-func rank(member membership.Member) uint64 {
+func rank(member swim.Member) uint64 {
 	return xxhash.Sum64String(member.ID)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,7 +60,7 @@
 // New returns a Controller that does nothing before Run.
 func New(options Options) *Controller {
 	holder := options.Name + "/" + rand.Text()
-	core := lease.New(lease.Options{Self: holder, Term: options.Term})
+	core := lease.New(lease.Options{Self: holder, MinTerm: options.Term})
 	controller := &Controller{options: options, metrics: newMetrics(options.Registry)}
 	controller.elector = newElector(core, options.Client, options.Candidate)
 	return controller
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -12,8 +12,8 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 	"github.com/driftstage/driftstage/internal/config"
 	"github.com/driftstage/driftstage/internal/controller"
-	"github.com/driftstage/driftstage/internal/membership"
 	standin "github.com/driftstage/driftstage/internal/standin/platform"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 func TestAcceptAndRefuse(t *testing.T) {
@@ -358,9 +358,9 @@
 	const size = 40
 	is := is.New(t)
 	cluster := newCluster(t)
-	var members []membership.Member
+	var members []swim.Member
 	for index := range size {
-		members = append(members, membership.Member{ID: fmt.Sprintf("node-%d", index), Zone: fmt.Sprint("zone-", index%3)})
+		members = append(members, swim.Member{ID: fmt.Sprintf("node-%d", index), Zone: fmt.Sprint("zone-", index%3)})
 	}
 	candidates := controller.Candidates(members)
 	is.Equal(len(candidates), 2)
@@ -386,9 +386,9 @@
 
 func TestCandidatesAreOfTwoZones(t *testing.T) {
 	is := is.New(t)
-	members := []membership.Member{
+	members := []swim.Member{
 		{ID: "a", Zone: "x"}, {ID: "b", Zone: "x"}, {ID: "c", Zone: "y"},
-		{ID: "d", Zone: "z", State: membership.Leaving}, {ID: "e", Zone: "z", State: membership.Suspect},
+		{ID: "d", Zone: "z", State: swim.Leaving}, {ID: "e", Zone: "z", State: swim.Suspect},
 	}
 	chosen := controller.Candidates(members)
 	is.Equal(len(chosen), 2)
--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -51,9 +51,9 @@
 		reason:    send.Reason,
 		server:    send.Choice.Server.ID,
 		zone:      send.Choice.Server.Zone,
-		inFlight:  send.Choice.UnderWay,
+		inFlight:  send.Choice.InFlight,
 		expected:  send.Choice.Expected,
-		lateAfter: send.Choice.LateAfter,
+		lateAfter: send.Choice.HedgeDelay,
 		budget:    send.Choice.BudgetLeft,
 		sentAt:    time.Now(),
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -46,8 +46,8 @@
 	Message *upstream.Request
 	// Version is the version of the configuration by which the request was accepted.
 	Version uint64
-	// Allowed is how long the caller waits; zero if unspecified.
-	Allowed time.Duration
+	// CallerTimeout is how long the caller waits; zero if unspecified.
+	CallerTimeout time.Duration
 	// Arrived is when the request was read.
 	Arrived time.Time
 	// Identity identifies repetitions of the request for the quarantine; nil if that is
@@ -61,8 +61,8 @@
 	client    *upstream.Client
 	recorder  *trace.Recorder
 	observer  Observer
-	load      Load
-	keeper    *quarantine.Keeper
+	load      LoadMeter
+	keeper    *quarantine.Manager
 	// suspended returns the total time for which the machine has been suspended.
 	suspended func() time.Duration
 
@@ -71,19 +71,19 @@
 	turns     map[string]uint64
 }
 
-// Load measures how busy this node is.
-type Load interface {
+// LoadMeter measures how busy this node is.
+type LoadMeter interface {
 	// Delay returns the scheduling delay: how long a runnable goroutine waits.
 	Delay() time.Duration
 }
 
-// Quarantine sets the keeper that learns during which requests servers terminate. It has
+// SetQuarantine sets the keeper that learns during which requests servers terminate. It has
 // to be called before the dispatcher is used.
-func (d *Dispatcher) Quarantine(keeper *quarantine.Keeper) { d.keeper = keeper }
+func (d *Dispatcher) SetQuarantine(keeper *quarantine.Manager) { d.keeper = keeper }
 
 // New returns a dispatcher over the directory and the client. A nil recorder
 // writes no traces.
-func New(directory *endpoints.Directory, client *upstream.Client, recorder *trace.Recorder, observer Observer, load Load) *Dispatcher {
+func New(directory *endpoints.Directory, client *upstream.Client, recorder *trace.Recorder, observer Observer, load LoadMeter) *Dispatcher {
 	return &Dispatcher{
 		load:      load,
 		suspended: boottime.Suspended,
@@ -98,10 +98,10 @@
 
 // Causes for which a request is abandoned before it has an answer.
 var (
-	// ErrCallerGone means that the caller has hung up.
-	ErrCallerGone = errors.New("caller_hung_up")
-	// ErrStopping means that the node is stopping and its stop timeout has passed.
-	ErrStopping = errors.New("node_stopped")
+	// ErrCallerHungUp means that the caller has hung up.
+	ErrCallerHungUp = errors.New("caller_hung_up")
+	// ErrNodeStopped means that the node is stopping and its stop timeout has passed.
+	ErrNodeStopped = errors.New("node_stopped")
 )
 
 // Do carries out the request. It returns at the deadline or soon after ctx is done
@@ -137,7 +137,7 @@
 // overloaded decides whether this node refuses a request because it would be late
 // for lack of processor time here.
 func (d *Dispatcher) overloaded(request Request) bool {
-	return rand.Float64() < overload.Refused(d.load.Delay(), isClientRetry(request))
+	return rand.Float64() < overload.RefusalRatio(d.load.Delay(), isClientRetry(request))
 }
 
 // plan returns the limits and deadlines of a request.
@@ -151,15 +151,15 @@
 		LeastShards:     1,
 		Target:          target(route),
 		Deadline:        deadline(request),
-		Patience:        holdTimeFor(request),
-		Late:            late(request),
-		Spread:          rand.Float64(),
+		HoldUntil:       holdTimeFor(request),
+		ArrivedLate:     late(request),
+		Jitter:          rand.Float64(),
 	}
-	plan.Yield = time.Duration(yieldShare * float64(plan.Deadline))
+	plan.YieldUntil = time.Duration(yieldShare * float64(plan.Deadline))
 	if plan.Gather {
 		plan.LeastShards = route.LeastShards()
 	} else {
-		plan.Services = []string{route.Choose(d.turn(route.Name))}
+		plan.Services = []string{route.PickService(d.turn(route.Name))}
 	}
 	return plan
 }
@@ -173,8 +173,8 @@
 // deadline returns the time by which the caller or the route wants an answer, less a margin.
 func deadline(request Request) time.Duration {
 	allowed := request.Route.Timeout
-	if request.Allowed > 0 {
-		allowed = min(allowed, request.Allowed)
+	if request.CallerTimeout > 0 {
+		allowed = min(allowed, request.CallerTimeout)
 	}
 	return max(allowed-deadlineMargin, allowed/2)
 }
@@ -195,7 +195,7 @@
 // late reports whether the route's target had passed for the caller before the request
 // arrived, judging by its remaining timeout.
 func late(request Request) bool {
-	return request.Allowed > 0 && request.Route.Timeout-request.Allowed > request.Route.Target
+	return request.CallerTimeout > 0 && request.Route.Timeout-request.CallerTimeout > request.Route.Target
 }
 
 // retryHoldShare replaces holdShare for callers that retry: they are unlikely to retry
@@ -205,15 +205,15 @@
 // holdTimeFor returns how long the request is held for servers that may be missing.
 func holdTimeFor(request Request) time.Duration {
 	if isClientRetry(request) {
-		return time.Duration(retryHoldShare * float64(request.Allowed))
+		return time.Duration(retryHoldShare * float64(request.CallerTimeout))
 	}
-	return Patience(request.Allowed)
+	return HoldTime(request.CallerTimeout)
 }
 
-// Patience returns how long a request is held, before anything is sent for it, for
+// HoldTime returns how long a request is held, before anything is sent for it, for
 // data that the node lacks: the configuration, or servers that may be missing from
 // the list.
-func Patience(allowed time.Duration) time.Duration {
+func HoldTime(allowed time.Duration) time.Duration {
 	if allowed <= 0 {
 		allowed = defaultCallerTimeout
 	}
@@ -227,7 +227,7 @@
 // isClientRetry reports whether the request is probably a caller's retry after a refusal: its
 // timeout is shorter than the route's.
 func isClientRetry(request Request) bool {
-	return request.Allowed > 0 && request.Allowed < time.Duration(retryTimeoutShare*float64(request.Route.Timeout))
+	return request.CallerTimeout > 0 && request.CallerTimeout < time.Duration(retryTimeoutShare*float64(request.Route.Timeout))
 }
 
 // turn returns the number of the route's next request.
--- a/internal/dispatch/observer.go
+++ b/internal/dispatch/observer.go
@@ -23,20 +23,20 @@
 	SendDeferred(cause endpoints.Availability)
 }
 
-// NoObserver ignores all events.
-type NoObserver struct{}
+// NopObserver ignores all events.
+type NopObserver struct{}
 
 // RequestFinished implements Observer.
-func (NoObserver) RequestFinished(bool, *exchange.Outcome, time.Duration) {}
+func (NopObserver) RequestFinished(bool, *exchange.Outcome, time.Duration) {}
 
 // RequestAbandoned implements Observer.
-func (NoObserver) RequestAbandoned(bool) {}
+func (NopObserver) RequestAbandoned(bool) {}
 
 // AttemptEnded implements Observer.
-func (NoObserver) AttemptEnded(exchange.Reason, upstream.Kind) {}
+func (NopObserver) AttemptEnded(exchange.Reason, upstream.Kind) {}
 
 // RequestHeld implements Observer.
-func (NoObserver) RequestHeld(exchange.Hold) {}
+func (NopObserver) RequestHeld(exchange.Hold) {}
 
 // SendDeferred implements Observer.
-func (NoObserver) SendDeferred(endpoints.Availability) {}
+func (NopObserver) SendDeferred(endpoints.Availability) {}
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -20,17 +20,17 @@
 	keeper, server := r.dispatcher.keeper, quarantine.ServerID(send.Choice.Incarnation)
 	switch {
 	case reply.Kind == upstream.Foreign, reply.NobodyListens():
-		keeper.Ended(server)
+		keeper.ServerCrashed(server)
 	case reply.Kind == upstream.Answered:
-		keeper.Alive(server, send.Choice.Reserved)
-		keeper.Answered(r.request.Identity, r.plan.Services[send.ID.Shard])
+		keeper.ServerAlive(server, send.Choice.ReservedAt)
+		keeper.RequestAnswered(r.request.Identity, r.plan.Services[send.ID.Shard])
 	case reply.Kind == upstream.Refused:
-		keeper.Alive(server, send.Choice.Reserved)
+		keeper.ServerAlive(server, send.Choice.ReservedAt)
 	case reply.Unsent:
 	case reply.Kind == upstream.Expired && !r.silent(ctx, send, now):
 	case r.request.Identity == nil:
 	default:
-		keeper.Lost(quarantine.Loss{
+		keeper.AttemptLost(quarantine.Loss{
 			Digest:  r.request.Identity.Digest(),
 			Variant: r.request.Identity.Variant(),
 			Service: r.plan.Services[send.ID.Shard],
@@ -45,21 +45,21 @@
 // long, rather than because another attempt had answered.
 func (r *run) silent(ctx context.Context, send exchange.Send, now time.Time) bool {
 	superseded := ctx.Err() != nil && r.context.Err() == nil
-	return !superseded && now.Sub(send.Choice.Reserved) >= minSilence
+	return !superseded && now.Sub(send.Choice.ReservedAt) >= minSilence
 }
 
 // admit asks the keeper whether the request may be sent. It returns an outcome if the
 // request is refused, and otherwise nil.
 func (r *run) admit(ctx context.Context) *exchange.Outcome {
-	r.admission = r.dispatcher.keeper.Admit(ctx, r.request.Identity, r.plan.Patience, r.usable)
+	r.admission = r.dispatcher.keeper.Admit(ctx, r.request.Identity, r.plan.HoldUntil, r.usable)
 	switch {
-	case r.admission.Unusable:
+	case r.admission.NoServer:
 		return r.refuse(exchange.CauseNoServers)
 	case r.admission.Action == quarantine.Refuse:
 		return r.refuseWithRetryAfter(exchange.CauseQuarantined, r.admission.RetryAfter)
 	}
-	if r.admission.Tries() {
-		r.plan.Trial, r.plan.Suspects = true, r.admission.Suspects
+	if r.admission.IsTrial() {
+		r.plan.Trial, r.plan.SuspectedServices = true, r.admission.SuspectedServices
 		r.core = exchange.New(r.plan, r)
 	}
 	return nil
@@ -68,6 +68,6 @@
 // usable reports whether at least one of the services has a server that may be reachable.
 func (r *run) usable(services []string) bool {
 	return slices.ContainsFunc(services, func(service string) bool {
-		return r.dispatcher.directory.Usable(service, r.request.Route, time.Now())
+		return r.dispatcher.directory.HasReachableServer(service, r.request.Route, time.Now())
 	})
 }
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -65,28 +65,28 @@
 	return run
 }
 
-// Listed implements exchange.Servers.
-func (r *run) Listed(service string) bool {
-	return r.dispatcher.directory.Listed(service, r.request.Route)
+// HasServer implements exchange.Servers.
+func (r *run) HasServer(service string) bool {
+	return r.dispatcher.directory.HasServer(service, r.request.Route)
 }
 
-// Settling implements exchange.Servers.
-func (r *run) Settling() bool { return r.dispatcher.directory.Settling(time.Now()) }
+// ListIncomplete implements exchange.Servers.
+func (r *run) ListIncomplete() bool { return r.dispatcher.directory.ListIncomplete(time.Now()) }
 
-// Growing implements exchange.Servers.
-func (r *run) Growing() bool {
-	return r.dispatcher.directory.Growing(r.plan.Services, time.Now())
+// ListGrowing implements exchange.Servers.
+func (r *run) ListGrowing() bool {
+	return r.dispatcher.directory.ListGrowing(r.plan.Services, time.Now())
 }
 
-// Pressed implements exchange.Servers.
-func (r *run) Pressed() bool { return r.dispatcher.directory.Pressed(time.Now()) }
+// Shedding implements exchange.Servers.
+func (r *run) Shedding() bool { return r.dispatcher.directory.Shedding(time.Now()) }
 
-// Fresh implements exchange.Servers.
-func (r *run) Fresh() bool { return r.dispatcher.directory.Fresh(time.Now()) }
+// JustStarted implements exchange.Servers.
+func (r *run) JustStarted() bool { return r.dispatcher.directory.JustStarted(time.Now()) }
 
-// Prospect implements exchange.Servers.
-func (r *run) Prospect(service string) endpoints.Prospect {
-	return r.dispatcher.directory.Prospect(service, r.request.Route, time.Now())
+// ServiceHealth implements exchange.Servers.
+func (r *run) ServiceHealth(service string) endpoints.ServiceHealth {
+	return r.dispatcher.directory.ServiceHealth(service, r.request.Route, time.Now())
 }
 
 // Choose implements exchange.Servers.
@@ -102,9 +102,9 @@
 	return choice, availability
 }
 
-// OutOfReach implements exchange.Servers.
-func (r *run) OutOfReach(endpoint *endpoints.Endpoint) bool {
-	return r.dispatcher.directory.OutOfReach(endpoint, time.Now())
+// ZoneUnreachable implements exchange.Servers.
+func (r *run) ZoneUnreachable(endpoint *endpoints.Endpoint) bool {
+	return r.dispatcher.directory.ZoneUnreachable(endpoint, time.Now())
 }
 
 // RefundRetry implements exchange.Servers.
@@ -117,13 +117,13 @@
 	r.deferred[service] = availability
 }
 
-func (r *run) demand(service string, now time.Time) endpoints.Demand {
-	return endpoints.Demand{
-		Service: service,
-		Route:   r.request.Route,
-		Work:    r.estimate,
-		Left:    r.plan.Target - now.Sub(r.request.Arrived),
-		Delay:   r.dispatcher.delay(),
+func (r *run) demand(service string, now time.Time) endpoints.Criteria {
+	return endpoints.Criteria{
+		Service:         service,
+		Route:           r.request.Route,
+		Estimate:        r.estimate,
+		TimeLeft:        r.plan.Target - now.Sub(r.request.Arrived),
+		SchedulingDelay: r.dispatcher.delay(),
 	}
 }
 
@@ -161,7 +161,7 @@
 		if first {
 			// A node that takes long to send the requests of a gather takes about as long to
 			// merge the replies: an answer begun at the target would be late by that time.
-			r.core.Shorten(time.Since(started))
+			r.core.ShortenTarget(time.Since(started))
 		}
 		if batch.Outcome != nil {
 			r.recordFinished(batch.Outcome)
@@ -214,12 +214,12 @@
 		BodyOnly:    r.plan.Gather,
 		Permitted: func() bool {
 			awake := r.suspendedFor()-suspended < minSuspension
-			return awake && r.dispatcher.directory.Open(choice.Endpoint) && r.admission.Permits()
+			return awake && r.dispatcher.directory.Serving(choice.Endpoint) && r.admission.MaySend()
 		},
 	})
 	r.reportToKeeper(ctx, send, reply, time.Now())
-	choice.Delay = max(choice.Delay, r.dispatcher.delay())
-	r.dispatcher.directory.NoteLoad(choice, reply.Load, time.Now())
+	choice.SchedulingDelay = max(choice.SchedulingDelay, r.dispatcher.delay())
+	r.dispatcher.directory.RecordLoad(choice, reply.Load, time.Now())
 	r.dispatcher.directory.Finish(choice, r.estimate, result(reply), time.Now())
 	select {
 	case r.replies <- attemptEnd{id: send.ID, reason: send.Reason, reply: reply}:
@@ -231,7 +231,7 @@
 // deadline that it was given has not failed.
 func answeredResult(status int) endpoints.Result {
 	if status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout {
-		return endpoints.ResultErred
+		return endpoints.ResultServerError
 	}
 	return endpoints.ResultAnswered
 }
@@ -244,9 +244,9 @@
 	case upstream.Refused:
 		return endpoints.ResultRefused
 	case upstream.Withheld:
-		return endpoints.ResultUnused
+		return endpoints.ResultNotSent
 	case upstream.Foreign:
-		return endpoints.ResultForeign
+		return endpoints.ResultWrongServer
 	case upstream.Unreachable:
 		return endpoints.ResultUnreachable
 	case upstream.Reset:
--- a/internal/dispatch/run_test.go
+++ b/internal/dispatch/run_test.go
@@ -25,13 +25,13 @@
 	directory := endpoints.New(endpoints.Topology{}, nil)
 	// The list may be incomplete, so the request waits for servers.
 	directory.ReplaceAfterOutage(nil, time.Now())
-	dispatcher := New(directory, upstream.NewClient(upstream.Headers{}), recorder, NoObserver{}, overload.NewMeter(100))
+	dispatcher := New(directory, upstream.NewClient(upstream.Headers{}), recorder, NopObserver{}, overload.NewMeter(100))
 	route := &routing.Route{Name: "r", Timeout: time.Second, Target: 500 * time.Millisecond, Split: []routing.WeightedService{{Service: "s", Weight: 1}}}
 	outcome := dispatcher.Do(t.Context(), Request{
-		Route:   route,
-		Message: &upstream.Request{ID: "id-1"},
-		Allowed: 900 * time.Millisecond,
-		Arrived: time.Now(),
+		Route:         route,
+		Message:       &upstream.Request{ID: "id-1"},
+		CallerTimeout: 900 * time.Millisecond,
+		Arrived:       time.Now(),
 	})
 	is.True(outcome != nil)
 	recorder.Flush()
--- a/internal/dispatch/suspension_test.go
+++ b/internal/dispatch/suspension_test.go
@@ -20,13 +20,13 @@
 	is := is.New(t)
 	directory := endpoints.New(endpoints.Topology{}, nil)
 	directory.ReplaceAfterOutage(nil, time.Now()) // the request waits for servers
-	dispatcher := New(directory, upstream.NewClient(upstream.Headers{}), nil, NoObserver{}, overload.NewMeter(100))
+	dispatcher := New(directory, upstream.NewClient(upstream.Headers{}), nil, NopObserver{}, overload.NewMeter(100))
 	var suspended atomic.Int64
 	dispatcher.suspended = func() time.Duration { return time.Duration(suspended.Load()) }
 	route := &routing.Route{Name: "r", Timeout: time.Hour, Target: time.Minute, Split: []routing.WeightedService{{Service: "s", Weight: 1}}}
 	ended := make(chan *exchange.Outcome, 1)
 	go func() {
-		ended <- dispatcher.Do(t.Context(), Request{Route: route, Message: &upstream.Request{ID: "id-1"}, Allowed: 30 * time.Minute, Arrived: time.Now()})
+		ended <- dispatcher.Do(t.Context(), Request{Route: route, Message: &upstream.Request{ID: "id-1"}, CallerTimeout: 30 * time.Minute, Arrived: time.Now()})
 	}()
 	time.Sleep(50 * time.Millisecond)
 	is.Equal(len(ended), 0)
--- a/internal/edge/assemble.go
+++ b/internal/edge/assemble.go
@@ -62,7 +62,7 @@
 func newTopology(loaded settings.Router) endpoints.Topology {
 	return endpoints.Topology{
 		Node:    loaded.Name,
-		Own:     endpoints.Place{Zone: loaded.Zone, Region: loaded.Region},
+		Own:     endpoints.Locality{Zone: loaded.Zone, Region: loaded.Region},
 		Regions: loaded.Regions,
 	}
 }
@@ -75,8 +75,8 @@
 
 func newDirectory(topology endpoints.Topology, client *upstream.Client, versions *rollout.Tracker) *endpoints.Directory {
 	directory := endpoints.New(topology, client)
-	directory.FollowRollouts(versions)
-	directory.CountSuspensions(boottime.Suspended)
+	directory.SetRolloutTracker(versions)
+	directory.SetSuspensionClock(boottime.Suspended)
 	return directory
 }
 
@@ -87,24 +87,24 @@
 }
 
 func newSelector(own members.Member, topology endpoints.Topology) *peers.Selector {
-	return peers.NewSelector(own, topology.Near)
+	return peers.NewSelector(own, topology.SameRegion)
 }
 
-func newTableLink(selector *peers.Selector, state *state) *peers.Link[*routing.Table] {
-	link := peers.NewLink(feedTables, peers.TableCodec{}, selector)
-	link.HandOver(state.tables)
+func newTableLink(selector *peers.Selector, state *state) *peers.Relay[*routing.Table] {
+	link := peers.NewRelay(feedTables, peers.TableCodec{}, selector)
+	link.ServeState(state.tables)
 	return link
 }
 
-func newServerLink(selector *peers.Selector, directory *endpoints.Directory) *peers.Link[endpoints.Server] {
-	link := peers.NewLink(feedServers, peers.PlainCodec[endpoints.Server]{}, selector)
-	link.HandOver(directory.ListedServers)
+func newServerLink(selector *peers.Selector, directory *endpoints.Directory) *peers.Relay[endpoints.Server] {
+	link := peers.NewRelay(feedServers, peers.PlainCodec[endpoints.Server]{}, selector)
+	link.ServeState(directory.ListedServers)
 	return link
 }
 
-func newEvacuationLink(selector *peers.Selector, state *state) *peers.Link[endpoints.Evacuation] {
-	link := peers.NewLink(feedEvacuations, peers.PlainCodec[endpoints.Evacuation]{}, selector)
-	link.HandOver(state.evacuations)
+func newEvacuationLink(selector *peers.Selector, state *state) *peers.Relay[endpoints.Evacuation] {
+	link := peers.NewRelay(feedEvacuations, peers.PlainCodec[endpoints.Evacuation]{}, selector)
+	link.ServeState(state.evacuations)
 	return link
 }
 
@@ -123,12 +123,12 @@
 	Meter          *overload.Meter
 	State          *state
 	Selector       *peers.Selector
-	TableLink      *peers.Link[*routing.Table]
-	ServerLink     *peers.Link[endpoints.Server]
-	EvacuationLink *peers.Link[endpoints.Evacuation]
+	TableLink      *peers.Relay[*routing.Table]
+	ServerLink     *peers.Relay[endpoints.Server]
+	EvacuationLink *peers.Relay[endpoints.Evacuation]
 	Versions       *rollout.Tracker
-	RolloutLink    *peers.Link[rollout.Order]
-	QuarantineLink *peers.Link[quarantine.Record]
+	RolloutLink    *peers.Relay[rollout.Order]
+	QuarantineLink *peers.Relay[quarantine.Record]
 }
 
 func newNode(parts parts) *Node {
@@ -156,13 +156,13 @@
 	}
 	node.live.Store(&node.settings.Reloadable)
 	for _, link := range []interface {
-		CountSuspensions(func() time.Duration)
-		ShareEras(*catalog.Eras)
+		SetSuspensionClock(func() time.Duration)
+		UseEraTracker(*catalog.EraTracker)
 	}{
 		node.tableLink, node.serverLink, node.evacuationLink, node.rolloutLink, node.quarantineLink,
 	} {
-		link.CountSuspensions(boottime.Suspended)
-		link.ShareEras(node.store.Eras())
+		link.SetSuspensionClock(boottime.Suspended)
+		link.UseEraTracker(node.store.Eras())
 	}
 	node.announcer = node.newAnnouncer()
 	node.metrics = newMetrics(node, parts.Logs)
@@ -171,7 +171,7 @@
 	node.keeper = newKeeper(node)
 	node.state.keeper = node.keeper
 	dispatcher := dispatch.New(node.directory, node.client, parts.Logs.Recorder, node.metrics, node.load)
-	dispatcher.Quarantine(node.keeper)
+	dispatcher.SetQuarantine(node.keeper)
 	node.server = ingress.New(ingress.Options{
 		Names:      parts.Names,
 		Table:      node.state.Table,
--- a/internal/edge/compare.go
+++ b/internal/edge/compare.go
@@ -65,7 +65,7 @@
 		return true
 	}
 	version := n.state.version()
-	table, err := peers.AskConfiguration(addresses, version)
+	table, err := peers.FetchConfiguration(addresses, version)
 	if err != nil {
 		klog.V(1).InfoS("configuration not compared", "cause", err.Error())
 		return false
@@ -79,10 +79,10 @@
 
 // noteRestored ends what rests on an earlier era of the store, and lets everything be read anew.
 func (n *Node) noteRestored(era catalog.Era) {
-	n.versions.Restored(era, boottime.Time())
-	n.keeper.Restored()
-	n.announcer.Restored()
-	n.storeBackoff.Restored()
+	n.versions.StoreRestored(era, boottime.Time())
+	n.keeper.StoreRestored()
+	n.announcer.StoreRestored()
+	n.storeBackoff.StoreRestored()
 	select {
 	case n.restored <- struct{}{}:
 	default:
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -32,14 +32,14 @@
 // Store is the platform's store.
 type Store interface {
 	// Eras is what the store's answers tell of its era; later ones may be heard from other nodes.
-	Eras() *catalog.Eras
+	Eras() *catalog.EraTracker
 	Tables() catalog.Feed[*routing.Table]
 	Servers() catalog.Feed[endpoints.Server]
 	Evacuations() catalog.Feed[endpoints.Evacuation]
 	Rollouts() catalog.Feed[rollout.Order]
 	Quarantine() catalog.Feed[quarantine.Record]
-	quarantine.Registry
-	rollout.Registry
+	quarantine.RecordStore
+	rollout.StatusStore
 	members.Registry
 }
 
@@ -101,18 +101,18 @@
 	metrics   *metrics
 	// selector picks the node to follow in place of the store.
 	selector       *peers.Selector
-	tableLink      *peers.Link[*routing.Table]
-	serverLink     *peers.Link[endpoints.Server]
-	evacuationLink *peers.Link[endpoints.Evacuation]
-	rolloutLink    *peers.Link[rollout.Order]
-	quarantineLink *peers.Link[quarantine.Record]
+	tableLink      *peers.Relay[*routing.Table]
+	serverLink     *peers.Relay[endpoints.Server]
+	evacuationLink *peers.Relay[endpoints.Evacuation]
+	rolloutLink    *peers.Relay[rollout.Order]
+	quarantineLink *peers.Relay[quarantine.Record]
 	// versions tells which versions get sends, agent carries out the orders of that; nil
 	// where the deployment has no roll-outs.
 	versions *rollout.Tracker
 	agent    *rollout.Agent
 	// keeper finds the requests under which servers end.
-	keeper  *quarantine.Keeper
-	notices peers.ReportClient
+	keeper  *quarantine.Manager
+	notices peers.Client
 	// retryPool is shared by the nodes that follow this one, if it keeps one. pooling is set
 	// while retries are pooled, poolChanged has an element when that or its size has changed.
 	retryPool   retrybudget.Pool
@@ -200,8 +200,8 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
-	contact := peers.Contact{InTouch: func() bool { return n.storeBackoff.InTouch(time.Now()) }}
-	server := peers.NewServer(n.asker(), n.state.snapshot, n.tableLink, n.serverLink, n.evacuationLink, n.rolloutLink, n.quarantineLink, n.reportServer(), peers.NoticeServer{Hear: n.keeper.Hear}, contact,
+	contact := peers.StoreStatusServer{UpToDate: func() bool { return n.storeBackoff.UpToDate(time.Now()) }}
+	server := peers.NewServer(n.asker(), n.state.snapshot, n.tableLink, n.serverLink, n.evacuationLink, n.rolloutLink, n.quarantineLink, n.reportServer(), peers.NoticeServer{Handle: n.keeper.ReceiveNotice}, contact,
 		&peers.MemberServer{Latest: n.announcer.Latest}, peers.ConfigurationServer{Table: n.state.Table}, peers.RetryServer{Pool: &n.retryPool, Now: boottime.Time})
 	go func() { failed <- server.Serve(listener) }()
 	return nil
@@ -230,10 +230,10 @@
 	case n.poolChanged <- struct{}{}:
 	default:
 	}
-	n.directory.Share(budget, shares.pooled, endpoints.Sharers{
-		Near:    count.Region + spareNodes/2,
-		Far:     count.All - count.Region + spareNodes/2,
-		Settled: count.Settled,
+	n.directory.SetShares(budget, shares.pooled, endpoints.NodeCounts{
+		Local:  count.Region + spareNodes/2,
+		Remote: count.All - count.Region + spareNodes/2,
+		Known:  count.Settled,
 	}, time.Now())
 }
 
@@ -265,7 +265,7 @@
 // MembersRead implements members.Observer.
 func (m memberObserver) MembersRead(live []members.Member) {
 	m.node.selector.SetMembers(live)
-	if m.node.selector.Reads() {
+	if m.node.selector.IsReader() {
 		m.node.readsOnce.Do(func() { close(m.node.reads) })
 	}
 	m.node.shareVersions(live)
@@ -273,7 +273,7 @@
 
 // MembersCounted implements members.Observer.
 func (m memberObserver) MembersCounted(count members.Count) {
-	m.node.storeBackoff.SetCallers(m.node.selector.Callers(count.All))
+	m.node.storeBackoff.SetCallers(m.node.selector.StoreCallers(count.All))
 	m.node.shareAmong(count)
 }
 
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -17,9 +17,9 @@
 func (n *Node) follow(ctx context.Context, tasks *sync.WaitGroup) {
 	tables := newFollower(n, feedTables, n.store.Tables(), tableSink{n.state}, n.tableLink)
 	servers := newFollower(n, feedServers, n.store.Servers(), serverSink{n.state}, n.serverLink)
-	servers.Settle(n.serversPause, n.reads)
+	servers.SetBatchDelay(n.serversPause, n.reads)
 	if n.mayBeHanded() {
-		servers.Bootstrap(&n.state.handed)
+		servers.UseHandover(&n.state.handed)
 	}
 	tasks.Go(func() { tables.Run(ctx) })
 	tasks.Go(func() { servers.Run(ctx) })
@@ -37,15 +37,15 @@
 		tasks.Go(func() { records.Run(ctx) })
 	}
 	tasks.Go(func() { n.announcer.Run(ctx) })
-	starter := peers.Starter{
-		Own:        n.asker(),
+	starter := peers.Bootstrapper{
+		Self:       n.asker(),
 		Addresses:  func() []string { return n.live.Load().Seeds },
-		Known:      n.state.complete,
+		Complete:   n.state.complete,
 		Adopt:      n.state.adoptSnapshot,
-		Unanswered: n.state.handed.Abandon,
+		OnNoAnswer: n.state.handed.Abandon,
 	}
 	tasks.Go(func() { starter.Run(ctx) })
-	search := peers.Search{Selector: n.selector, Lost: n.storeBackoff.Lost, Found: n.storeBackoff.Wake}
+	search := peers.RecoveryProber{Selector: n.selector, Disconnected: n.storeBackoff.Disconnected, OnRecovery: n.storeBackoff.RetryNow}
 	tasks.Go(func() { search.Run(ctx) })
 	tasks.Go(func() { n.compareConfigurations(ctx) })
 	tasks.Go(func() { n.sweep(ctx) })
@@ -92,37 +92,37 @@
 // newAnnouncer returns what keeps the node announced. Those that all others ask read the
 // announcements for themselves.
 func (n *Node) newAnnouncer() *members.Announcer {
-	announcer := members.NewAnnouncer(n.store, n.member, n.topology.Near, memberObserver{n})
+	announcer := members.NewAnnouncer(n.store, n.member, n.topology.SameRegion, memberObserver{n})
 	if n.mayBeHanded() {
-		announcer.AskFirst(func() ([]members.Member, error) { return peers.AskMembers(n.live.Load().Seeds) })
+		announcer.PreferPeers(func() ([]members.Member, error) { return peers.FetchMembers(n.live.Load().Seeds) })
 	}
 	return announcer
 }
 
 // asker is the node as it shows itself to others.
-func (n *Node) asker() peers.Asker {
-	return peers.Asker{Address: n.settings.PeerAddress, Zone: n.settings.Zone, Region: n.settings.Region}
+func (n *Node) asker() peers.Requester {
+	return peers.Requester{Address: n.settings.PeerAddress, Zone: n.settings.Zone, Region: n.settings.Region}
 }
 
 // newFollower returns a follower that spares the store together with the node's others.
-func newFollower[T any](n *Node, name string, feed catalog.Feed[T], sink catalog.Sink[T], link *peers.Link[T]) *catalog.Follower[T] {
+func newFollower[T any](n *Node, name string, feed catalog.Feed[T], sink catalog.Sink[T], link *peers.Relay[T]) *catalog.Follower[T] {
 	follower := catalog.NewFollower(name, feed, sink, storeObserver{n.metrics, &n.state.unreadable})
-	follower.Share(link)
-	follower.ShareBackoff(&n.storeBackoff)
-	follower.ShareEras(n.store.Eras())
+	follower.UseRelay(link)
+	follower.UseBackoff(&n.storeBackoff)
+	follower.UseEraTracker(n.store.Eras())
 	return follower
 }
 
 // storeObserver counts calls to the store, and keeps and logs what can't be understood there.
 type storeObserver struct {
 	*metrics
-	unreadable *catalog.Unreadable
+	unreadable *catalog.UnreadableObjects
 }
 
 // ObjectUnreadable implements catalog.Observer.
-func (o storeObserver) ObjectUnreadable(feed string, flaw catalog.Flaw) {
+func (o storeObserver) ObjectUnreadable(feed string, flaw catalog.DecodeFailure) {
 	o.metrics.ObjectUnreadable(feed, flaw)
-	if o.unreadable.Note(feed, flaw, time.Now()) {
+	if o.unreadable.Record(feed, flaw, time.Now()) {
 		klog.InfoS("object of the store can't be understood", "feed", feed, "name", flaw.Name, "cause", flaw.Cause)
 	}
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -91,11 +91,11 @@
 		{"log", "left_out_requests_count", "Requests whose lines were left out by the bounds since the start.", logs.leftOut},
 		{"store", "tables_age_seconds", "Time since the configuration was last read.", func() float64 { return m.age(feedTables) }},
 		{"server", "evacuated_zones_count", "Zones whose servers get nothing new.", func() float64 { return float64(len(node.directory.Evacuated())) }},
-		{"server", "silent_zones_count", "Zones that are out of reach.", func() float64 { return float64(len(node.directory.SilentZones())) }},
+		{"server", "silent_zones_count", "Zones that are out of reach.", func() float64 { return float64(len(node.directory.UnreachableZones())) }},
 		{"quarantine", "records_count", "Requests under which servers ended that this node knows.", func() float64 { return float64(len(node.keeper.Describe())) }},
 		{"store", "era_number", "Era of the store; it rises each time that the store comes back from a copy.", func() float64 { return float64(node.store.Eras().Latest()) }},
 		{"server", "doubted_entries_count", "Entries of a restored store that contradict what is known and don't count yet.", func() float64 {
-			doubted, _ := node.directory.ContradictionCount()
+			doubted, _ := node.directory.UnconfirmedCounts()
 			return float64(doubted)
 		}},
 		{"store", "servers_age_seconds", "Time since the servers were last read.", func() float64 { return m.age(feedServers) }},
@@ -164,8 +164,8 @@
 	}
 }
 
-// RequestsLost implements quarantine.Observer.
-func (m *metrics) RequestsLost(service string, count int) {
+// AttemptsLost implements quarantine.Observer.
+func (m *metrics) AttemptsLost(service string, count int) {
 	if m.enabled() {
 		m.lost.WithLabelValues(service).Add(float64(count))
 	}
@@ -185,7 +185,7 @@
 }
 
 // ObjectUnreadable implements catalog.Observer.
-func (m *metrics) ObjectUnreadable(feed string, _ catalog.Flaw) {
+func (m *metrics) ObjectUnreadable(feed string, _ catalog.DecodeFailure) {
 	if m.enabled() {
 		m.unreadable.WithLabelValues(feed).Inc()
 	}
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -28,12 +28,12 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			for _, server := range n.directory.Probes(now) {
+			for _, server := range n.directory.ProbeTargets(now) {
 				go n.probeZone(ctx, server)
 			}
-			silent := n.directory.SilentZones()
+			silent := n.directory.UnreachableZones()
 			if !slices.Equal(silent, before) {
-				klog.InfoS("zones out of reach", "zones", silent, "before", before, "cut_off", n.directory.CutOff(now))
+				klog.InfoS("zones out of reach", "zones", silent, "before", before, "cut_off", n.directory.Isolated(now))
 			}
 			before = silent
 		}
@@ -45,6 +45,6 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if n.client.Reaches(ctx, server.Address) {
-		n.directory.NoteHeard(server.Zone, time.Now())
+		n.directory.MarkReachable(server.Zone, time.Now())
 	}
 }
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -14,22 +14,22 @@
 	"github.com/driftstage/driftstage/internal/quarantine"
 )
 
-func newKeeper(node *Node) *quarantine.Keeper {
-	keeper := quarantine.NewKeeper(quarantine.Options{
-		Node:     node.settings.Name,
-		Term:     node.settings.QuarantineTerm,
-		Registry: node.store,
-		Tell:     node.tellOthers,
-		Refuses:  node.client.Refuses,
-		Observer: node.metrics,
-		Now:      boottime.Now,
+func newKeeper(node *Node) *quarantine.Manager {
+	keeper := quarantine.NewManager(quarantine.Options{
+		Node:              node.settings.Name,
+		Term:              node.settings.QuarantineTerm,
+		Store:             node.store,
+		Broadcast:         node.tellOthers,
+		ConnectionRefused: node.client.Refuses,
+		Observer:          node.metrics,
+		Now:               boottime.Now,
 	})
-	node.quarantineLink.HandOver(keeper.Stored)
+	node.quarantineLink.ServeState(keeper.StoredRecords)
 	return keeper
 }
 
-func newQuarantineLink(selector *peers.Selector) *peers.Link[quarantine.Record] {
-	return peers.NewLink(feedQuarantine, peers.PlainCodec[quarantine.Record]{}, selector)
+func newQuarantineLink(selector *peers.Selector) *peers.Relay[quarantine.Record] {
+	return peers.NewRelay(feedQuarantine, peers.PlainCodec[quarantine.Record]{}, selector)
 }
 
 const (
@@ -46,7 +46,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 			defer cancel()
-			if err := n.notices.Tell(ctx, address, notice); err != nil {
+			if err := n.notices.SendNotice(ctx, address, notice); err != nil {
 				klog.V(1).InfoS("notice not delivered", "peer", address, "cause", err.Error())
 			}
 		}()
--- a/internal/edge/quarantine_metrics.go
+++ b/internal/edge/quarantine_metrics.go
@@ -45,7 +45,7 @@
 	}
 	result := "ok"
 	switch {
-	case errors.Is(err, quarantine.ErrChanged):
+	case errors.Is(err, quarantine.ErrConflict):
 		result = "changed"
 	case err != nil:
 		result = "failed"
--- a/internal/edge/retries.go
+++ b/internal/edge/retries.go
@@ -51,7 +51,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.directory.RetriesWanted():
+		case <-n.directory.GrantsNeeded():
 		case <-n.poolChanged:
 		case <-ticker.C:
 		}
@@ -65,7 +65,7 @@
 		return
 	}
 	began := boottime.Time()
-	wants := n.directory.TakeWants(time.Now())
+	wants := n.directory.TakeGrantRequests(time.Now())
 	granted, err := n.grantOf(ctx, wants)
 	if err != nil {
 		klog.V(1).InfoS("no answer of the pool of retries", "services", len(wants), "cause", err.Error())
@@ -76,12 +76,12 @@
 }
 
 // grantOf returns what the pool grants, this node's own or another one's.
-func (n *Node) grantOf(ctx context.Context, wants retrybudget.Wants) (retrybudget.Wants, error) {
-	holder, other := n.selector.Holder(time.Now())
+func (n *Node) grantOf(ctx context.Context, wants retrybudget.SendCounts) (retrybudget.SendCounts, error) {
+	holder, other := n.selector.RetryPoolNode(time.Now())
 	if !other {
 		return n.retryPool.Grant(wants, boottime.Time()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	return n.notices.AskRetries(ctx, holder.Address, wants)
+	return n.notices.AcquireRetries(ctx, holder.Address, wants)
 }
--- a/internal/edge/retries_test.go
+++ b/internal/edge/retries_test.go
@@ -68,7 +68,7 @@
 				success := random.Float64() >= refused
 				for !success {
 					if !budget.Take(window, now) {
-						granted := pools[node%len(pools)].Grant(retrybudget.Wants{service: 1}, now)
+						granted := pools[node%len(pools)].Grant(retrybudget.SendCounts{service: 1}, now)
 						budget.Grant(granted[service], now)
 						if !budget.Take(window, now) {
 							break
--- a/internal/edge/rollout.go
+++ b/internal/edge/rollout.go
@@ -18,9 +18,9 @@
 
 func newTracker(loaded settings.Router) *rollout.Tracker { return rollout.NewTracker(loaded.Rollouts) }
 
-func newRolloutLink(selector *peers.Selector, versions *rollout.Tracker) *peers.Link[rollout.Order] {
-	link := peers.NewLink(feedRollouts, peers.PlainCodec[rollout.Order]{}, selector)
-	link.HandOver(versions.Listed)
+func newRolloutLink(selector *peers.Selector, versions *rollout.Tracker) *peers.Relay[rollout.Order] {
+	link := peers.NewRelay(feedRollouts, peers.PlainCodec[rollout.Order]{}, selector)
+	link.ServeState(versions.StoredOrders)
 	return link
 }
 
@@ -30,15 +30,15 @@
 		return nil
 	}
 	return rollout.NewAgent(rollout.Options{
-		Own:       node.member,
-		Bounds:    node.settings.Rollouts,
-		Tracker:   node.versions,
-		Transport: &peers.ReportClient{},
-		Registry:  node.store,
-		Fleet:     node.directory.Fleet,
-		Process:   rand.Uint64(),
-		Observer:  node.metrics,
-		Now:       boottime.Time,
+		Self:        node.member,
+		Bounds:      node.settings.Rollouts,
+		Tracker:     node.versions,
+		Transport:   &peers.Client{},
+		StatusStore: node.store,
+		Fleet:       node.directory.Fleet,
+		Process:     rand.Uint64(),
+		Observer:    node.metrics,
+		Now:         boottime.Time,
 	})
 }
 
@@ -47,7 +47,7 @@
 	if n.agent == nil {
 		return peers.ReportServer{}
 	}
-	return peers.ReportServer{Take: n.agent.Take}
+	return peers.ReportServer{Handle: n.agent.HandleReport}
 }
 
 // shareVersions tells the live nodes to what carries out orders.
@@ -61,7 +61,7 @@
 	}
 	slices.Sort(names)
 	if position := slices.Index(names, n.member.Name); position >= 0 {
-		n.versions.Share(position, len(names))
+		n.versions.SetPosition(position, len(names))
 	}
 	n.agent.SetMembers(live)
 }
@@ -85,7 +85,7 @@
 func (r rolloutSink) ReplaceRestored(orders []rollout.Order) {
 	r.state.versions.ReplaceRestored(orders, boottime.Time())
 	r.agent.Wake()
-	unwritten, missing := r.state.versions.Unwritten()
+	unwritten, missing := r.state.versions.LostDecisions()
 	klog.InfoS("rollouts of a restored store", "count", len(orders), "unwritten", len(unwritten), "missing", missing)
 }
 
@@ -103,8 +103,8 @@
 	r.agent.Wake()
 }
 
-// Reached implements catalog.RevisionSink.
-func (r rolloutSink) Reached(revision catalog.Revision, told time.Time) {
+// ReachedRevision implements catalog.RevisionSink.
+func (r rolloutSink) ReachedRevision(revision catalog.Revision, told time.Time) {
 	r.state.versions.Reached(revision, told)
 	r.state.noteKnown()
 }
--- a/internal/edge/rollout_metrics.go
+++ b/internal/edge/rollout_metrics.go
@@ -23,21 +23,21 @@
 	return counters
 }
 
-// VersionJudged implements rollout.Observer.
-func (m *metrics) VersionJudged(_ string, finding rollout.Finding) {
+// FindingChanged implements rollout.Observer.
+func (m *metrics) FindingChanged(_ string, finding rollout.Finding) {
 	if m.enabled() {
 		m.rollouts.verdicts.WithLabelValues(finding.String()).Inc()
 	}
 }
 
-// OrderAnswered implements rollout.Observer.
-func (m *metrics) OrderAnswered(_ string, status rollout.Status, err error) {
+// StatusWritten implements rollout.Observer.
+func (m *metrics) StatusWritten(_ string, status rollout.Status, err error) {
 	if !m.enabled() {
 		return
 	}
 	result := "ok"
 	switch {
-	case errors.Is(err, rollout.ErrChanged):
+	case errors.Is(err, rollout.ErrConflict):
 		result = "changed"
 	case err != nil:
 		result = "failed"
--- a/internal/edge/rollout_test.go
+++ b/internal/edge/rollout_test.go
@@ -60,7 +60,7 @@
 }
 
 func rollouts(loaded *settings.Router) {
-	loaded.Rollouts = rollout.Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
+	loaded.Rollouts = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second}
 }
 
 func nodeName(index int) string { return fmt.Sprint("node-", index+1) }
@@ -212,7 +212,7 @@
 		page, err := store.Rollouts().List(ctx, "")
 		is.NoErr(err)
 		order = page.Items[0]
-		_, err = store.Answer(ctx, order, rollout.Status{State: rollout.StateRolledBack, Target: newVersion})
+		_, err = store.WriteStatus(ctx, order, rollout.Status{State: rollout.StateRolledBack, Target: newVersion})
 		return err == nil
 	})
 	peer.eventually("the peer knows", func() bool {
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -19,8 +19,8 @@
 
 // load tells how busy the node is.
 type load interface {
-	// Busy returns for how long the node has been overloaded; zero if it is not.
-	Busy() time.Duration
+	// BusyFor returns for how long the node has been overloaded; zero if it is not.
+	BusyFor() time.Duration
 }
 
 // state is what the node believes: the configuration and the servers.
@@ -28,11 +28,11 @@
 	directory *endpoints.Directory
 	client    *upstream.Client
 	load      load
-	eras      *catalog.Eras
+	eras      *catalog.EraTracker
 	// versions is nil where the deployment has no roll-outs.
 	versions *rollout.Tracker
 	// keeper is told which servers have ended.
-	keeper *quarantine.Keeper
+	keeper *quarantine.Manager
 	table  atomic.Pointer[routing.Table]
 	// adopting keeps two sources from going back on each other's versions.
 	adopting sync.Mutex
@@ -47,10 +47,10 @@
 	knows     chan struct{}
 	knowsOnce sync.Once
 	// handed is the list of servers from another node, serversReached how current the own one is.
-	handed         catalog.Handed[endpoints.Server]
+	handed         catalog.Handover[endpoints.Server]
 	serversReached atomic.Pointer[reached]
 	// unreadable are objects of the store that can't be understood.
-	unreadable catalog.Unreadable
+	unreadable catalog.UnreadableObjects
 	// replacing keeps a peer's list from taking the place of the store's.
 	replacing sync.Mutex
 }
@@ -84,11 +84,11 @@
 		return "no configuration is known yet"
 	case !s.serversKnown.Load():
 		return "the servers are not known yet"
-	case !s.versions.Complete():
+	case !s.versions.HasSynced():
 		return "the orders of versions are not known yet"
-	case s.load.Busy() > 0:
+	case s.load.BusyFor() > 0:
 		return "the node is overloaded"
-	case s.directory.CutOff(time.Now()):
+	case s.directory.Isolated(time.Now()):
 		return "no other zone is in reach"
 	}
 	return ""
@@ -100,7 +100,7 @@
 
 // shedsCallers reports whether callers should open their connections anew, to
 // another node.
-func (s *state) shedsCallers() bool { return s.load.Busy() > noticeOverload }
+func (s *state) shedsCallers() bool { return s.load.BusyFor() > noticeOverload }
 
 // version returns the version of the configuration in force; 0 for none.
 func (s *state) version() uint64 {
@@ -129,16 +129,16 @@
 }
 
 func (s *state) describe() description {
-	doubted, missing := s.directory.ContradictionCount()
+	doubted, missing := s.directory.UnconfirmedCounts()
 	return description{
 		Version:     s.version(),
 		Servers:     s.directory.Count(),
 		NotReadyFor: s.reason(),
 		Rollouts:    describeRollouts(s.versions, s.directory),
 		Quarantine:  s.keeper.Describe(),
-		Unreadable:  s.unreadable.Describe(time.Now()),
+		Unreadable:  s.unreadable.List(time.Now()),
 		Era:         s.eras.Latest(),
-		Restored:    s.eras.Describe(time.Now()),
+		Restored:    s.eras.RestoredFeeds(time.Now()),
 		Doubted:     doubted,
 		Missing:     missing,
 	}
@@ -160,7 +160,7 @@
 
 // complete reports whether the node needs nothing from its peers.
 func (s *state) complete() bool {
-	return s.table.Load() != nil && s.serversKnown.Load() && s.versions.Complete()
+	return s.table.Load() != nil && s.serversKnown.Load() && s.versions.HasSynced()
 }
 
 // snapshot returns what the node knows for other nodes; false while it is not
@@ -203,7 +203,7 @@
 	if snapshot.ServersReached == 0 {
 		s.handed.Abandon()
 	} else {
-		page := catalog.Page[endpoints.Server]{Items: snapshot.Listed(), Revision: snapshot.ServersReached}
+		page := catalog.Page[endpoints.Server]{Items: snapshot.ListedServers(), Revision: snapshot.ServersReached}
 		s.handed.Put(page, time.Now().Add(-snapshot.ServersAge))
 	}
 	s.noteKnown()
@@ -255,22 +255,22 @@
 	s.state.forget(s.state.directory.ReplaceRestored(servers, time.Now()))
 	s.state.noteServers()
 	s.state.serversListed.Store(true)
-	doubted, missing := s.state.directory.ContradictionCount()
+	doubted, missing := s.state.directory.UnconfirmedCounts()
 	klog.InfoS("servers of a restored store", "count", len(servers), "missing", missing, "doubted", doubted)
 }
 
-// Differences implements catalog.Differ.
-func (s serverSink) Differences(servers []endpoints.Server) []catalog.Change[endpoints.Server] {
-	return s.state.directory.Differences(servers)
+// Diff implements catalog.Differ.
+func (s serverSink) Diff(servers []endpoints.Server) []catalog.Change[endpoints.Server] {
+	return s.state.directory.Diff(servers)
 }
 
-// Reached implements catalog.RevisionSink.
-func (s serverSink) Reached(revision catalog.Revision, told time.Time) {
+// ReachedRevision implements catalog.RevisionSink.
+func (s serverSink) ReachedRevision(revision catalog.Revision, told time.Time) {
 	s.state.serversReached.Store(&reached{revision: revision, told: told})
 }
 
 // Resumed implements catalog.Sink.
-func (s serverSink) Resumed() { s.state.directory.Resume(time.Now()) }
+func (s serverSink) Resumed() { s.state.directory.WatchResumed(time.Now()) }
 
 func (s *state) replaceServers(servers []endpoints.Server) {
 	s.forget(s.directory.Replace(servers, time.Now()))
@@ -290,7 +290,7 @@
 func (s *state) forget(removed []string) {
 	for _, incarnation := range removed {
 		s.client.Forget(incarnation)
-		s.keeper.Ended(quarantine.ServerID(incarnation))
+		s.keeper.ServerCrashed(quarantine.ServerID(incarnation))
 	}
 }
 
@@ -317,7 +317,7 @@
 			s.state.client.Forget(incarnation)
 		}
 	case change.Removed:
-		if incarnation, known := directory.Withdraw(change.Name, time.Now()); known {
+		if incarnation, known := directory.Deregister(change.Name, time.Now()); known {
 			s.state.forget([]string{incarnation})
 		}
 	default:
--- a/internal/edge/state_test.go
+++ b/internal/edge/state_test.go
@@ -17,7 +17,7 @@
 // busyFor is a load that has lasted for a time.
 type busyFor time.Duration
 
-func (b busyFor) Busy() time.Duration { return time.Duration(b) }
+func (b busyFor) BusyFor() time.Duration { return time.Duration(b) }
 
 func TestOverloadedNodeIsNotReady(t *testing.T) {
 	for _, test := range []struct {
@@ -42,7 +42,7 @@
 // A node that hears of no other zone sends its callers elsewhere, and takes them again.
 func TestNodeThatIsCutOffIsNotReady(t *testing.T) {
 	is := is.New(t)
-	topology := endpoints.Topology{Own: endpoints.Place{Zone: "own"}, Regions: map[string]string{"own": "r", "other": "r"}}
+	topology := endpoints.Topology{Own: endpoints.Locality{Zone: "own"}, Regions: map[string]string{"own": "r", "other": "r"}}
 	state := &state{directory: endpoints.New(topology, nil), load: busyFor(0), knows: make(chan struct{})}
 	table, err := routing.NewTable(1, routing.Limits{}, nil, nil)
 	is.NoErr(err)
@@ -52,12 +52,12 @@
 	now := time.Now().Add(-time.Minute)
 	for _, id := range []string{"a", "b", "c"} {
 		state.directory.Put(endpoints.Server{ID: id, Service: id, Zone: "other"}, now)
-		choice, found := state.directory.Choose(endpoints.Demand{Service: id, Work: endpoints.NewEstimate(time.Millisecond)}, now)
+		choice, found := state.directory.Choose(endpoints.Criteria{Service: id, Estimate: endpoints.NewEstimate(time.Millisecond)}, now)
 		is.Equal(found, endpoints.Chosen)
-		state.directory.OutOfReach(choice.Endpoint, now.Add(time.Second))
+		state.directory.ZoneUnreachable(choice.Endpoint, now.Add(time.Second))
 	}
 	is.Equal(state.reason(), "no other zone is in reach")
-	state.directory.NoteHeard("other", time.Now())
+	state.directory.MarkReachable("other", time.Now())
 	is.True(state.ready())
 }
 
@@ -70,11 +70,11 @@
 	sound := catalog.Change[endpoints.Server]{Name: "i-1", Value: endpoints.Server{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z"}}
 	sink.Replace(nil, true) // entries that go while the list settles may only have run out
 	sink.Apply(sound)
-	is.True(state.directory.Listed("s", nil))
+	is.True(state.directory.HasServer("s", nil))
 	sink.Apply(catalog.Change[endpoints.Server]{Name: "i-1", Removed: true, Unreadable: true})
-	is.True(!state.directory.Listed("s", nil))
+	is.True(!state.directory.HasServer("s", nil))
 	sink.Apply(sound)
-	is.True(state.directory.Listed("s", nil))
+	is.True(state.directory.HasServer("s", nil))
 }
 
 // What is asked of a server that has started again under its id ends as after a crash: the
--- a/internal/endpoints/choose.go
+++ b/internal/endpoints/choose.go
@@ -16,18 +16,18 @@
 	Incarnation string
 	// Expected is the predicted time until the answer, round trip included.
 	Expected time.Duration
-	// LateAfter is the time after which the answer is considered late.
-	LateAfter time.Duration
-	// Connecting is the time that a new connection adds; zero if there is an idle one.
-	Connecting time.Duration
-	// Delay is how long this node's own steps wait for the CPU.
-	Delay time.Duration
-	// UnderWay is how many requests this node already had in flight at the server.
-	UnderWay int
+	// HedgeDelay is the time after which the answer is considered late.
+	HedgeDelay time.Duration
+	// ConnectTime is the time that a new connection adds; zero if there is an idle one.
+	ConnectTime time.Duration
+	// SchedulingDelay is how long this node's own steps wait for the CPU.
+	SchedulingDelay time.Duration
+	// InFlight is how many requests this node already had in flight at the server.
+	InFlight int
 	// BudgetLeft is what is left of the service's retry budget.
 	BudgetLeft float64
-	// Reserved is the start of the reservation, to be passed to Finish.
-	Reserved time.Time
+	// ReservedAt is the start of the reservation, to be passed to Finish.
+	ReservedAt time.Time
 	// Admission is the version rule under which the server was chosen, Route the name of
 	// the request's route.
 	Admission rollout.Admission
@@ -57,8 +57,8 @@
 // String returns the name used in logs and metrics.
 func (a Availability) String() string { return availabilityNames[a] }
 
-// Demand describes the server that a request needs.
-type Demand struct {
+// Criteria describes the server that a request needs.
+type Criteria struct {
 	Service string
 	// Route restricts the regions whose servers may get the request; nil for all.
 	Route *routing.Route
@@ -68,12 +68,12 @@
 	Only []*Endpoint
 	// Extra sends, those after the first, are charged to the retry budget.
 	Extra bool
-	// Work is the learned processing time of such requests.
-	Work *Estimate
-	// Delay is how long this node's own steps wait for the CPU.
-	Delay time.Duration
-	// Left is the time until the answer loses most of its value; it may be negative.
-	Left time.Duration
+	// Estimate is the learned processing time of such requests.
+	Estimate *Estimate
+	// SchedulingDelay is how long this node's own steps wait for the CPU.
+	SchedulingDelay time.Duration
+	// TimeLeft is the time until the answer loses most of its value; it may be negative.
+	TimeLeft time.Duration
 }
 
 // Choose reserves a server: the one with the least predicted time in the node's
@@ -81,7 +81,7 @@
 // least predicted time anywhere. Traffic between regions is expensive, and an answer
 // within the time left is not worth more for being earlier. Servers that recently
 // failed come last. The reservation ends with Finish.
-func (d *Directory) Choose(demand Demand, now time.Time) (Choice, Availability) {
+func (d *Directory) Choose(demand Criteria, now time.Time) (Choice, Availability) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	admission := d.admit(demand, now)
@@ -109,8 +109,8 @@
 }
 
 // expected returns the predicted time until an answer, round trip included.
-func (d *Directory) expected(endpoint *Endpoint, demand Demand, now time.Time) time.Duration {
-	return endpoint.predict(demand.Work.Mean(), now) + d.networkTime(endpoint)
+func (d *Directory) expected(endpoint *Endpoint, demand Criteria, now time.Time) time.Duration {
+	return endpoint.predict(demand.Estimate.Mean(), now) + d.networkTime(endpoint)
 }
 
 // networkTime returns the round-trip time to the endpoint, plus the time of a new
@@ -120,7 +120,7 @@
 }
 
 // best returns the server with the least cost, or why there is none.
-func (d *Directory) best(demand Demand, admission rollout.Admission, now time.Time) (*Endpoint, Availability) {
+func (d *Directory) best(demand Criteria, admission rollout.Admission, now time.Time) (*Endpoint, Availability) {
 	var best *Endpoint
 	var bestCost time.Duration
 	availability := NoServer
@@ -168,10 +168,10 @@
 	slowLocalShare = 0.25
 )
 
-func (d *Directory) cost(endpoint *Endpoint, demand Demand, now time.Time) time.Duration {
+func (d *Directory) cost(endpoint *Endpoint, demand Criteria, now time.Time) time.Duration {
 	expected := d.expected(endpoint, demand, now)
-	cost := expected + endpoint.failures.cost(demand.Left, now)
-	if !preferred(endpoint, expected, demand.Left, now) {
+	cost := expected + endpoint.failures.cost(demand.TimeLeft, now)
+	if !preferred(endpoint, expected, demand.TimeLeft, now) {
 		cost += remoteCost
 	}
 	if endpoint.backingOff(now) {
@@ -193,18 +193,18 @@
 	return expected <= time.Duration(share*float64(left))
 }
 
-func (d *Directory) reserve(endpoint *Endpoint, demand Demand, now time.Time) Choice {
+func (d *Directory) reserve(endpoint *Endpoint, demand Criteria, now time.Time) Choice {
 	choice := Choice{
-		Endpoint:    endpoint,
-		Server:      endpoint.Server,
-		Incarnation: endpoint.incarnation,
-		Expected:    d.expected(endpoint, demand, now),
-		LateAfter:   d.lateAfter(endpoint, demand, now),
-		Connecting:  d.connectTime(endpoint),
-		Delay:       demand.Delay,
-		UnderWay:    len(endpoint.inFlight),
-		BudgetLeft:  d.service(endpoint.Service).extra.Left(d.budget, now),
-		Reserved:    now,
+		Endpoint:        endpoint,
+		Server:          endpoint.Server,
+		Incarnation:     endpoint.incarnation,
+		Expected:        d.expected(endpoint, demand, now),
+		HedgeDelay:      d.lateAfter(endpoint, demand, now),
+		ConnectTime:     d.connectTime(endpoint),
+		SchedulingDelay: demand.SchedulingDelay,
+		InFlight:        len(endpoint.inFlight),
+		BudgetLeft:      d.service(endpoint.Service).extra.Remaining(d.budget, now),
+		ReservedAt:      now,
 	}
 	endpoint.begin(now)
 	d.useColdTurn(endpoint, now)
@@ -215,8 +215,8 @@
 // sent and to be read.
 const schedulingDelays = 2
 
-// Open reports whether the endpoint still accepts requests.
-func (d *Directory) Open(endpoint *Endpoint) bool {
+// Serving reports whether the endpoint still accepts requests.
+func (d *Directory) Serving(endpoint *Endpoint) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return endpoint.serving() && d.byID[endpoint.ID] == endpoint && !d.evacuated[endpoint.Zone] &&
@@ -229,8 +229,8 @@
 const (
 	// ResultAnswered is a complete answer.
 	ResultAnswered Result = iota
-	// ResultErred is a complete answer that reports an error of the server.
-	ResultErred
+	// ResultServerError is a complete answer that reports an error of the server.
+	ResultServerError
 	// ResultRefused is a refusal by the server: the request did not run.
 	ResultRefused
 	// ResultFailed is a failed connection or a malformed answer.
@@ -241,11 +241,11 @@
 	ResultAbandoned
 	// ResultUnreachable is an address where nothing listens or answers.
 	ResultUnreachable
-	// ResultForeign is an address that now belongs to another server: the intended
+	// ResultWrongServer is an address that now belongs to another server: the intended
 	// one has ended.
-	ResultForeign
-	// ResultUnused is a reservation whose request was never sent.
-	ResultUnused
+	ResultWrongServer
+	// ResultNotSent is a reservation whose request was never sent.
+	ResultNotSent
 )
 
 // Finish ends a reservation and learns from its result.
@@ -253,12 +253,12 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	endpoint := choice.Endpoint
-	endpoint.end(choice.Reserved)
+	endpoint.end(choice.ReservedAt)
 	endpoint.updateUnreachable(result)
 	if result.responded() {
 		d.reachability(endpoint.Zone).recordResponse(now)
 	}
-	elapsed := now.Sub(choice.Reserved) - endpoint.location.roundTrip - choice.Connecting - schedulingDelays*choice.Delay
+	elapsed := now.Sub(choice.ReservedAt) - endpoint.location.roundTrip - choice.ConnectTime - schedulingDelays*choice.SchedulingDelay
 	d.recordSample(choice, estimate, result, elapsed, now)
 	// The part of the time that the reported pace explains is neither processing time nor
 	// learned slowness.
@@ -274,14 +274,14 @@
 	case ResultAnswered:
 		endpoint.succeeded(now)
 		endpoint.failures.record(false, now)
-		endpoint.learn(ratio, choice.Reserved, now)
-	case ResultErred:
+		endpoint.learn(ratio, choice.ReservedAt, now)
+	case ResultServerError:
 		// The time until an error is not a processing time.
 		endpoint.succeeded(now)
 		endpoint.failures.record(true, now)
 	case ResultAbandoned:
-		endpoint.learnAtLeast(ratio, choice.Reserved, now)
-		if endpoint.noResponseSince(choice.Reserved) {
+		endpoint.learnAtLeast(ratio, choice.ReservedAt, now)
+		if endpoint.noResponseSince(choice.ReservedAt) {
 			endpoint.failed(now)
 		}
 	case ResultRefused:
@@ -296,8 +296,8 @@
 	case ResultUnreachable:
 		endpoint.failed(now)
 		endpoint.backoffUntil = now.Add(maxBackoff)
-	case ResultForeign:
+	case ResultWrongServer:
 		endpoint.addressTaken = true
-	case ResultUnused:
+	case ResultNotSent:
 	}
 }
--- a/internal/endpoints/cold.go
+++ b/internal/endpoints/cold.go
@@ -36,7 +36,7 @@
 	if svc.coldRate <= 0 || !endpoint.cold(now) {
 		return true
 	}
-	if !d.sharers.Settled {
+	if !d.sharers.Known {
 		return false
 	}
 	turn, elapsed := d.turn(endpoint, svc.coldRate, now)
@@ -53,7 +53,7 @@
 // turn returns the number of the node's present turn at a cold server, from 1, and how
 // long ago it began.
 func (d *Directory) turn(endpoint *Endpoint, rate float64, now time.Time) (int64, time.Duration) {
-	nodes := max(d.sharers.Near+d.sharers.Far, 1)
+	nodes := max(d.sharers.Local+d.sharers.Remote, 1)
 	seconds := float64(nodes) / (coldShare * rate)
 	period := time.Duration(min(max(seconds, minTurnPeriod.Seconds()), maxTurnPeriod.Seconds()) * float64(time.Second))
 	offset := time.Duration(fraction(d.rank(endpoint.Server)) * float64(period))
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -10,13 +10,13 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// Sharers are the numbers of nodes that share the connections of a server.
-type Sharers struct {
-	// Near is the number of nodes in the server's own region, Far that of all others.
-	Near int
-	Far  int
-	// Settled is set once both have been counted.
-	Settled bool
+// NodeCounts are the numbers of nodes that share the connections of a server.
+type NodeCounts struct {
+	// Local is the number of nodes in the server's own region, Far that of all others.
+	Local  int
+	Remote int
+	// Known is set once both have been counted.
+	Known bool
 }
 
 // Directory holds the endpoints of all services. It is safe for concurrent use.
@@ -48,7 +48,7 @@
 	// grants are then the requests for extra sends from the pool.
 	pooled  bool
 	grants  grantRequests
-	sharers Sharers
+	sharers NodeCounts
 	byID    map[string]*Endpoint
 	// retired are recently ended servers by incarnation; unconfirmed are entries of a
 	// restored list, by ID, that have no effect yet.
@@ -84,7 +84,7 @@
 	return &Directory{
 		topology:    topology,
 		connections: connections,
-		sharers:     Sharers{Near: 1, Far: 1},
+		sharers:     NodeCounts{Local: 1, Remote: 1},
 		byID:        make(map[string]*Endpoint),
 		retired:     make(map[string]retiredServer),
 		unconfirmed: make(map[string]unconfirmedEntry),
@@ -98,13 +98,13 @@
 	}
 }
 
-// FollowRollouts sets the tracker that decides to which versions of a service requests may be
+// SetRolloutTracker sets the tracker that decides to which versions of a service requests may be
 // sent. It is called before the directory is used.
-func (d *Directory) FollowRollouts(versions *rollout.Tracker) { d.versions = versions }
+func (d *Directory) SetRolloutTracker(versions *rollout.Tracker) { d.versions = versions }
 
-// CountSuspensions sets the function that returns the total time for which the machine has been
+// SetSuspensionClock sets the function that returns the total time for which the machine has been
 // suspended, so that permissions expire meanwhile. It is called before the directory is used.
-func (d *Directory) CountSuspensions(suspended func() time.Duration) { d.suspended = suspended }
+func (d *Directory) SetSuspensionClock(suspended func() time.Duration) { d.suspended = suspended }
 
 // Put adds the server or updates its entry. If the server has restarted under its ID, Put
 // returns the incarnation that has ended: nothing that was learned of it applies to the new
@@ -153,7 +153,7 @@
 	}
 	endpoint.location = location{
 		zone:         endpoint.Zone,
-		local:        d.topology.Near(endpoint.Zone),
+		local:        d.topology.SameRegion(endpoint.Zone),
 		roundTrip:    d.topology.RoundTrip(endpoint.Zone),
 		reachability: d.reachability(endpoint.Zone),
 		rank:         d.rank(endpoint.Server),
@@ -255,9 +255,9 @@
 	}
 }
 
-// Share sets the retry budget of each service, whether a pool grants extra sends beyond it,
+// SetShares sets the retry budget of each service, whether a pool grants extra sends beyond it,
 // and the numbers of nodes that share the connections of a server.
-func (d *Directory) Share(budget retrybudget.Limits, pooled bool, sharers Sharers, now time.Time) {
+func (d *Directory) SetShares(budget retrybudget.Limits, pooled bool, sharers NodeCounts, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.budget, d.pooled = budget, pooled
@@ -282,8 +282,8 @@
 	return svc
 }
 
-// Listed reports whether the service has a server that may get requests of the route.
-func (d *Directory) Listed(service string, route *routing.Route) bool {
+// HasServer reports whether the service has a server that may get requests of the route.
+func (d *Directory) HasServer(service string, route *routing.Route) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return slices.ContainsFunc(d.currentlyAdmitted(service), func(endpoint *Endpoint) bool {
@@ -291,9 +291,9 @@
 	})
 }
 
-// Usable reports whether the service has a server that may get requests of the route and has
+// HasReachableServer reports whether the service has a server that may get requests of the route and has
 // not just been found unreachable.
-func (d *Directory) Usable(service string, route *routing.Route, now time.Time) bool {
+func (d *Directory) HasReachableServer(service string, route *routing.Route, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return slices.ContainsFunc(d.currentlyAdmitted(service), func(endpoint *Endpoint) bool {
--- a/internal/endpoints/directory_test.go
+++ b/internal/endpoints/directory_test.go
@@ -15,7 +15,7 @@
 func testTopology() Topology {
 	return Topology{
 		Node:    "node",
-		Own:     Place{Zone: "near-1", Region: "near"},
+		Own:     Locality{Zone: "near-1", Region: "near"},
 		Regions: map[string]string{"near-1": "near", "near-2": "near", "far-1": "far"},
 	}
 }
@@ -26,15 +26,15 @@
 
 func directoryOf(servers ...Server) *Directory {
 	directory := New(testTopology(), nil)
-	directory.Share(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, Sharers{Near: 1, Far: 1}, epoch)
+	directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 	for _, server := range servers {
 		directory.Put(server, epoch)
 	}
 	return directory
 }
 
-func demand(work *Estimate, tried ...*Endpoint) Demand {
-	return Demand{Service: "s", Work: work, Tried: tried, Left: 200 * time.Millisecond}
+func demand(work *Estimate, tried ...*Endpoint) Criteria {
+	return Criteria{Service: "s", Estimate: work, Tried: tried, TimeLeft: 200 * time.Millisecond}
 }
 
 // established returns an estimate as after many observations.
@@ -44,7 +44,7 @@
 	return estimate
 }
 
-func choose(t *testing.T, directory *Directory, request Demand, now time.Time) Choice {
+func choose(t *testing.T, directory *Directory, request Criteria, now time.Time) Choice {
 	t.Helper()
 	choice, availability := directory.Choose(request, now)
 	is.New(t).Equal(availability, Chosen)
@@ -71,7 +71,7 @@
 	work := NewEstimate(20 * time.Millisecond)
 	now := epoch
 	for range 10 {
-		choice := choose(t, directory, Demand{Service: "s", Work: NewEstimate(20 * time.Millisecond), Left: time.Hour}, now)
+		choice := choose(t, directory, Criteria{Service: "s", Estimate: NewEstimate(20 * time.Millisecond), TimeLeft: time.Hour}, now)
 		is.Equal(choice.Server.ID, "near")
 		now = now.Add(300 * time.Millisecond)
 		directory.Finish(choice, established(20*time.Millisecond), ResultAnswered, now)
@@ -146,7 +146,7 @@
 	is := is.New(t)
 	directory := directoryOf(server("only", "near-1"))
 	work := NewEstimate(20 * time.Millisecond)
-	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultForeign, epoch)
+	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultWrongServer, epoch)
 	_, availability := directory.Choose(demand(work), epoch.Add(time.Hour))
 	is.Equal(availability, NoServer)
 	directory.Put(server("next", "near-1"), epoch)
@@ -190,7 +190,7 @@
 	table, err := routing.NewTable(1, routing.Limits{}, []routing.Service{{Name: "s", MaximumConnections: 10}}, nil)
 	is.NoErr(err)
 	directory.Configure(table, epoch)
-	directory.Share(retrybudget.Limits{}, false, Sharers{Near: 2, Far: 6}, epoch)
+	directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: 2, Remote: 6}, epoch)
 	is.Equal(directory.IdleLimit(server("only", "near-1")), 2)
 	is.Equal(directory.IdleLimit(server("beside", "near-2")), 2) // another zone of the region
 	is.Equal(directory.IdleLimit(server("other", "far-1")), 0)   // less than one each
@@ -230,7 +230,7 @@
 		only := server("only", "near-1")
 		only.Slots = test.slots
 		directory := directoryOf(only)
-		directory.Share(retrybudget.Limits{}, false, Sharers{Near: test.near, Far: 1}, epoch)
+		directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: test.near, Remote: 1}, epoch)
 		work := NewEstimate(20 * time.Millisecond)
 		for range test.want {
 			choose(t, directory, demand(work), epoch)
@@ -270,7 +270,7 @@
 func TestRetryBudgetOfAService(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"))
-	directory.Share(retrybudget.Limits{Ratio: 0.5, Capacity: 1, Started: epoch.Add(time.Hour)}, false, Sharers{Near: 1, Far: 1}, epoch)
+	directory.SetShares(retrybudget.Limits{Ratio: 0.5, Capacity: 1, Started: epoch.Add(time.Hour)}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 	work := NewEstimate(20 * time.Millisecond)
 	extra := demand(work)
 	extra.Extra = true
@@ -288,8 +288,8 @@
 	work := NewEstimate(20 * time.Millisecond)
 	remoteOnly := choose(t, directoryOf(server("near", "near-1"), server("far", "far-1")), demand(work), epoch)
 	withLocal := choose(t, directoryOf(server("near", "near-1"), server("mid", "near-2")), demand(work), epoch)
-	is.True(remoteOnly.LateAfter > withLocal.LateAfter)
-	is.True(remoteOnly.LateAfter < 150*time.Millisecond) // leaves time for the hedge
+	is.True(remoteOnly.HedgeDelay > withLocal.HedgeDelay)
+	is.True(remoteOnly.HedgeDelay < 150*time.Millisecond) // leaves time for the hedge
 }
 
 func TestSlowLocalServerCausesNoEarlyHedge(t *testing.T) {
@@ -301,7 +301,7 @@
 	choice := choose(t, directory, demand(work), epoch)
 	is.Equal(choice.Server.ID, "far")
 	alone := choose(t, directoryOf(server("far", "far-1")), demand(work), epoch)
-	is.Equal(choice.LateAfter, alone.LateAfter)
+	is.Equal(choice.HedgeDelay, alone.HedgeDelay)
 }
 
 func TestEstimateFollowsProcessingTime(t *testing.T) {
@@ -315,5 +315,5 @@
 		estimate.observe(work, false)
 	}
 	is.True(estimate.Mean() > 8*time.Millisecond && estimate.Mean() < 18*time.Millisecond)
-	is.True(estimate.Late() >= estimate.Mean() && estimate.Late() < 40*time.Millisecond)
+	is.True(estimate.Quantile() >= estimate.Mean() && estimate.Quantile() < 40*time.Millisecond)
 }
--- a/internal/endpoints/estimate.go
+++ b/internal/endpoints/estimate.go
@@ -36,8 +36,8 @@
 // Mean returns the average processing time.
 func (e *Estimate) Mean() time.Duration { return e.mean }
 
-// Late returns the processing time after which a request is considered late.
-func (e *Estimate) Late() time.Duration { return e.quantile }
+// Quantile returns the processing time after which a request is considered late.
+func (e *Estimate) Quantile() time.Duration { return e.quantile }
 
 // maxSkipped is how many answers of slow servers in a row are skipped. If there are more,
 // the requests take longer than before at all servers.
--- a/internal/endpoints/failures_test.go
+++ b/internal/endpoints/failures_test.go
@@ -10,7 +10,7 @@
 // A server that fails some of its requests is not chosen first while another can answer in
 // time, not even right after a success. It is chosen first again after a while without failures.
 func TestUnreliableServerIsNotPreferred(t *testing.T) {
-	for _, result := range []Result{ResultFailed, ResultErred, ResultRefused} {
+	for _, result := range []Result{ResultFailed, ResultServerError, ResultRefused} {
 		is := is.New(t)
 		directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 		work := established(20 * time.Millisecond)
@@ -18,7 +18,7 @@
 		now := epoch
 		for _, end := range []Result{result, ResultAnswered, result} {
 			near.begin(now)
-			directory.Finish(Choice{Endpoint: near, Server: near.Server, Reserved: now}, work, end, now.Add(20*time.Millisecond))
+			directory.Finish(Choice{Endpoint: near, Server: near.Server, ReservedAt: now}, work, end, now.Add(20*time.Millisecond))
 			now = now.Add(400 * time.Millisecond)
 		}
 		is.True(!near.backingOff(now))
@@ -75,7 +75,7 @@
 	work := established(20 * time.Millisecond)
 	for step := range 20 {
 		now := epoch.Add(time.Duration(step) * time.Second)
-		directory.Finish(choose(t, directory, demand(work), now), work, ResultErred, now.Add(time.Millisecond))
+		directory.Finish(choose(t, directory, demand(work), now), work, ResultServerError, now.Add(time.Millisecond))
 	}
 	is.Equal(work.Mean(), 20*time.Millisecond)
 }
--- a/internal/endpoints/growth.go
+++ b/internal/endpoints/growth.go
@@ -39,11 +39,11 @@
 	return float64(g.added) > incompleteGrowth*float64(g.listed) && now.Sub(g.addedAt) < growthPause
 }
 
-// Growing reports whether the lists of the services taken together are incomplete, so that
+// ListGrowing reports whether the lists of the services taken together are incomplete, so that
 // the few known servers would get all requests. Servers added to other services, such as
 // those of the next version of an index, do not count, and a node that knew servers before
 // the outage still has them (see Withdraw).
-func (d *Directory) Growing(services []string, now time.Time) bool {
+func (d *Directory) ListGrowing(services []string, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.firstList || !now.Before(d.settledAt) {
--- a/internal/endpoints/learn_test.go
+++ b/internal/endpoints/learn_test.go
@@ -86,7 +86,7 @@
 	slow.slowness, slow.slownessUpdatedAt = 4, epoch // 80 of the 200 ms left
 	is.Equal(choose(t, directory, demand(work), epoch).Server.ID, "far")
 	patient := demand(work)
-	patient.Left = time.Second
+	patient.TimeLeft = time.Second
 	is.Equal(choose(t, directory, patient, epoch).Server.ID, "near")
 }
 
@@ -99,7 +99,7 @@
 		work.observe(20*time.Millisecond, false)
 	}
 	is.Equal(work.Mean(), 20*time.Millisecond)
-	is.True(work.Late() <= 40*time.Millisecond)
+	is.True(work.Quantile() <= 40*time.Millisecond)
 }
 
 // The estimate follows when requests take longer at all servers.
@@ -122,11 +122,11 @@
 		work.quantile = 150 * time.Millisecond
 		choice := choose(t, directory, demand(work), epoch)
 		is.Equal(choice.Server.ID, "near")
-		is.True(choice.LateAfter <= 140*time.Millisecond) // of the 200 ms left
-		is.True(choice.LateAfter >= 50*time.Millisecond)
+		is.True(choice.HedgeDelay <= 140*time.Millisecond) // of the 200 ms left
+		is.True(choice.HedgeDelay >= 50*time.Millisecond)
 		late := demand(work)
-		late.Left = 20 * time.Millisecond
-		directory.Finish(choice, work, ResultUnused, epoch)
-		is.True(choose(t, directory, late, epoch).LateAfter >= 150*time.Millisecond) // the quantile
+		late.TimeLeft = 20 * time.Millisecond
+		directory.Finish(choice, work, ResultNotSent, epoch)
+		is.True(choose(t, directory, late, epoch).HedgeDelay >= 150*time.Millisecond) // the quantile
 	}
 }
--- a/internal/endpoints/listed.go
+++ b/internal/endpoints/listed.go
@@ -2,8 +2,8 @@
 
 import "github.com/driftstage/driftstage/internal/catalog"
 
-// Differences returns the changes that turn the listed servers into the given ones.
-func (d *Directory) Differences(servers []Server) []catalog.Change[Server] {
+// Diff returns the changes that turn the listed servers into the given ones.
+func (d *Directory) Diff(servers []Server) []catalog.Change[Server] {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var changes []catalog.Change[Server]
--- a/internal/endpoints/listed_test.go
+++ b/internal/endpoints/listed_test.go
@@ -36,7 +36,7 @@
 	}
 	list := slices.Clone(all[100:])
 	list[0].Draining = true
-	changes := directory.Differences(list)
+	changes := directory.Diff(list)
 	is.Equal(len(changes), 100+100+1) // gone, new and changed
 	for _, change := range changes {
 		if change.Removed {
@@ -46,6 +46,6 @@
 		follower.Put(change.Value, epoch)
 	}
 	directory.Replace(list, epoch)
-	is.Equal(len(directory.Differences(list)), 0)
-	is.Equal(len(follower.Differences(list)), 0)
+	is.Equal(len(directory.Diff(list)), 0)
+	is.Equal(len(follower.Diff(list)), 0)
 }
--- a/internal/endpoints/pace.go
+++ b/internal/endpoints/pace.go
@@ -53,8 +53,8 @@
 	return min(max(paceFactor*p.reportedAt.Sub(p.slowSince), minPaceHalfLife), maxSlownessHalfLife)
 }
 
-// NoteLoad records the load that the chosen server has reported.
-func (d *Directory) NoteLoad(choice Choice, load upstream.Load, now time.Time) {
+// RecordLoad records the load that the chosen server has reported.
+func (d *Directory) RecordLoad(choice Choice, load upstream.Load, now time.Time) {
 	if load.Pace <= 0 {
 		return
 	}
--- a/internal/endpoints/pace_test.go
+++ b/internal/endpoints/pace_test.go
@@ -11,7 +11,7 @@
 
 // finishWithPace ends the reservation with an answer that took the given time and reported the pace.
 func finishWithPace(directory *Directory, choice Choice, work *Estimate, took time.Duration, pace float64, now time.Time) {
-	directory.NoteLoad(choice, upstream.Load{Slots: 4, Pace: pace}, now.Add(took))
+	directory.RecordLoad(choice, upstream.Load{Slots: 4, Pace: pace}, now.Add(took))
 	directory.Finish(choice, work, ResultAnswered, now.Add(took))
 }
 
@@ -52,7 +52,7 @@
 		directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 		now := epoch
 		for range 3 {
-			choice := choose(t, directory, Demand{Service: "s", Work: established(20 * time.Millisecond), Left: time.Hour}, now)
+			choice := choose(t, directory, Criteria{Service: "s", Estimate: established(20 * time.Millisecond), TimeLeft: time.Hour}, now)
 			is.Equal(choice.Server.ID, "near")
 			finishWithPace(directory, choice, established(20*time.Millisecond), 200*time.Millisecond, pace, now)
 			now = now.Add(210 * time.Millisecond)
--- a/internal/endpoints/reachability.go
+++ b/internal/endpoints/reachability.go
@@ -59,23 +59,23 @@
 // responded reports whether the result shows that the server's zone is reachable.
 func (r Result) responded() bool {
 	switch r {
-	case ResultAnswered, ResultErred, ResultRefused, ResultReset, ResultForeign:
+	case ResultAnswered, ResultServerError, ResultRefused, ResultReset, ResultWrongServer:
 		return true
 	}
 	return false
 }
 
-// NoteHeard records that the zone is reachable.
-func (d *Directory) NoteHeard(zone string, now time.Time) {
+// MarkReachable records that the zone is reachable.
+func (d *Directory) MarkReachable(zone string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.reachability(zone).recordResponse(now)
 }
 
-// OutOfReach reports whether the zone of a server with a request in flight is unreachable,
+// ZoneUnreachable reports whether the zone of a server with a request in flight is unreachable,
 // so that the answer is not worth waiting for. A request that was sent before the
 // zone's last response, or too recently, is no evidence of that.
-func (d *Directory) OutOfReach(endpoint *Endpoint, now time.Time) bool {
+func (d *Directory) ZoneUnreachable(endpoint *Endpoint, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	zone := d.reachability(endpoint.Zone)
@@ -88,8 +88,8 @@
 	return zone.unreachable()
 }
 
-// SilentZones returns the unreachable zones in sorted order.
-func (d *Directory) SilentZones() []string {
+// UnreachableZones returns the unreachable zones in sorted order.
+func (d *Directory) UnreachableZones() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var zones []string
@@ -102,9 +102,9 @@
 	return zones
 }
 
-// CutOff reports whether this node is isolated: no zone other than its own responds, and
+// Isolated reports whether this node is isolated: no zone other than its own responds, and
 // at least one is known to be unreachable.
-func (d *Directory) CutOff(now time.Time) bool {
+func (d *Directory) Isolated(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	unreachable := false
@@ -120,11 +120,11 @@
 	return unreachable
 }
 
-// Probes returns a server of each zone without recent response while any zone is
+// ProbeTargets returns a server of each zone without recent response while any zone is
 // unreachable. Probes find out whether a zone is reachable without risking a request, also
 // for zones that currently get no requests.
-func (d *Directory) Probes(now time.Time) []Server {
-	if len(d.SilentZones()) == 0 {
+func (d *Directory) ProbeTargets(now time.Time) []Server {
+	if len(d.UnreachableZones()) == 0 {
 		return nil
 	}
 	d.mutex.Lock()
--- a/internal/endpoints/reachability_test.go
+++ b/internal/endpoints/reachability_test.go
@@ -23,7 +23,7 @@
 	for _, id := range ids {
 		endpoint := directory.byID[id]
 		endpoint.begin(now)
-		directory.OutOfReach(endpoint, now.Add(unresponsiveAfter))
+		directory.ZoneUnreachable(endpoint, now.Add(unresponsiveAfter))
 	}
 }
 
@@ -31,12 +31,12 @@
 	is := is.New(t)
 	directory := twoZones()
 	leaveUnanswered(directory, epoch, "other-a", "other-b")
-	is.Equal(len(directory.SilentZones()), 0) // two servers may hang by themselves
+	is.Equal(len(directory.UnreachableZones()), 0) // two servers may hang by themselves
 	leaveUnanswered(directory, epoch, "other-a")
-	is.Equal(len(directory.SilentZones()), 0)
+	is.Equal(len(directory.UnreachableZones()), 0)
 	leaveUnanswered(directory, epoch, "other-c")
-	is.Equal(directory.SilentZones(), []string{"near-2"})
-	is.True(directory.OutOfReach(directory.byID["other-d"], epoch))
+	is.Equal(directory.UnreachableZones(), []string{"near-2"})
+	is.True(directory.ZoneUnreachable(directory.byID["other-d"], epoch))
 	// No request is sent there, not even a hedge after all other servers were tried.
 	request := demand(established(20 * time.Millisecond))
 	for _, id := range []string{"own-a", "own-b", "own-c", "own-d", "far"} {
@@ -44,14 +44,14 @@
 	}
 	_, found := directory.Choose(request, epoch.Add(time.Second))
 	is.Equal(found, NoServer)
-	directory.NoteHeard("near-2", epoch.Add(time.Second))
+	directory.MarkReachable("near-2", epoch.Add(time.Second))
 	choose(t, directory, request, epoch.Add(time.Second))
 }
 
 // A response of any other server in between shows that servers hang and the zone is reachable.
 func TestAnyResponseShowsThatTheZoneIsReachable(t *testing.T) {
 	for result, unreachable := range map[Result]bool{
-		ResultAnswered: false, ResultErred: false, ResultRefused: false, ResultReset: false,
+		ResultAnswered: false, ResultServerError: false, ResultRefused: false, ResultReset: false,
 		ResultFailed: true, ResultAbandoned: true, ResultUnreachable: true,
 	} {
 		is := is.New(t)
@@ -60,9 +60,9 @@
 		other := directory.byID["other-d"]
 		now := epoch.Add(100 * time.Millisecond)
 		other.begin(now)
-		directory.Finish(Choice{Endpoint: other, Server: other.Server, Reserved: now}, established(20*time.Millisecond), result, now.Add(time.Millisecond))
+		directory.Finish(Choice{Endpoint: other, Server: other.Server, ReservedAt: now}, established(20*time.Millisecond), result, now.Add(time.Millisecond))
 		leaveUnanswered(directory, epoch.Add(200*time.Millisecond), "other-c")
-		is.Equal(len(directory.SilentZones()) == 1, unreachable)
+		is.Equal(len(directory.UnreachableZones()) == 1, unreachable)
 	}
 }
 
@@ -73,7 +73,7 @@
 	directory := twoZones()
 	for _, id := range []string{"other-a", "other-b", "other-c", "other-d"} {
 		directory.byID[id].begin(epoch)
-		is.True(!directory.OutOfReach(directory.byID[id], epoch.Add(unresponsiveAfter-time.Millisecond)))
+		is.True(!directory.ZoneUnreachable(directory.byID[id], epoch.Add(unresponsiveAfter-time.Millisecond)))
 	}
 }
 
@@ -81,26 +81,26 @@
 func TestRequestsBeforeTheLastResponseAreNoEvidence(t *testing.T) {
 	is := is.New(t)
 	directory := twoZones()
-	directory.NoteHeard("near-2", epoch.Add(10*time.Millisecond))
+	directory.MarkReachable("near-2", epoch.Add(10*time.Millisecond))
 	leaveUnanswered(directory, epoch, "other-a", "other-b", "other-c", "other-d")
-	is.Equal(len(directory.SilentZones()), 0)
+	is.Equal(len(directory.UnreachableZones()), 0)
 }
 
 func TestNodeWithoutResponsesOfOtherZonesIsIsolated(t *testing.T) {
 	is := is.New(t)
 	directory := twoZones()
-	directory.NoteHeard("far-1", epoch)
+	directory.MarkReachable("far-1", epoch)
 	leaveUnanswered(directory, epoch, "other-a", "other-b", "other-c")
-	is.True(!directory.CutOff(epoch.Add(isolationTime / 2))) // the other region has responded
-	is.True(directory.CutOff(epoch.Add(2 * isolationTime)))
+	is.True(!directory.Isolated(epoch.Add(isolationTime / 2))) // the other region has responded
+	is.True(directory.Isolated(epoch.Add(2 * isolationTime)))
 	probed := make(map[string]bool)
-	for _, probe := range directory.Probes(epoch.Add(2 * isolationTime)) {
+	for _, probe := range directory.ProbeTargets(epoch.Add(2 * isolationTime)) {
 		probed[probe.Zone] = true
 	}
 	is.True(probed["near-2"])
 	is.True(probed["far-1"]) // its last response is too old
-	directory.NoteHeard("far-1", epoch.Add(2*isolationTime))
-	is.True(!directory.CutOff(epoch.Add(2 * isolationTime)))
-	directory.NoteHeard("near-2", epoch.Add(3*isolationTime))
-	is.Equal(len(directory.Probes(epoch.Add(4*isolationTime))), 0)
+	directory.MarkReachable("far-1", epoch.Add(2*isolationTime))
+	is.True(!directory.Isolated(epoch.Add(2 * isolationTime)))
+	directory.MarkReachable("near-2", epoch.Add(3*isolationTime))
+	is.Equal(len(directory.ProbeTargets(epoch.Add(4*isolationTime))), 0)
 }
--- a/internal/endpoints/refusals.go
+++ b/internal/endpoints/refusals.go
@@ -45,16 +45,16 @@
 	return r.refused*r.decay(now) >= minRefusals && r.refused >= overloadShare*r.ended
 }
 
-// Pressed reports whether the servers are overloaded, judging by how many attempts of this
+// Shedding reports whether the servers are overloaded, judging by how many attempts of this
 // node they refused recently.
-func (d *Directory) Pressed(now time.Time) bool {
+func (d *Directory) Shedding(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.refusals.high(now)
 }
 
-// Fresh reports whether this node has just received its first list of servers.
-func (d *Directory) Fresh(now time.Time) bool {
+// JustStarted reports whether this node has just received its first list of servers.
+func (d *Directory) JustStarted(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return now.Sub(d.firstServerAt) < startTime
--- a/internal/endpoints/refusals_test.go
+++ b/internal/endpoints/refusals_test.go
@@ -37,7 +37,7 @@
 func TestNodeHasJustStartedAfterItsFirstList(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(someServers(1)...)
-	is.True(directory.Fresh(epoch))
+	is.True(directory.JustStarted(epoch))
 	directory.Put(someServers(2)[1], epoch.Add(startTime))
-	is.True(!directory.Fresh(epoch.Add(startTime)))
+	is.True(!directory.JustStarted(epoch.Add(startTime)))
 }
--- a/internal/endpoints/restart_test.go
+++ b/internal/endpoints/restart_test.go
@@ -9,7 +9,7 @@
 )
 
 // startedAt returns a server of a fixed ID that started at the given time.
-func startedAt(born Birth) Server {
+func startedAt(born StartTime) Server {
 	return Server{ID: "i-1", Born: born, Service: "s", Address: "127.0.0.1:1", Zone: "near-1", Slots: 3}
 }
 
@@ -37,8 +37,8 @@
 	is.True(current.cold(epoch.Add(2 * time.Second)))
 	is.Equal(directory.Count(), 1)
 	is.Equal(len(directory.service("s").endpoints), 1)
-	is.True(!directory.Open(old)) // requests about to be sent to it are withheld
-	is.True(directory.Open(current))
+	is.True(!directory.Serving(old)) // requests about to be sent to it are withheld
+	is.True(directory.Serving(current))
 }
 
 // The result of an attempt at the earlier process says nothing about the later one.
@@ -47,7 +47,7 @@
 	directory := New(testTopology(), nil)
 	directory.Put(startedAt(100), epoch)
 	estimate := NewEstimate(10 * time.Millisecond)
-	choice, availability := directory.Choose(Demand{Service: "s", Work: estimate, Left: time.Second}, epoch)
+	choice, availability := directory.Choose(Criteria{Service: "s", Estimate: estimate, TimeLeft: time.Second}, epoch)
 	is.Equal(availability, Chosen)
 	is.Equal(choice.Incarnation, "i-1@100")
 	directory.Put(startedAt(200), epoch)
@@ -60,10 +60,10 @@
 func TestStartTimesOutOfOrder(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		known    Birth
-		received Birth
+		known    StartTime
+		received StartTime
 		restarts bool
-		want     Birth
+		want     StartTime
 	}{
 		{"the same", 100, 100, false, 100},
 		{"a later one", 100, 200, true, 200},
@@ -93,14 +93,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		directory := New(testTopology(), nil)
 		ended := make(map[string]int)
-		latest, known := Birth(0), false
+		latest, known := StartTime(0), false
 		recordEnded := func(incarnations ...string) {
 			for _, incarnation := range incarnations {
 				ended[incarnation]++
 			}
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			server := startedAt(Birth(rapid.IntRange(1, 9).Draw(t, "born")))
+			server := startedAt(StartTime(rapid.IntRange(1, 9).Draw(t, "born")))
 			switch rapid.IntRange(0, 3).Draw(t, "by") {
 			case 0:
 				if incarnation, again := directory.Put(server, epoch); again {
--- a/internal/endpoints/restored.go
+++ b/internal/endpoints/restored.go
@@ -82,9 +82,9 @@
 	return false
 }
 
-// ContradictionCount returns how many entries have no effect yet because they contradict the known
+// UnconfirmedCounts returns how many entries have no effect yet because they contradict the known
 // state, and how many servers are missing in the list and temporarily kept.
-func (d *Directory) ContradictionCount() (unconfirmed, missing int) {
+func (d *Directory) UnconfirmedCounts() (unconfirmed, missing int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, endpoint := range d.byID {
@@ -108,7 +108,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for incarnation, retired := range d.retired {
-		if now.Sub(retired.endedAt) > catalog.OldestCopy {
+		if now.Sub(retired.endedAt) > catalog.MaxBackupAge {
 			delete(d.retired, incarnation)
 		}
 	}
--- a/internal/endpoints/restored_test.go
+++ b/internal/endpoints/restored_test.go
@@ -31,7 +31,7 @@
 	leaving := all[0]
 	leaving.Draining = true
 	directory.Put(leaving, epoch)
-	directory.Withdraw("i-1", epoch)
+	directory.Deregister("i-1", epoch)
 	is.Equal(eligibleIDs(directory, epoch), []string{"i-2", "i-3"})
 	directory.ReplaceRestored(all, epoch.Add(time.Second))
 	now := epoch.Add(time.Second + settleTime - time.Millisecond)
@@ -40,7 +40,7 @@
 	directory.DropUnlisted(now)
 	is.Equal(eligibleIDs(directory, now), []string{"i-2", "i-3"})
 	is.Equal(len(directory.ListedServers()), 4) // other nodes get the list unchanged
-	directory.Withdraw("i-1", now)              // its entry expires
+	directory.Deregister("i-1", now)            // its entry expires
 	directory.DropUnlisted(now.Add(time.Millisecond))
 	is.Equal(eligibleIDs(directory, now.Add(time.Millisecond)), []string{"i-0", "i-2", "i-3"})
 }
@@ -50,7 +50,7 @@
 	is := is.New(t)
 	all := someServers(3)
 	directory := directoryOf(all...)
-	directory.Withdraw("i-0", epoch)
+	directory.Deregister("i-0", epoch)
 	directory.ReplaceRestored(all, epoch.Add(time.Second))
 	is.Equal(eligibleIDs(directory, epoch.Add(time.Second)), []string{"i-1", "i-2"})
 	written := all[0]
@@ -78,7 +78,7 @@
 	older, newer := server("i-old", "near-1"), server("i-new", "near-1")
 	older.Created, newer.Created = catalog.NewRevision(1, 5), catalog.NewRevision(1, 9)
 	directory := directoryOf(older)
-	directory.Withdraw(older.ID, epoch)
+	directory.Deregister(older.ID, epoch)
 	directory.Put(newer, epoch)
 	older.Created = catalog.NewRevision(2, 5)
 	directory.ReplaceRestored([]Server{older}, epoch)
--- a/internal/endpoints/restored_zones.go
+++ b/internal/endpoints/restored_zones.go
@@ -22,12 +22,12 @@
 	clear(d.unconfirmedZones)
 	for zone := range d.evacuated {
 		if !slices.Contains(zones, zone) {
-			d.unconfirmedZones[zone] = unconfirmedZone{evacuated: false, until: now.Add(catalog.RewriteTime)}
+			d.unconfirmedZones[zone] = unconfirmedZone{evacuated: false, until: now.Add(catalog.OperatorRewriteTime)}
 		}
 	}
 	for _, zone := range zones {
-		if ended, known := d.readmitted[zone]; known && !d.evacuated[zone] && now.Sub(ended) < catalog.OldestCopy {
-			d.unconfirmedZones[zone] = unconfirmedZone{evacuated: true, until: now.Add(catalog.RewriteTime)}
+		if ended, known := d.readmitted[zone]; known && !d.evacuated[zone] && now.Sub(ended) < catalog.MaxBackupAge {
+			d.unconfirmedZones[zone] = unconfirmedZone{evacuated: true, until: now.Add(catalog.OperatorRewriteTime)}
 		} else {
 			d.evacuated[zone] = true
 		}
--- a/internal/endpoints/restored_zones_test.go
+++ b/internal/endpoints/restored_zones_test.go
@@ -24,6 +24,6 @@
 	directory.SetEvacuated([]string{"ended", "kept"}, epoch.Add(2*time.Second)) // a list of the same era
 	is.Equal(directory.Evacuated(), []string{"kept", "lost", "rewritten"})
 	directory.Evacuate("rewritten")
-	directory.DropUnlisted(epoch.Add(time.Second + catalog.RewriteTime))
+	directory.DropUnlisted(epoch.Add(time.Second + catalog.OperatorRewriteTime))
 	is.Equal(directory.Evacuated(), []string{"ended", "kept", "rewritten"}) // nobody has repeated the other changes
 }
--- a/internal/endpoints/retries.go
+++ b/internal/endpoints/retries.go
@@ -20,7 +20,7 @@
 
 // grantRequests are the requests for extra sends of services that lack one.
 type grantRequests struct {
-	pending retrybudget.Wants
+	pending retrybudget.SendCounts
 	// takenAt is when the latest request of a service was taken to be sent to the pool.
 	takenAt map[string]time.Time
 	// notify has an element when there are pending requests.
@@ -28,12 +28,12 @@
 }
 
 func newGrantRequests() grantRequests {
-	return grantRequests{pending: make(retrybudget.Wants), takenAt: make(map[string]time.Time), notify: make(chan struct{}, 1)}
+	return grantRequests{pending: make(retrybudget.SendCounts), takenAt: make(map[string]time.Time), notify: make(chan struct{}, 1)}
 }
 
-// RetriesWanted returns a channel that signals when services lack extra sends that a pool may
+// GrantsNeeded returns a channel that signals when services lack extra sends that a pool may
 // grant.
-func (d *Directory) RetriesWanted() <-chan struct{} { return d.grants.notify }
+func (d *Directory) GrantsNeeded() <-chan struct{} { return d.grants.notify }
 
 // requestGrant requests an extra send for the service; the mutex is held.
 func (d *Directory) requestGrant(service string, now time.Time) {
@@ -51,12 +51,12 @@
 	}
 }
 
-// TakeWants returns the extra sends to request from the pool and clears them.
-func (d *Directory) TakeWants(now time.Time) retrybudget.Wants {
+// TakeGrantRequests returns the extra sends to request from the pool and clears them.
+func (d *Directory) TakeGrantRequests(now time.Time) retrybudget.SendCounts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	taken := d.grants.pending
-	d.grants.pending = make(retrybudget.Wants)
+	d.grants.pending = make(retrybudget.SendCounts)
 	for service := range taken {
 		d.grants.takenAt[service] = now
 	}
@@ -64,7 +64,7 @@
 }
 
 // GrantRetries adds extra sends that the pool granted to a request made at the given time.
-func (d *Directory) GrantRetries(granted retrybudget.Wants, requested time.Time) {
+func (d *Directory) GrantRetries(granted retrybudget.SendCounts, requested time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for service, count := range granted {
@@ -79,7 +79,7 @@
 		if suspended := d.suspended(); suspended-d.budgetSuspended >= minSuspension {
 			d.budgetSuspended = suspended
 			for _, service := range d.services {
-				service.extra.Suspend()
+				service.extra.ResetEarned()
 			}
 		}
 	}
--- a/internal/endpoints/server.go
+++ b/internal/endpoints/server.go
@@ -10,16 +10,16 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// Birth is the start time of a server process in Unix milliseconds by the server's clock;
+// StartTime is the start time of a server process in Unix milliseconds by the server's clock;
 // zero if the server does not report it.
-type Birth int64
+type StartTime int64
 
 // Server is one process of a server as described by its registry entry.
 type Server struct {
 	// ID is unique among the servers that run at one time. A restarted server may keep its ID
 	// and then has another Birth.
 	ID      string
-	Born    Birth `json:",omitempty"`
+	Born    StartTime `json:",omitempty"`
 	Service string
 	// Address is IP:port.
 	Address string
@@ -49,8 +49,8 @@
 	return other.Born > 0 && s.Born > other.Born
 }
 
-// Place is the locality of a node or server.
-type Place struct {
+// Locality is the locality of a node or server.
+type Locality struct {
 	Zone   string
 	Region string
 }
@@ -66,7 +66,7 @@
 type Topology struct {
 	// Node is this node's name.
 	Node string
-	Own  Place
+	Own  Locality
 	// Regions is the region of each zone.
 	Regions map[string]string
 }
@@ -76,7 +76,7 @@
 	switch {
 	case zone == t.Own.Zone:
 		return sameZoneRoundTrip
-	case t.Near(zone):
+	case t.SameRegion(zone):
 		return sameRegionRoundTrip
 	default:
 		return otherRegionRoundTrip
@@ -96,7 +96,7 @@
 	rank uint64
 }
 
-// Near reports whether the zone is in this node's region.
-func (t Topology) Near(zone string) bool {
+// SameRegion reports whether the zone is in this node's region.
+func (t Topology) SameRegion(zone string) bool {
 	return t.Regions[zone] == t.Own.Region
 }
--- a/internal/endpoints/prospect_test.go
+++ b/internal/endpoints/service_health_test.go
@@ -13,18 +13,18 @@
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := established(20 * time.Millisecond)
-	is.Equal(directory.Prospect("s", nil, epoch), Prospect{Extra: 10})
+	is.Equal(directory.ServiceHealth("s", nil, epoch), ServiceHealth{RetryBudget: 10})
 	near := choose(t, directory, demand(work), epoch)
 	directory.Finish(near, work, ResultRefused, epoch)
-	is.Equal(directory.Prospect("s", nil, epoch).Failing, 0.0) // the other one has refused nothing
+	is.Equal(directory.ServiceHealth("s", nil, epoch).FailureRate, 0.0) // the other one has refused nothing
 	second := demand(work, near.Endpoint)
 	second.Extra = true
 	directory.Finish(choose(t, directory, second, epoch), work, ResultRefused, epoch)
-	is.Equal(directory.Prospect("s", nil, epoch), Prospect{Failing: failureWeight, Extra: 9})
-	is.True(directory.Prospect("s", nil, epoch.Add(10*failureHalfLife)).Failing < 0.01)
+	is.Equal(directory.ServiceHealth("s", nil, epoch), ServiceHealth{FailureRate: failureWeight, RetryBudget: 9})
+	is.True(directory.ServiceHealth("s", nil, epoch.Add(10*failureHalfLife)).FailureRate < 0.01)
 }
 
 // A service without servers is expected to fail all requests.
 func TestProspectWithoutServers(t *testing.T) {
-	is.New(t).Equal(directoryOf().Prospect("s", nil, epoch).Failing, 1.0)
+	is.New(t).Equal(directoryOf().ServiceHealth("s", nil, epoch).FailureRate, 1.0)
 }
--- a/internal/endpoints/settling.go
+++ b/internal/endpoints/settling.go
@@ -18,16 +18,16 @@
 	}
 }
 
-// Settling reports whether servers that are alive may be missing in the list.
-func (d *Directory) Settling(now time.Time) bool {
+// ListIncomplete reports whether servers that are alive may be missing in the list.
+func (d *Directory) ListIncomplete(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return now.Before(d.settledAt)
 }
 
-// Resume records that the watch of the list goes on after a store outage. An incomplete
+// WatchResumed records that the watch of the list goes on after a store outage. An incomplete
 // first list stays marked as such if the store fails again before it has settled.
-func (d *Directory) Resume(now time.Time) {
+func (d *Directory) WatchResumed(now time.Time) {
 	d.mutex.Lock()
 	first := d.firstList && now.Before(d.settledAt)
 	d.mutex.Unlock()
@@ -83,11 +83,11 @@
 	}
 }
 
-// Withdraw handles the removal of a server's entry. It returns the incarnation that was removed
+// Deregister handles the removal of a server's entry. It returns the incarnation that was removed
 // from the directory, if one was. While the list settles after an outage, entries expire because
 // their servers could not renew them: such servers are kept until the list is complete, as in
 // ReplaceAfterOutage. A server that has announced that it leaves is not kept.
-func (d *Directory) Withdraw(id string, now time.Time) (removed string, known bool) {
+func (d *Directory) Deregister(id string, now time.Time) (removed string, known bool) {
 	if d.keepUnlisted(id, now) {
 		return "", false
 	}
--- a/internal/endpoints/settling_test.go
+++ b/internal/endpoints/settling_test.go
@@ -24,7 +24,7 @@
 	directory := directoryOf(all...)
 	is.Equal(len(directory.ReplaceAfterOutage(all[:2], epoch)), 0)
 	is.Equal(directory.Count(), 8)
-	is.True(!directory.Growing([]string{"s"}, epoch)) // nothing is missing here
+	is.True(!directory.ListGrowing([]string{"s"}, epoch)) // nothing is missing here
 	for _, back := range all[2:7] {
 		directory.Put(back, epoch.Add(time.Second))
 	}
@@ -47,7 +47,7 @@
 	is.Equal(directory.Count(), 2)
 	choose(t, directory, demand(work), epoch.Add(time.Second))
 	directory.Put(all[1], epoch.Add(time.Second)) // its entry is back
-	is.True(!directory.Growing([]string{"s"}, epoch.Add(time.Second)))
+	is.True(!directory.ListGrowing([]string{"s"}, epoch.Add(time.Second)))
 	settled := epoch.Add(settleTime)
 	for range 3 {
 		is.Equal(choose(t, directory, demand(work), settled).Server.ID, "i-1") // the other one has ended
@@ -60,10 +60,10 @@
 func TestLaterOutageDoesNotKeepAMissingServer(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(someServers(2)...)
-	directory.Resume(epoch)
+	directory.WatchResumed(epoch)
 	is.True(!withdrawn(directory, "i-0", epoch))
 	again := epoch.Add(settleTime / 2)
-	directory.Resume(again)
+	directory.WatchResumed(again)
 	is.True(!withdrawn(directory, "i-0", again))
 	is.Equal(directory.DropUnlisted(epoch.Add(settleTime)), []string{"i-0"})
 }
@@ -112,9 +112,9 @@
 		added.ID, added.Service = "next-"+added.ID, "next"
 		directory.Put(added, now)
 	}
-	is.True(!directory.Growing([]string{"s"}, now))
-	is.True(directory.Growing([]string{"next"}, now))
-	is.True(directory.Growing([]string{"s", "next"}, now)) // 40 of 48 have just come
+	is.True(!directory.ListGrowing([]string{"s"}, now))
+	is.True(directory.ListGrowing([]string{"next"}, now))
+	is.True(directory.ListGrowing([]string{"s", "next"}, now)) // 40 of 48 have just come
 }
 
 // A node that knew servers before the outage keeps them: additional servers have just
@@ -127,8 +127,8 @@
 	for _, added := range all[4:] {
 		directory.Put(added, epoch.Add(time.Second))
 	}
-	is.True(directory.Settling(epoch.Add(time.Second)))
-	is.True(!directory.Growing([]string{"s"}, epoch.Add(time.Second)))
+	is.True(directory.ListIncomplete(epoch.Add(time.Second)))
+	is.True(!directory.ListGrowing([]string{"s"}, epoch.Add(time.Second)))
 }
 
 // A node that starts after an outage sees an incomplete list grow.
@@ -137,18 +137,18 @@
 	all := someServers(20)
 	directory := directoryOf()
 	directory.ReplaceAfterOutage(all[:4], epoch)
-	is.True(directory.Settling(epoch))
-	is.True(!directory.Growing([]string{"s"}, epoch))
+	is.True(directory.ListIncomplete(epoch))
+	is.True(!directory.ListGrowing([]string{"s"}, epoch))
 	now := epoch.Add(300 * time.Millisecond)
 	directory.Put(all[4], now)
-	is.True(!directory.Growing([]string{"s"}, now)) // a single new server
+	is.True(!directory.ListGrowing([]string{"s"}, now)) // a single new server
 	directory.Put(all[5], now)
-	is.True(directory.Growing([]string{"s"}, now))
-	is.True(!directory.Growing([]string{"s"}, now.Add(growthPause))) // no more come
+	is.True(directory.ListGrowing([]string{"s"}, now))
+	is.True(!directory.ListGrowing([]string{"s"}, now.Add(growthPause))) // no more come
 	late := epoch.Add(settleTime)
 	directory.Put(all[6], late)
-	is.True(!directory.Growing([]string{"s"}, late))
-	is.True(!directory.Settling(late))
+	is.True(!directory.ListGrowing([]string{"s"}, late))
+	is.True(!directory.ListIncomplete(late))
 }
 
 func TestFirstListStaysIncompleteIfTheStoreFailsAgain(t *testing.T) {
@@ -157,20 +157,20 @@
 	directory := directoryOf()
 	directory.ReplaceAfterOutage(all[:4], epoch)
 	now := epoch.Add(time.Second)
-	directory.Resume(now)
+	directory.WatchResumed(now)
 	for _, added := range all[4:8] {
 		directory.Put(added, now)
 	}
-	is.True(directory.Growing([]string{"s"}, now))
-	directory.Resume(now.Add(settleTime)) // the list was complete by then
+	is.True(directory.ListGrowing([]string{"s"}, now))
+	directory.WatchResumed(now.Add(settleTime)) // the list was complete by then
 	directory.Put(all[9], now.Add(settleTime))
 	directory.Put(all[10], now.Add(settleTime))
 	directory.Put(all[11], now.Add(settleTime))
-	is.True(!directory.Growing([]string{"s"}, now.Add(settleTime)))
+	is.True(!directory.ListGrowing([]string{"s"}, now.Add(settleTime)))
 }
 
 // withdrawn withdraws the server and reports whether it was removed.
 func withdrawn(directory *Directory, id string, now time.Time) bool {
-	removed, known := directory.Withdraw(id, now)
+	removed, known := directory.Deregister(id, now)
 	return known && removed == id
 }
--- a/internal/endpoints/share.go
+++ b/internal/endpoints/share.go
@@ -67,7 +67,7 @@
 	if slots == 0 {
 		return 0
 	}
-	share := math.Ceil(slotFactor * float64(slots) / float64(max(d.sharers.Near, 1)))
+	share := math.Ceil(slotFactor * float64(slots) / float64(max(d.sharers.Local, 1)))
 	return max(float64(slots-1), share)
 }
 
@@ -97,10 +97,10 @@
 	switch {
 	case maximum == 0:
 		return NoLimit
-	case d.topology.Near(server.Zone):
-		return localIdleShare * maximum / float64(max(d.sharers.Near, 1))
+	case d.topology.SameRegion(server.Zone):
+		return localIdleShare * maximum / float64(max(d.sharers.Local, 1))
 	default:
-		return remoteIdleShare * maximum / float64(max(d.sharers.Far, 1))
+		return remoteIdleShare * maximum / float64(max(d.sharers.Remote, 1))
 	}
 }
 
@@ -110,7 +110,7 @@
 // each server gets connections from about equally many nodes.
 func (d *Directory) inSubset(server Server, share float64) bool {
 	own := d.rank(server)
-	local := d.topology.Near(server.Zone)
+	local := d.topology.SameRegion(server.Zone)
 	peers, before := 0, 0
 	for _, other := range d.service(server.Service).endpoints {
 		if other.location.local != local {
--- a/internal/endpoints/share_test.go
+++ b/internal/endpoints/share_test.go
@@ -18,7 +18,7 @@
 
 // sharedDirectory returns the directory of one of many nodes, with servers that
 // accept the given number of connections.
-func sharedDirectory(t *testing.T, node string, connections int, sharers Sharers, servers []Server) *Directory {
+func sharedDirectory(t *testing.T, node string, connections int, sharers NodeCounts, servers []Server) *Directory {
 	t.Helper()
 	topology := testTopology()
 	topology.Node = node
@@ -26,7 +26,7 @@
 	table, err := routing.NewTable(1, routing.Limits{}, []routing.Service{{Name: "s", MaximumConnections: connections}}, nil)
 	is.New(t).NoErr(err)
 	directory.Configure(table, epoch)
-	directory.Share(retrybudget.Limits{}, false, sharers, epoch)
+	directory.SetShares(retrybudget.Limits{}, false, sharers, epoch)
 	for _, server := range servers {
 		directory.Put(server, epoch)
 	}
@@ -39,7 +39,7 @@
 	remote := []Server{server("f1", "far-1"), server("f2", "far-1")}
 	kept := make(map[string]int)
 	for number := range nodes {
-		directory := sharedDirectory(t, fmt.Sprint("node-", number), connections, Sharers{Near: 24, Far: nodes}, remote)
+		directory := sharedDirectory(t, fmt.Sprint("node-", number), connections, NodeCounts{Local: 24, Remote: nodes}, remote)
 		own := 0
 		for _, server := range remote {
 			limit := directory.IdleLimit(server)
@@ -60,7 +60,7 @@
 	local := []Server{server("n1", "near-1")}
 	kept := 0
 	for number := range nodes {
-		kept += sharedDirectory(t, fmt.Sprint("node-", number), connections, Sharers{Near: nodes, Far: 1}, local).IdleLimit(local[0])
+		kept += sharedDirectory(t, fmt.Sprint("node-", number), connections, NodeCounts{Local: nodes, Remote: 1}, local).IdleLimit(local[0])
 	}
 	is.True(kept >= 8)
 	is.True(kept <= 30) // 18 expected
@@ -69,17 +69,17 @@
 func TestServersWithAnIdleConnectionComeFirst(t *testing.T) {
 	is := is.New(t)
 	directory := New(testTopology(), idle{"b": true})
-	directory.Share(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, Sharers{Near: 1, Far: 1}, epoch)
+	directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 	for _, id := range []string{"a", "b", "c"} {
 		directory.Put(server(id, "far-1"), epoch)
 	}
 	work := NewEstimate(20 * time.Millisecond)
 	first := choose(t, directory, demand(work), epoch)
 	is.Equal(first.Server.ID, "b")
-	is.Equal(first.Connecting, time.Duration(0))
+	is.Equal(first.ConnectTime, time.Duration(0))
 	second := choose(t, directory, demand(work, first.Endpoint), epoch)
-	is.Equal(second.Connecting, otherRegionRoundTrip+acceptTime)
-	is.Equal(second.Expected, first.Expected+second.Connecting)
+	is.Equal(second.ConnectTime, otherRegionRoundTrip+acceptTime)
+	is.Equal(second.Expected, first.Expected+second.ConnectTime)
 }
 
 // The time to establish a connection is not attributed to the server.
@@ -104,7 +104,7 @@
 		for _, server := range servers {
 			directory.Put(server, epoch)
 		}
-		return choose(t, directory, demand(work), epoch).LateAfter
+		return choose(t, directory, demand(work), epoch).HedgeDelay
 	}
 	is.Equal(late(idle{"near": true, "far": true})-late(idle{"near": true}), otherRegionRoundTrip+acceptTime)
 }
@@ -113,13 +113,13 @@
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"), server("b", "near-1"))
 	first := choose(t, directory, demand(NewEstimate(20*time.Millisecond)), epoch)
-	is.True(directory.Open(first.Endpoint))
+	is.True(directory.Serving(first.Endpoint))
 	draining := first.Server
 	draining.Draining = true
 	directory.Put(draining, epoch)
-	is.True(!directory.Open(first.Endpoint))
+	is.True(!directory.Serving(first.Endpoint))
 	second := directory.byID["b"]
-	is.True(directory.Open(second))
+	is.True(directory.Serving(second))
 	directory.Remove("b")
-	is.True(!directory.Open(second))
+	is.True(!directory.Serving(second))
 }
--- a/internal/endpoints/suspended_test.go
+++ b/internal/endpoints/suspended_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageShift, 14*time.Second)
 	suspended := time.Duration(0)
-	fixture.directory.CountSuspensions(func() time.Duration { return suspended })
+	fixture.directory.SetSuspensionClock(func() time.Duration { return suspended })
 	is.True(fixture.send(50, false, ResultAnswered, true)[newVersion] > 0)
 	suspended = 5 * time.Second
 	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0)
@@ -35,15 +35,15 @@
 				d.EarnRetries("s", epoch)
 			}
 		}},
-		{"grants", retrybudget.Limits{}, func(d *Directory) { d.GrantRetries(retrybudget.Wants{"s": 2}, epoch) }},
+		{"grants", retrybudget.Limits{}, func(d *Directory) { d.GrantRetries(retrybudget.SendCounts{"s": 2}, epoch) }},
 		{"spent capacity", retrybudget.Limits{Capacity: 1, Started: epoch.Add(-time.Hour)}, func(*Directory) {}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			directory := directoryOf(server("a", "near-1"))
 			suspended := time.Duration(0)
-			directory.CountSuspensions(func() time.Duration { return suspended })
-			directory.Share(test.limits, true, Sharers{Near: 1, Far: 1}, epoch)
+			directory.SetSuspensionClock(func() time.Duration { return suspended })
+			directory.SetShares(test.limits, true, NodeCounts{Local: 1, Remote: 1}, epoch)
 			extra := demand(NewEstimate(20 * time.Millisecond))
 			extra.Extra = true
 			test.earn(directory)
--- a/internal/endpoints/versions.go
+++ b/internal/endpoints/versions.go
@@ -24,11 +24,11 @@
 }
 
 // admit returns the versions to which a request may be sent.
-func (d *Directory) admit(demand Demand, now time.Time) rollout.Admission {
+func (d *Directory) admit(demand Criteria, now time.Time) rollout.Admission {
 	if d.versions == nil {
 		return rollout.Admission{}
 	}
-	ask := rollout.Ask{Service: demand.Service, Extra: demand.Extra, Repeatable: demand.Route == nil || demand.Route.Repeatable}
+	ask := rollout.Attempt{Service: demand.Service, Extra: demand.Extra, Repeatable: demand.Route == nil || demand.Route.Repeatable}
 	return d.versions.Admit(ask, d.withSuspension(now))
 }
 
@@ -38,7 +38,7 @@
 	if d.versions == nil {
 		return d.service(service).endpoints
 	}
-	return d.admitted(service, d.versions.Standing(service, time.Now()))
+	return d.admitted(service, d.versions.DefaultAdmission(service, time.Now()))
 }
 
 // admitted returns the servers of a service that the admission allows.
@@ -49,9 +49,9 @@
 	}
 	allowed := d.allowedByOrders(all, admission)
 	switch {
-	case admission.Dense():
+	case admission.SingleServer():
 		return firstRanked(allowed, admission)
-	case admission.MayBypass() && !anyReachable(allowed):
+	case admission.AllowsFallback() && !anyReachable(allowed):
 		return all
 	}
 	return allowed
@@ -78,7 +78,7 @@
 	inUse := make(map[rollout.Version]bool)
 	var oldest *Endpoint
 	for _, endpoint := range all {
-		if !admission.Unexplained(endpoint.candidate()) {
+		if !admission.NewerThanOrders(endpoint.candidate()) {
 			inUse[endpoint.Version] = true
 		}
 		if oldest == nil || endpoint.Created < oldest.Created {
@@ -91,7 +91,7 @@
 	var allowed []*Endpoint
 	for _, endpoint := range all {
 		candidate := endpoint.candidate()
-		explained := inUse[endpoint.Version] || admission.Explains(candidate)
+		explained := inUse[endpoint.Version] || admission.IsTarget(candidate)
 		if explained && admission.Allows(candidate) {
 			allowed = append(allowed, endpoint)
 		}
@@ -140,7 +140,7 @@
 		return
 	}
 	sample := rollout.Sample{Result: outcome(result), Cold: choice.Endpoint.cold(now)}
-	sample.Ratio = float64(elapsed) / float64(max(estimate.Mean(), time.Millisecond))
+	sample.LatencyRatio = float64(elapsed) / float64(max(estimate.Mean(), time.Millisecond))
 	d.versions.End(choice.candidate(), choice.Admission, choice.Route, sample, d.withSuspension(now))
 }
 
@@ -149,11 +149,11 @@
 	switch result {
 	case ResultAnswered:
 		return rollout.OutcomeAnswered
-	case ResultErred, ResultRefused, ResultFailed, ResultReset, ResultUnreachable:
+	case ResultServerError, ResultRefused, ResultFailed, ResultReset, ResultUnreachable:
 		return rollout.OutcomeFailed
 	case ResultAbandoned:
-		return rollout.OutcomeSilent
-	case ResultUnused:
+		return rollout.OutcomeAbandoned
+	case ResultNotSent:
 		return rollout.OutcomeUnsent
 	}
 	return rollout.OutcomeNone
@@ -173,7 +173,7 @@
 		case !endpoint.serving():
 		case endpoint.Version != order.Target:
 			fleet.Others++
-		case endpoint.Created > order.StartedSince() || endpoint.Created == 0:
+		case endpoint.Created > order.ServersSince() || endpoint.Created == 0:
 			fleet.New++
 		default:
 			fleet.Earlier++
--- a/internal/endpoints/versions_test.go
+++ b/internal/endpoints/versions_test.go
@@ -22,7 +22,7 @@
 	newCreated   = catalog.Revision(30)
 )
 
-var testBounds = rollout.Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
+var testBounds = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second}
 
 // versionFixture is a directory of two old and two new servers of one service.
 type versionFixture struct {
@@ -34,13 +34,13 @@
 
 func newVersionFixture() *versionFixture {
 	fixture := &versionFixture{
-		directory: New(Topology{Node: "n", Own: Place{Zone: "z", Region: "r"}, Regions: map[string]string{"z": "r"}}, nil),
+		directory: New(Topology{Node: "n", Own: Locality{Zone: "z", Region: "r"}, Regions: map[string]string{"z": "r"}}, nil),
 		tracker:   rollout.NewTracker(testBounds),
 		now:       time.Now(),
 		estimate:  NewEstimate(10 * time.Millisecond),
 	}
-	fixture.directory.FollowRollouts(fixture.tracker)
-	fixture.directory.Share(retrybudget.Limits{Ratio: 1, Capacity: 1000}, false, Sharers{Near: 1, Far: 1, Settled: true}, fixture.now)
+	fixture.directory.SetRolloutTracker(fixture.tracker)
+	fixture.directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 1000}, false, NodeCounts{Local: 1, Remote: 1, Known: true}, fixture.now)
 	for index := range 2 {
 		fixture.put(fmt.Sprintf("old-%d", index), oldVersion, oldCreated)
 	}
@@ -91,7 +91,7 @@
 		if !extra {
 			f.directory.EarnRetries("s", f.now)
 		}
-		choice, availability := f.directory.Choose(Demand{Service: "s", Route: route, Extra: extra, Work: f.estimate, Left: time.Second}, f.now)
+		choice, availability := f.directory.Choose(Criteria{Service: "s", Route: route, Extra: extra, Estimate: f.estimate, TimeLeft: time.Second}, f.now)
 		if availability != Chosen {
 			sent["none"]++
 			continue
@@ -107,7 +107,7 @@
 func (f *versionFixture) sendUnanswered(count int) map[rollout.Version]int {
 	sent := make(map[rollout.Version]int)
 	for range count {
-		choice, _ := f.directory.Choose(Demand{Service: "s", Work: f.estimate, Left: time.Second}, f.now)
+		choice, _ := f.directory.Choose(Criteria{Service: "s", Estimate: f.estimate, TimeLeft: time.Second}, f.now)
 		sent[choice.Server.Version]++
 	}
 	return sent
@@ -187,7 +187,7 @@
 	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0) // its results are unreported for 3 s
 	reports, news := fixture.tracker.Reports(fixture.now)
 	is.True(news)
-	fixture.tracker.Reported([]rollout.Key{reports[0].Key()}, fixture.now)
+	fixture.tracker.MarkReported([]rollout.Key{reports[0].Key()}, fixture.now)
 	is.True(fixture.send(50, false, ResultAnswered, true)[newVersion] > 0)
 }
 
@@ -203,12 +203,12 @@
 	is := is.New(t)
 	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageWhole, 0)
 	route := &routing.Route{Name: "route", Repeatable: true}
-	choice, _ := fixture.directory.Choose(Demand{Service: "s", Route: route, Work: fixture.estimate, Left: time.Second}, fixture.now)
+	choice, _ := fixture.directory.Choose(Criteria{Service: "s", Route: route, Estimate: fixture.estimate, TimeLeft: time.Second}, fixture.now)
 	is.Equal(choice.Server.Version, newVersion)
-	is.True(fixture.directory.Open(choice.Endpoint))
+	is.True(fixture.directory.Serving(choice.Endpoint))
 	reports, _ := fixture.tracker.Reports(fixture.now)
 	is.True(fixture.tracker.Halt(reports[0].Key()))
-	is.True(!fixture.directory.Open(choice.Endpoint)) // requests that wait for a connection are withheld
+	is.True(!fixture.directory.Serving(choice.Endpoint)) // requests that wait for a connection are withheld
 	is.Equal(fixture.send(50, false, ResultAnswered, true)[newVersion], 0)
 	is.True(!fixture.tracker.Halt(reports[0].Key())) // already halted
 }
@@ -295,7 +295,7 @@
 		sent := make(map[string]bool)
 		for range 20 {
 			fixture.directory.EarnRetries("s", fixture.now)
-			choice, _ := fixture.directory.Choose(Demand{Service: "s", Route: route, Work: fixture.estimate, Left: time.Second}, fixture.now)
+			choice, _ := fixture.directory.Choose(Criteria{Service: "s", Route: route, Estimate: fixture.estimate, TimeLeft: time.Second}, fixture.now)
 			if choice.Server.Version == newVersion {
 				sent[choice.Server.ID] = true
 				used[choice.Server.ID] = true
@@ -311,11 +311,11 @@
 func TestReportCountsBothVersions(t *testing.T) {
 	is := is.New(t)
 	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageShift, 14*time.Second)
-	fixture.send(100, false, ResultErred, true)
+	fixture.send(100, false, ResultServerError, true)
 	reports, _ := fixture.tracker.Reports(fixture.now)
 	is.Equal(len(reports), 1)
 	is.Equal(reports[0].Requests, uint32(100))
-	is.Equal(reports[0].OldUnderWay, 0)
+	is.Equal(reports[0].OldInFlight, 0)
 	counts := reports[0].Routes[0]
 	added := rollout.Counts{}
 	for _, server := range counts.New {
--- a/internal/endpoints/zones.go
+++ b/internal/endpoints/zones.go
@@ -14,7 +14,7 @@
 }
 
 // eligible reports whether the server may get this request.
-func (d *Directory) eligible(endpoint *Endpoint, demand Demand, now time.Time) bool {
+func (d *Directory) eligible(endpoint *Endpoint, demand Criteria, now time.Time) bool {
 	return endpoint.serving() && !endpoint.expired(now) && d.allowed(endpoint, demand.Route) &&
 		!slices.Contains(demand.Tried, endpoint) && (demand.Only == nil || slices.Contains(demand.Only, endpoint))
 }
@@ -29,7 +29,7 @@
 		return true
 	}
 	region, known := d.topology.Regions[endpoint.Zone]
-	return known && route.Allows(region)
+	return known && route.AllowsRegion(region)
 }
 
 // Evacuate stops new requests to the servers of the zone.
--- a/internal/endpoints/zones_test.go
+++ b/internal/endpoints/zones_test.go
@@ -13,7 +13,7 @@
 )
 
 // demandIn returns the demand of a route that is restricted to the regions.
-func demandIn(regions ...string) Demand {
+func demandIn(regions ...string) Criteria {
 	request := demand(NewEstimate(20 * time.Millisecond))
 	request.Route = &routing.Route{Regions: regions}
 	return request
@@ -38,7 +38,7 @@
 			choice, found := directory.Choose(demandIn(test.regions...), epoch)
 			is.Equal(found, test.found)
 			is.Equal(choice.Server.ID, test.want)
-			is.Equal(directory.Listed("s", &routing.Route{Regions: test.regions}), test.found == Chosen)
+			is.Equal(directory.HasServer("s", &routing.Route{Regions: test.regions}), test.found == Chosen)
 		})
 	}
 }
@@ -71,13 +71,13 @@
 	is.Equal(before.Server.ID, "near")
 	directory.Evacuate("near-1")
 	is.Equal(directory.Evacuated(), []string{"near-1"})
-	is.True(!directory.Open(before.Endpoint)) // requests not written yet are withheld
+	is.True(!directory.Serving(before.Endpoint)) // requests not written yet are withheld
 	is.Equal(choose(t, directory, demandIn(), epoch).Server.ID, "far")
 	_, found := directory.Choose(demandIn("near"), epoch)
 	is.Equal(found, NoServer) // no other server is in the route's region
-	is.True(!directory.Listed("s", &routing.Route{Regions: []string{"near"}}))
+	is.True(!directory.HasServer("s", &routing.Route{Regions: []string{"near"}}))
 	directory.EndEvacuation("near-1", epoch)
-	is.True(directory.Open(before.Endpoint))
+	is.True(directory.Serving(before.Endpoint))
 	is.Equal(choose(t, directory, demandIn(), epoch).Server.ID, "near")
 }
 
@@ -102,7 +102,7 @@
 	regions := []string{"near", "far", "elsewhere"}
 	rapid.Check(t, func(t *rapid.T) {
 		directory := New(testTopology(), nil)
-		directory.Share(retrybudget.Limits{Ratio: 1, Capacity: 100}, false, Sharers{Near: 1, Far: 1}, epoch)
+		directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 100}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 		now := epoch
 		var tried []*Endpoint
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -118,7 +118,7 @@
 				}
 				directory.Put(listed, now)
 			case 2:
-				directory.Withdraw(id, now)
+				directory.Deregister(id, now)
 			case 3:
 				directory.Evacuate(zone)
 			case 4:
@@ -133,7 +133,7 @@
 				}
 				endpoint := choice.Endpoint
 				region := testTopology().Regions[endpoint.Zone]
-				if !request.Route.Allows(region) || endpoint.Draining || directory.evacuated[endpoint.Zone] ||
+				if !request.Route.AllowsRegion(region) || endpoint.Draining || directory.evacuated[endpoint.Zone] ||
 					slices.Contains(request.Tried, endpoint) || directory.byID[endpoint.ID] != endpoint {
 					t.Fatalf("a request restricted to regions %v was sent to %+v", request.Route.Regions, endpoint.Server)
 				}
--- a/internal/exchange/admit.go
+++ b/internal/exchange/admit.go
@@ -21,7 +21,7 @@
 // after the target, so that the refusal itself would make it late.
 func (c *Core) admit(now time.Duration, batch *Batch) bool {
 	switch {
-	case c.plan.Gather && now < c.plan.Patience && c.servers.Growing():
+	case c.plan.Gather && now < c.plan.HoldUntil && c.servers.ListGrowing():
 		c.holdForServers(HoldGrowing, now, batch)
 		return false
 	case c.plan.Gather && len(c.shards)-len(c.unlisted()) < c.plan.LeastShards:
@@ -42,20 +42,20 @@
 // holdForServers holds the request while servers may be missing from the list, and refuses
 // it after that.
 func (c *Core) holdForServers(hold Hold, now time.Duration, batch *Batch) {
-	if !c.servers.Settling() || now >= c.plan.Patience {
+	if !c.servers.ListIncomplete() || now >= c.plan.HoldUntil {
 		c.refuse(CauseNoServers, batch)
 		return
 	}
 	c.wasHeld, c.releaseAt = true, 0
 	batch.Hold = hold
-	batch.Wake = min(now+pollInterval, c.plan.Patience)
+	batch.Wake = min(now+pollInterval, c.plan.HoldUntil)
 }
 
 // released reports whether a request that was held may start. Many requests are held for
 // the same servers; released at the same time, they would overload these.
 func (c *Core) released(now time.Duration, batch *Batch) bool {
 	if c.releaseAt == 0 {
-		c.releaseAt = min(now+time.Duration(c.plan.Spread*float64(now)), max(now, c.plan.Patience))
+		c.releaseAt = min(now+time.Duration(c.plan.Jitter*float64(now)), max(now, c.plan.HoldUntil))
 	}
 	if now >= c.releaseAt {
 		return true
@@ -67,16 +67,16 @@
 // yields reports whether a late request is held back in favor of others on a node that
 // has just started, and schedules its next check.
 func (c *Core) yields(now time.Duration, batch *Batch) bool {
-	if now >= c.plan.Yield || !c.plan.Late && now < c.plan.Target {
+	if now >= c.plan.YieldUntil || !c.plan.ArrivedLate && now < c.plan.Target {
 		return false
 	}
 	if now >= c.yieldCheckAt {
 		if !c.mustYield() {
 			return false
 		}
-		c.yieldCheckAt = now + pollInterval + time.Duration(c.plan.Spread*float64(c.plan.Yield-now))
+		c.yieldCheckAt = now + pollInterval + time.Duration(c.plan.Jitter*float64(c.plan.YieldUntil-now))
 	}
-	batch.Hold, batch.Wake = HoldYield, min(c.yieldCheckAt, c.plan.Yield)
+	batch.Hold, batch.Wake = HoldYield, min(c.yieldCheckAt, c.plan.YieldUntil)
 	return true
 }
 
@@ -84,9 +84,9 @@
 // started, later ones hold it while servers shed load.
 func (c *Core) mustYield() bool {
 	if c.yieldCheckAt == 0 {
-		return c.servers.Fresh()
+		return c.servers.JustStarted()
 	}
-	return c.servers.Pressed()
+	return c.servers.Shedding()
 }
 
 // refuse ends the request before anything is sent.
@@ -99,7 +99,7 @@
 func (c *Core) unlisted() []string {
 	var services []string
 	for _, service := range c.plan.Services {
-		if !c.servers.Listed(service) {
+		if !c.servers.HasServer(service) {
 			services = append(services, service)
 		}
 	}
--- a/internal/exchange/admit_test.go
+++ b/internal/exchange/admit_test.go
@@ -55,7 +55,7 @@
 	is := is.New(t)
 	servers := &fakeServers{servers: map[string]int{"a": 1}, settling: true}
 	plan := gatherPlan("a", "b")
-	plan.Spread = 0.5
+	plan.Jitter = 0.5
 	core := New(plan, servers)
 	is.Equal(core.Start(0).Hold, HoldUnlisted)
 	servers.servers["b"], servers.growing = 1, true
@@ -82,10 +82,10 @@
 	is := is.New(t)
 	servers := &fakeServers{servers: map[string]int{"a": 1}, fresh: true, pressed: true}
 	plan := gatherPlan("a")
-	plan.Yield, plan.Spread = time.Second, 0.5
+	plan.YieldUntil, plan.Jitter = time.Second, 0.5
 	is.Equal(len(New(plan, servers).Start(0).Sends), 1) // in time
 
-	plan.Late = true
+	plan.ArrivedLate = true
 	core := New(plan, servers)
 	batch := core.Start(0)
 	is.Equal(batch.Hold, HoldYield)
@@ -101,11 +101,11 @@
 func TestLateRequestYieldsForALimitedTime(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a")
-	plan.Late, plan.Yield, plan.Spread = true, time.Second, 0.9
+	plan.ArrivedLate, plan.YieldUntil, plan.Jitter = true, time.Second, 0.9
 	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, fresh: true, pressed: true})
 	batch := core.Start(0)
 	for len(batch.Sends) == 0 {
-		is.True(batch.Wake <= plan.Yield)
+		is.True(batch.Wake <= plan.YieldUntil)
 		batch = core.Tick(batch.Wake)
 	}
 }
@@ -115,7 +115,7 @@
 func TestLateRequestDoesNotYieldOnAnOlderNode(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a")
-	plan.Late, plan.Yield = true, time.Second
+	plan.ArrivedLate, plan.YieldUntil = true, time.Second
 	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, pressed: true})
 	is.Equal(len(core.Start(0).Sends), 1)
 }
--- a/internal/exchange/budget.go
+++ b/internal/exchange/budget.go
@@ -18,21 +18,21 @@
 // A request that lacks budget at some shards wastes the budget of the others, and its
 // caller waits for nothing.
 func (c *Core) likelyToSucceed() bool {
-	if !c.servers.Pressed() {
+	if !c.servers.Shedding() {
 		return true
 	}
 	probabilities := make([]float64, len(c.plan.Services))
 	for index, service := range c.plan.Services {
-		probabilities[index] = answerProbability(c.servers.Prospect(service))
+		probabilities[index] = answerProbability(c.servers.ServiceHealth(service))
 	}
-	return probabilityAtLeast(probabilities, c.plan.LeastShards) > minSuccessProbability*c.plan.Spread
+	return probabilityAtLeast(probabilities, c.plan.LeastShards) > minSuccessProbability*c.plan.Jitter
 }
 
 // answerProbability returns the probability that a shard answers at least one of the sends
 // that its budget allows.
-func answerProbability(prospect endpoints.Prospect) float64 {
-	extra := min(max(math.Floor(prospect.Extra), 0), maxRefused)
-	return 1 - math.Pow(prospect.Failing, 1+extra)
+func answerProbability(prospect endpoints.ServiceHealth) float64 {
+	extra := min(max(math.Floor(prospect.RetryBudget), 0), maxRefused)
+	return 1 - math.Pow(prospect.FailureRate, 1+extra)
 }
 
 // probabilityAtLeast returns the probability that at least the given number of independent
--- a/internal/exchange/budget_test.go
+++ b/internal/exchange/budget_test.go
@@ -12,13 +12,13 @@
 // A gathered request is started only if the retry budgets left at its shards make a success
 // likely; otherwise it is refused at once, with nothing sent.
 func TestGatheredRequestWithoutEnoughBudgetIsRefusedAtOnce(t *testing.T) {
-	failing := func(extra float64) endpoints.Prospect {
-		return endpoints.Prospect{Failing: 0.6, Extra: extra}
+	failing := func(extra float64) endpoints.ServiceHealth {
+		return endpoints.ServiceHealth{FailureRate: 0.6, RetryBudget: extra}
 	}
-	reliable := endpoints.Prospect{Extra: 0}
+	reliable := endpoints.ServiceHealth{RetryBudget: 0}
 	for _, test := range []struct {
 		name  string
-		shard endpoints.Prospect
+		shard endpoints.ServiceHealth
 		least int
 		// draw is the request's random number, 0 to 1.
 		draw float64
@@ -32,19 +32,19 @@
 		{"refusals, little budget, a lucky draw", failing(0), 4, 0.02, true},
 		{"refusals, and less than one send", failing(0.9), 4, 0.5, false},
 		{"refusals, and more spent than allowed", failing(-3), 4, 0.5, false},
-		{"low failure rate, and more spent than allowed", endpoints.Prospect{Failing: 0.05, Extra: -3}, 4, 0.5, true},
+		{"low failure rate, and more spent than allowed", endpoints.ServiceHealth{FailureRate: 0.05, RetryBudget: -3}, 4, 0.5, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			services := []string{"a", "b", "c", "d"}
-			servers := &fakeServers{servers: make(map[string]int), prospects: make(map[string]endpoints.Prospect), pressed: true}
+			servers := &fakeServers{servers: make(map[string]int), prospects: make(map[string]endpoints.ServiceHealth), pressed: true}
 			for _, service := range services {
 				servers.servers[service] = 3
 				servers.prospects[service] = test.shard
 			}
 			plan := gatherPlan(services...)
 			plan.LeastShards = test.least
-			plan.Spread = test.draw
+			plan.Jitter = test.draw
 			core := New(plan, servers)
 			batch := core.Start(0)
 			is.Equal(len(batch.Sends) == len(services), test.want)
@@ -61,14 +61,14 @@
 // Without recent refusals, requests are started whatever the recorded failure rates.
 func TestRequestIsStartedOnceServersRefuseNothing(t *testing.T) {
 	is := is.New(t)
-	servers := &fakeServers{servers: map[string]int{"a": 2}, prospects: map[string]endpoints.Prospect{"a": {Failing: 1}}}
+	servers := &fakeServers{servers: map[string]int{"a": 2}, prospects: map[string]endpoints.ServiceHealth{"a": {FailureRate: 1}}}
 	is.Equal(len(New(gatherPlan("a"), servers).Start(0).Sends), 1)
 }
 
 // A request for one server wastes no budget of other shards: it is always sent.
 func TestSingleServerRequestIsSentWhateverTheBudget(t *testing.T) {
 	is := is.New(t)
-	servers := &fakeServers{servers: map[string]int{"a": 2}, prospects: map[string]endpoints.Prospect{"a": {Failing: 1}}, pressed: true}
+	servers := &fakeServers{servers: map[string]int{"a": 2}, prospects: map[string]endpoints.ServiceHealth{"a": {FailureRate: 1}}, pressed: true}
 	is.Equal(len(New(singlePlan(false), servers).Start(0).Sends), 1)
 }
 
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/driftstage/driftstage/internal/care"
+	"github.com/driftstage/driftstage/internal/crashguard"
 	"github.com/driftstage/driftstage/internal/endpoints"
 	"github.com/driftstage/driftstage/internal/upstream"
 	"github.com/driftstage/driftstage/internal/verdict"
@@ -44,7 +44,7 @@
 	// its first check.
 	yieldCheckAt time.Duration
 	// guard stops a request that may terminate the servers that run it.
-	guard care.State
+	guard crashguard.Guard
 	// budgetExhausted is set once a shard is lost for lack of retry budget.
 	budgetExhausted bool
 }
@@ -66,9 +66,9 @@
 // maxShortenedShare is the largest share of the target that Shorten subtracts.
 const maxShortenedShare = 0.1
 
-// Shorten moves the target to an earlier time by what this node needs to return the answer,
+// ShortenTarget moves the target to an earlier time by what this node needs to return the answer,
 // as far as that became known only after the start.
-func (c *Core) Shorten(needed time.Duration) {
+func (c *Core) ShortenTarget(needed time.Duration) {
 	c.plan.Target -= min(needed, time.Duration(maxShortenedShare*float64(c.plan.Target)))
 }
 
@@ -272,7 +272,7 @@
 		attempt := &shard.attempts[index]
 		// The loop does not stop at the first reachable server: each call of OutOfReach
 		// also records the silence of that server for the reachability of its zone.
-		if !attempt.finished && !c.servers.OutOfReach(attempt.choice.Endpoint) {
+		if !attempt.finished && !c.servers.ZoneUnreachable(attempt.choice.Endpoint) {
 			unreachable = false
 		}
 	}
@@ -339,16 +339,16 @@
 	switch {
 	case availability == endpoints.Busy:
 		return c.plan.Deadline
-	case availability == endpoints.NoServer && (len(shard.attempts) > 0 || !c.servers.Settling()):
+	case availability == endpoints.NoServer && (len(shard.attempts) > 0 || !c.servers.ListIncomplete()):
 		return 0
 	case availability == endpoints.Cold && !c.plan.Gather:
 		return 0
 	case (availability == endpoints.NoBudget || availability == endpoints.Cold) && c.plan.Gather:
 		return c.plan.Target
-	case c.servers.Settling() && c.plan.Gather:
+	case c.servers.ListIncomplete() && c.plan.Gather:
 		return c.plan.Target
-	case c.servers.Settling():
-		return c.plan.Patience
+	case c.servers.ListIncomplete():
+		return c.plan.HoldUntil
 	}
 	return time.Duration(earlyRefusalShare * float64(c.plan.Target))
 }
--- a/internal/exchange/fake_test.go
+++ b/internal/exchange/fake_test.go
@@ -41,22 +41,24 @@
 	// pressed is set while servers shed load, fresh while the node has just started.
 	pressed, fresh bool
 	// prospects are the failure rates and retry budgets of the services.
-	prospects map[string]endpoints.Prospect
+	prospects map[string]endpoints.ServiceHealth
 	// created are the servers that have been created, in order.
 	created map[string][]*endpoints.Endpoint
 }
 
-func (f *fakeServers) Listed(service string) bool { return f.servers[service] > 0 }
+func (f *fakeServers) HasServer(service string) bool { return f.servers[service] > 0 }
 
-func (f *fakeServers) Settling() bool { return f.settling }
+func (f *fakeServers) ListIncomplete() bool { return f.settling }
 
-func (f *fakeServers) Growing() bool { return f.growing }
+func (f *fakeServers) ListGrowing() bool { return f.growing }
 
-func (f *fakeServers) Pressed() bool { return f.pressed }
+func (f *fakeServers) Shedding() bool { return f.pressed }
 
-func (f *fakeServers) Fresh() bool { return f.fresh }
+func (f *fakeServers) JustStarted() bool { return f.fresh }
 
-func (f *fakeServers) Prospect(service string) endpoints.Prospect { return f.prospects[service] }
+func (f *fakeServers) ServiceHealth(service string) endpoints.ServiceHealth {
+	return f.prospects[service]
+}
 
 func (f *fakeServers) Choose(service string, tried, only []*endpoints.Endpoint, extra bool) (endpoints.Choice, endpoints.Availability) {
 	chosen := f.choose(service, tried, only)
@@ -73,7 +75,7 @@
 		f.budget--
 		f.extra++
 	}
-	return endpoints.Choice{Endpoint: chosen, Expected: testExpected, LateAfter: cmp.Or(f.lateAfter, testLateAfter)}, endpoints.Chosen
+	return endpoints.Choice{Endpoint: chosen, Expected: testExpected, HedgeDelay: cmp.Or(f.lateAfter, testLateAfter)}, endpoints.Chosen
 }
 
 // choose returns a server that is not in tried and, unless only is nil, is in only; nil if
@@ -95,7 +97,7 @@
 	return created
 }
 
-func (f *fakeServers) OutOfReach(*endpoints.Endpoint) bool { return f.unreachable }
+func (f *fakeServers) ZoneUnreachable(*endpoints.Endpoint) bool { return f.unreachable }
 
 func (f *fakeServers) RefundRetry(string) {
 	f.budget++
@@ -111,7 +113,7 @@
 		LeastShards:     len(services),
 		Target:          testTarget,
 		Deadline:        testDeadline,
-		Patience:        testPatience,
+		HoldUntil:       testPatience,
 	}
 }
 
@@ -123,7 +125,7 @@
 		LeastShards:     1,
 		Target:          testTarget,
 		Deadline:        testDeadline,
-		Patience:        testPatience,
+		HoldUntil:       testPatience,
 	}
 }
 
--- a/internal/exchange/guard.go
+++ b/internal/exchange/guard.go
@@ -16,14 +16,14 @@
 		c.noteAnswer(now)
 	case reply.Unsent || reply.Verdict == verdict.NotRun || reply.Kind == upstream.Expired:
 	default:
-		c.guard.Lose(attempt.sequential)
+		c.guard.RecordLoss(attempt.sequential)
 	}
 }
 
 // noteAnswer records that a server answered, and lets the shards proceed that waited for it.
 func (c *Core) noteAnswer(now time.Duration) {
 	wasSequential := c.sequential()
-	c.guard.Hear()
+	c.guard.RecordAnswer()
 	if !wasSequential {
 		return
 	}
@@ -34,17 +34,17 @@
 
 // sequential reports whether only one attempt of the request may be in flight.
 func (c *Core) sequential() bool {
-	return c.guard.Careful() || c.plan.Trial && !c.guard.Heard()
+	return c.guard.Sequential() || c.plan.Trial && !c.guard.Answered()
 }
 
 // waitsForSuspects reports whether a shard of a trial waits because a suspect shard is still
 // open.
 func (c *Core) waitsForSuspects(shard *shard) bool {
-	if !c.plan.Trial || slices.Contains(c.plan.Suspects, shard.service) {
+	if !c.plan.Trial || slices.Contains(c.plan.SuspectedServices, shard.service) {
 		return false
 	}
 	for index := range c.shards {
-		if other := &c.shards[index]; !other.resolved() && slices.Contains(c.plan.Suspects, other.service) {
+		if other := &c.shards[index]; !other.resolved() && slices.Contains(c.plan.SuspectedServices, other.service) {
 			return true
 		}
 	}
--- a/internal/exchange/guard_test.go
+++ b/internal/exchange/guard_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/driftstage/driftstage/internal/care"
+	"github.com/driftstage/driftstage/internal/crashguard"
 	"github.com/driftstage/driftstage/internal/upstream"
 	"github.com/driftstage/driftstage/internal/verdict"
 )
@@ -88,7 +88,7 @@
 func TestTrialStartsWithTheSuspects(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a", "b", "c")
-	plan.Trial, plan.Suspects = true, []string{"c"}
+	plan.Trial, plan.SuspectedServices = true, []string{"c"}
 	core := New(plan, &fakeServers{servers: map[string]int{"a": 3, "b": 3, "c": 3}, budget: 9})
 	is.Equal(ids(core.Start(0)), []AttemptID{{2, 0}})
 	is.Equal(ids(core.Reply(AttemptID{Shard: 2}, answered(200), ms)), []AttemptID{{0, 0}, {1, 0}})
@@ -112,5 +112,5 @@
 	for shard, reply := range []upstream.Reply{unsentUnreachable, unsentReset, refused, expired} {
 		core.Reply(AttemptID{Shard: shard}, reply, ms)
 	}
-	is.Equal(core.guard, care.State{})
+	is.Equal(core.guard, crashguard.Guard{})
 }
--- a/internal/exchange/hedge_test.go
+++ b/internal/exchange/hedge_test.go
@@ -92,7 +92,7 @@
 		plan.LeastShards = 2
 		core := New(plan, servers)
 		core.Start(0)
-		core.Shorten(test.needed)
+		core.ShortenTarget(test.needed)
 		core.Reply(AttemptID{Shard: 0}, success(), time.Millisecond)
 		batch := core.Reply(AttemptID{Shard: 1}, success(), time.Millisecond)
 		is.True(batch.Outcome == nil)
--- a/internal/exchange/property_test.go
+++ b/internal/exchange/property_test.go
@@ -28,7 +28,7 @@
 		plan := drawPlan(t)
 		servers := &fakeServers{
 			servers:   make(map[string]int),
-			prospects: make(map[string]endpoints.Prospect),
+			prospects: make(map[string]endpoints.ServiceHealth),
 			budget:    rapid.IntRange(0, 6).Draw(t, "budget"),
 			busy:      make(map[string]bool),
 			settling:  rapid.Bool().Draw(t, "settling"),
@@ -37,9 +37,9 @@
 		}
 		for _, service := range plan.Services {
 			servers.servers[service] = rapid.IntRange(0, 3).Draw(t, "servers")
-			servers.prospects[service] = endpoints.Prospect{
-				Failing: rapid.Float64Range(0, 1).Draw(t, "failing"),
-				Extra:   float64(rapid.IntRange(-1, 6).Draw(t, "extra")),
+			servers.prospects[service] = endpoints.ServiceHealth{
+				FailureRate: rapid.Float64Range(0, 1).Draw(t, "failing"),
+				RetryBudget: float64(rapid.IntRange(-1, 6).Draw(t, "extra")),
 			}
 		}
 		history := &history{sends: make(map[int]int), chosen: make(map[AttemptID]*endpoints.Endpoint), started: make(map[AttemptID]bool), ended: make(map[AttemptID]upstream.Reply)}
@@ -68,9 +68,9 @@
 		plan := gatherPlan([]string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "shards")]...)
 		plan.LeastShards = rapid.IntRange(1, len(plan.Services)).Draw(t, "least")
 		plan.MaximumAttempts = rapid.IntRange(1, 3).Draw(t, "attempts")
-		plan.Late = rapid.Bool().Draw(t, "late")
-		plan.Yield = time.Duration(rapid.IntRange(0, 1200).Draw(t, "yield")) * ms
-		plan.Spread = rapid.Float64Range(0, 1).Draw(t, "spread")
+		plan.ArrivedLate = rapid.Bool().Draw(t, "late")
+		plan.YieldUntil = time.Duration(rapid.IntRange(0, 1200).Draw(t, "yield")) * ms
+		plan.Jitter = rapid.Float64Range(0, 1).Draw(t, "spread")
 		return plan
 	}
 	plan := singlePlan(rapid.Bool().Draw(t, "repeatable"))
--- a/internal/exchange/shard.go
+++ b/internal/exchange/shard.go
@@ -150,5 +150,5 @@
 	for newest > 0 && s.attempts[newest].finished {
 		newest--
 	}
-	return s.attempts[newest].sentAt + s.attempts[newest].choice.LateAfter
+	return s.attempts[newest].sentAt + s.attempts[newest].choice.HedgeDelay
 }
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -32,47 +32,47 @@
 	Target time.Duration
 	// Deadline is when a final answer has to be given.
 	Deadline time.Duration
-	// Patience is until when the request is held, before anything is sent, for servers
+	// HoldUntil is until when the request is held, before anything is sent, for servers
 	// that may be missing from the list.
-	Patience time.Duration
-	// Late is set if the target had passed for the caller before the request arrived:
+	HoldUntil time.Duration
+	// ArrivedLate is set if the target had passed for the caller before the request arrived:
 	// the caller has been waiting or retries.
-	Late bool
-	// Yield is until when a late request may be held back in favor of others on a node
+	ArrivedLate bool
+	// YieldUntil is until when a late request may be held back in favor of others on a node
 	// that has just started.
-	Yield time.Duration
+	YieldUntil time.Duration
 	// Trial is set for a request during which servers have terminated before: it starts
 	// with a single attempt, at one of the services in Suspects if that has a server.
-	Trial    bool
-	Suspects []string
-	// Spread is a random number from 0 to 1. It adds jitter to the release of requests
+	Trial             bool
+	SuspectedServices []string
+	// Jitter is a random number from 0 to 1. It adds jitter to the release of requests
 	// that were held for the same servers: each is held for this share of its wait once
 	// more. Under overload it also draws which requests are admitted.
-	Spread float64
+	Jitter float64
 }
 
 // Servers chooses servers and accounts for the retry budget.
 type Servers interface {
-	// Listed reports whether the service has a server that takes requests.
-	Listed(service string) bool
-	// Settling reports whether live servers may be missing from the list.
-	Settling() bool
-	// Growing reports whether servers of the request's shards are missing from the list
+	// HasServer reports whether the service has a server that takes requests.
+	HasServer(service string) bool
+	// ListIncomplete reports whether live servers may be missing from the list.
+	ListIncomplete() bool
+	// ListGrowing reports whether servers of the request's shards are missing from the list
 	// and are being added one by one.
-	Growing() bool
-	// Pressed reports whether servers shed load.
-	Pressed() bool
-	// Fresh reports whether the node has just started and has too little data on the
+	ListGrowing() bool
+	// Shedding reports whether servers shed load.
+	Shedding() bool
+	// JustStarted reports whether the node has just started and has too little data on the
 	// servers to tell whether they shed load.
-	Fresh() bool
-	// Prospect returns the failure rate of a service's servers and what its retry budget
+	JustStarted() bool
+	// ServiceHealth returns the failure rate of a service's servers and what its retry budget
 	// allows.
-	Prospect(service string) endpoints.Prospect
+	ServiceHealth(service string) endpoints.ServiceHealth
 	// Choose reserves a server that is not in tried and, unless only is nil, is in only.
 	// An extra send, one beyond the first, is charged to the retry budget of the service.
 	Choose(service string, tried, only []*endpoints.Endpoint, extra bool) (endpoints.Choice, endpoints.Availability)
-	// OutOfReach reports whether the zone of a server is unreachable.
-	OutOfReach(endpoint *endpoints.Endpoint) bool
+	// ZoneUnreachable reports whether the zone of a server is unreachable.
+	ZoneUnreachable(endpoint *endpoints.Endpoint) bool
 	// RefundRetry returns the charge of an extra send to the retry budget.
 	RefundRetry(service string)
 }
--- a/internal/gossip/applied.go
+++ b/internal/gossip/applied.go
@@ -9,7 +9,7 @@
 	"time"
 
 	v1 "github.com/driftstage/driftstage/api/v1"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
@@ -53,18 +53,18 @@
 }
 
 // groupsOf splits the members that take work into groups of one zone each.
-func groupsOf(all []membership.Member) [][]membership.Member {
-	var members []membership.Member
+func groupsOf(all []swim.Member) [][]swim.Member {
+	var members []swim.Member
 	for _, member := range all {
 		if member.State.TakesWork() {
 			members = append(members, member)
 		}
 	}
 	if len(members) <= groupSize {
-		return [][]membership.Member{members}
+		return [][]swim.Member{members}
 	}
-	slices.SortStableFunc(members, func(a, b membership.Member) int { return cmp.Compare(a.Zone, b.Zone) })
-	var groups [][]membership.Member
+	slices.SortStableFunc(members, func(a, b swim.Member) int { return cmp.Compare(a.Zone, b.Zone) })
+	var groups [][]swim.Member
 	for _, member := range members {
 		last := len(groups) - 1
 		if last < 0 || len(groups[last]) == groupSize || groups[last][0].Zone != member.Zone {
@@ -77,7 +77,7 @@
 }
 
 // askGroup has a member of the group ask it; when that fails the node does.
-func (node *Node) askGroup(ctx context.Context, service string, revision int64, group []membership.Member, direct bool) message.AppliedReply {
+func (node *Node) askGroup(ctx context.Context, service string, revision int64, group []swim.Member, direct bool) message.AppliedReply {
 	request := &message.AppliedRequest{Service: service, Revision: revision}
 	for _, member := range group {
 		request.Members = append(request.Members, member.ID)
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -14,7 +14,7 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 	"github.com/driftstage/driftstage/internal/config"
 	"github.com/driftstage/driftstage/internal/gossip"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
@@ -28,7 +28,7 @@
 	name  string
 	nodes []*testNode
 	// membership are the periods of nodes started from now on.
-	membership membership.Options
+	membership swim.Options
 	// aloneAfter is that of nodes started from now on.
 	aloneAfter time.Duration
 
@@ -41,13 +41,13 @@
 type testNode struct {
 	*gossip.Node
 	number int
-	self   membership.Member
+	self   swim.Member
 	store  *config.Store
 }
 
 func newCluster(t *testing.T, count int) *cluster {
 	cluster := &cluster{t: t, name: fmt.Sprint(t.Name(), os.Getpid()), owners: make(map[string]int), aloneAfter: time.Second}
-	cluster.membership = membership.DefaultOptions()
+	cluster.membership = swim.DefaultOptions()
 	cluster.startMany(count)
 	return cluster
 }
@@ -82,7 +82,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	node := &testNode{number: number, store: config.NewStore()}
-	node.self = membership.Member{
+	node.self = swim.Member{
 		ID:            fmt.Sprintf("node-%03d", node.number),
 		Address:       listener.Addr().String(),
 		GossipAddress: connection.LocalAddr().String(),
