--- a/internal/gossip/datagram.go
+++ b/internal/gossip/datagram.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
@@ -43,7 +43,7 @@
 	return append(datagram, encoded...), nil
 }
 
-func newMemberDatagram(sent membership.Message, summary config.Summary) *message.MemberDatagram {
+func newMemberDatagram(sent swim.Message, summary config.Summary) *message.MemberDatagram {
 	datagram := &message.MemberDatagram{
 		Kind:              int(sent.Kind),
 		Sequence:          int64(sent.Sequence),
@@ -72,13 +72,13 @@
 	return datagram
 }
 
-func memberMessage(datagram *message.MemberDatagram) membership.Message {
-	received := membership.Message{
-		Kind:              membership.Kind(datagram.Kind),
+func memberMessage(datagram *message.MemberDatagram) swim.Message {
+	received := swim.Message{
+		Kind:              swim.Kind(datagram.Kind),
 		Sequence:          uint64(datagram.Sequence),
 		From:              datagram.From,
 		FromIncarnation:   uint64(datagram.FromIncarnation),
-		FromStatus:        membership.Status(datagram.FromStatus),
+		FromStatus:        swim.Status(datagram.FromStatus),
 		Target:            datagram.Target,
 		TargetIncarnation: uint64(datagram.TargetIncarnation),
 		TargetAddress:     datagram.TargetAddress,
@@ -87,16 +87,16 @@
 		Updates:           memberUpdates(datagram.Entries),
 	}
 	for _, update := range datagram.Updates {
-		received.Updates = append(received.Updates, membership.Update{
+		received.Updates = append(received.Updates, swim.Update{
 			ID:          update.ID,
 			Incarnation: uint64(update.Incarnation),
-			Status:      membership.Status(update.Status),
+			Status:      swim.Status(update.Status),
 		})
 	}
 	return received
 }
 
-func newMemberEntry(update membership.Update) message.MemberEntry {
+func newMemberEntry(update swim.Update) message.MemberEntry {
 	return message.MemberEntry{
 		ID:            update.ID,
 		Incarnation:   int64(update.Incarnation),
@@ -108,7 +108,7 @@
 	}
 }
 
-func newMemberEntries(updates []membership.Update) []message.MemberEntry {
+func newMemberEntries(updates []swim.Update) []message.MemberEntry {
 	entries := make([]message.MemberEntry, 0, len(updates))
 	for _, update := range updates {
 		entries = append(entries, newMemberEntry(update))
@@ -116,14 +116,14 @@
 	return entries
 }
 
-func memberUpdates(entries []message.MemberEntry) []membership.Update {
-	updates := make([]membership.Update, 0, len(entries))
+func memberUpdates(entries []message.MemberEntry) []swim.Update {
+	updates := make([]swim.Update, 0, len(entries))
 	for _, entry := range entries {
-		updates = append(updates, membership.Update{
+		updates = append(updates, swim.Update{
 			ID:          entry.ID,
 			Incarnation: uint64(entry.Incarnation),
-			Status:      membership.Status(entry.Status),
-			Details: &membership.Details{
+			Status:      swim.Status(entry.Status),
+			Details: &swim.Details{
 				Address:       entry.Address,
 				GossipAddress: entry.GossipAddress,
 				Zone:          entry.Zone,
--- a/internal/gossip/datagram_test.go
+++ b/internal/gossip/datagram_test.go
@@ -10,7 +10,7 @@
 
 	v1 "github.com/driftstage/driftstage/api/v1"
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
@@ -19,10 +19,10 @@
 	return rapid.Uint64Range(0, 1<<45).Draw(t, "incarnation")
 }
 
-func drawMessage(t *rapid.T) membership.Message {
+func drawMessage(t *rapid.T) swim.Message {
 	text := rapid.StringN(0, 40, 60)
-	drawn := membership.Message{
-		Kind:              membership.Kind(rapid.IntRange(0, 3).Draw(t, "kind")),
+	drawn := swim.Message{
+		Kind:              swim.Kind(rapid.IntRange(0, 3).Draw(t, "kind")),
 		Sequence:          rapid.Uint64Range(0, math.MaxInt64).Draw(t, "sequence"),
 		From:              text.Draw(t, "from"),
 		FromIncarnation:   drawIncarnation(t),
@@ -31,12 +31,12 @@
 		TargetAddress:     text.Draw(t, "target address"),
 		TableHash:         rapid.Uint64().Draw(t, "hash"),
 		Quiet:             rapid.Bool().Draw(t, "quiet"),
-		Updates:           []membership.Update{},
+		Updates:           []swim.Update{},
 	}
 	for _, detailed := range rapid.SliceOfN(rapid.Bool(), 0, 30).Draw(t, "updates") {
-		update := membership.Update{ID: text.Draw(t, "id"), Incarnation: drawIncarnation(t), Status: membership.StatusDead}
+		update := swim.Update{ID: text.Draw(t, "id"), Incarnation: drawIncarnation(t), Status: swim.StatusDead}
 		if detailed {
-			update.Details = &membership.Details{
+			update.Details = &swim.Details{
 				Address: text.Draw(t, "address"), GossipAddress: text.Draw(t, "gossip"),
 				Zone: text.Draw(t, "zone"), Region: text.Draw(t, "region"),
 			}
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -9,7 +9,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
@@ -21,7 +21,7 @@
 // Publish takes in accepted entries and spreads them to all members.
 func (node *Node) Publish(entries ...config.Entry) {
 	if changed := node.store.Apply(entries...); len(changed) > 0 {
-		node.step(membership.Announce{})
+		node.step(swim.GossipNow{})
 	}
 }
 
@@ -88,7 +88,7 @@
 
 func (node *Node) addressOf(id string) (string, bool) {
 	members := node.Members()
-	index := slices.IndexFunc(members, func(member membership.Member) bool { return member.ID == id })
+	index := slices.IndexFunc(members, func(member swim.Member) bool { return member.ID == id })
 	if index < 0 {
 		return "", false
 	}
@@ -132,7 +132,7 @@
 		node.encoded.keep(encoded[index])
 		klog.V(1).InfoS("revision in force", "service", entry.Service, "revision", entry.Revision)
 	}
-	node.step(membership.Announce{})
+	node.step(swim.GossipNow{})
 }
 
 func (node *Node) handleConfigSync(_ context.Context, request *message.ConfigSync) (*message.ConfigPush, error) {
--- a/internal/gossip/existing_test.go
+++ b/internal/gossip/existing_test.go
@@ -6,16 +6,16 @@
 
 	"github.com/matryer/is"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // A failed member may still exist while a fresh machine list holds its address;
 // without one, for a bounded time; never once another process has its address.
 func TestStillExisting(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	failed := func(id, address string, incarnation uint64, ago time.Duration) membership.Failed {
-		member := membership.Member{ID: id, Address: address, Incarnation: incarnation, State: membership.Dead}
-		return membership.Failed{Member: member, Since: now.Add(-ago)}
+	failed := func(id, address string, incarnation uint64, ago time.Duration) swim.Failed {
+		member := swim.Member{ID: id, Address: address, Incarnation: incarnation, State: swim.Dead}
+		return swim.Failed{Member: member, Since: now.Add(-ago)}
 	}
 	one := failed("one", "a:1", 1, time.Second)
 	old := failed("old", "a:2", 1, failedCountTime)
@@ -24,18 +24,18 @@
 	stale := machineList{addresses: []string{"a:1", "a:2"}, readAt: now.Add(-machinesFresh)}
 	for _, test := range []struct {
 		name     string
-		failed   []membership.Failed
-		members  []membership.Member
+		failed   []swim.Failed
+		members  []swim.Member
 		machines machineList
 		want     []string
 	}{
-		{"listed", []membership.Failed{old, one}, nil, fresh, []string{"old", "one"}},
-		{"not listed", []membership.Failed{one}, nil, machineList{readAt: now}, nil},
-		{"no list", []membership.Failed{old, one}, nil, machineList{}, []string{"one"}},
-		{"stale list", []membership.Failed{old, one}, nil, stale, []string{"one"}},
-		{"replaced", []membership.Failed{one, old}, []membership.Member{{ID: "new", Address: "a:1"}}, fresh, []string{"old"}},
-		{"replaced by one that failed too", []membership.Failed{one, later}, nil, fresh, []string{"later"}},
-		{"replaced by one that failed long ago", []membership.Failed{one, later}, nil, machineList{}, nil},
+		{"listed", []swim.Failed{old, one}, nil, fresh, []string{"old", "one"}},
+		{"not listed", []swim.Failed{one}, nil, machineList{readAt: now}, nil},
+		{"no list", []swim.Failed{old, one}, nil, machineList{}, []string{"one"}},
+		{"stale list", []swim.Failed{old, one}, nil, stale, []string{"one"}},
+		{"replaced", []swim.Failed{one, old}, []swim.Member{{ID: "new", Address: "a:1"}}, fresh, []string{"old"}},
+		{"replaced by one that failed too", []swim.Failed{one, later}, nil, fresh, []string{"later"}},
+		{"replaced by one that failed long ago", []swim.Failed{one, later}, nil, machineList{}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is.New(t).Equal(stillExisting(test.failed, test.members, test.machines, now), test.want)
--- a/internal/gossip/failed.go
+++ b/internal/gossip/failed.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 const (
@@ -27,7 +27,7 @@
 // cutOff names the failed members that may still exist, out of reach. The
 // members are those that Members returned before: one that fails meanwhile is
 // in either list.
-func (node *Node) cutOff(members []membership.Member) []string {
+func (node *Node) cutOff(members []swim.Member) []string {
 	node.mutex.Lock()
 	failed := node.core.Failed()
 	machines := node.machines
@@ -38,7 +38,7 @@
 // stillExisting names the failed members whose machine the platform holds as
 // live, or that failed not long ago when the platform's list is not known. A
 // later process at the same wire address has replaced the earlier one.
-func stillExisting(failed []membership.Failed, members []membership.Member, machines machineList, now time.Time) []string {
+func stillExisting(failed []swim.Failed, members []swim.Member, machines machineList, now time.Time) []string {
 	replaced := make(map[string]bool)
 	for _, member := range members {
 		replaced[member.Address] = true
@@ -48,7 +48,7 @@
 		listed[address] = true
 	}
 	listKnown := !machines.readAt.IsZero() && now.Sub(machines.readAt) < machinesFresh
-	latestFirst := slices.SortedStableFunc(slices.Values(failed), func(a, b membership.Failed) int {
+	latestFirst := slices.SortedStableFunc(slices.Values(failed), func(a, b swim.Failed) int {
 		return cmp.Compare(b.Incarnation, a.Incarnation)
 	})
 	var names []string
--- a/internal/gossip/failed_test.go
+++ b/internal/gossip/failed_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // setMachines gives every node a machine list that holds the nodes named.
@@ -25,8 +25,8 @@
 func (cluster *cluster) knowLeave(leaving int, knowing ...int) bool {
 	id := cluster.nodes[leaving].self.ID
 	return !slices.ContainsFunc(knowing, func(number int) bool {
-		return !slices.ContainsFunc(cluster.nodes[number].Members(), func(member membership.Member) bool {
-			return member.ID == id && member.State == membership.Leaving
+		return !slices.ContainsFunc(cluster.nodes[number].Members(), func(member swim.Member) bool {
+			return member.ID == id && member.State == swim.Leaving
 		})
 	})
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -12,7 +12,7 @@
 	"k8s.io/klog/v2"
 
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // Node is the part of a process that takes part in membership and in the
@@ -30,9 +30,9 @@
 	ready   readiness
 
 	mutex sync.Mutex
-	core  *membership.Core
+	core  *swim.Core
 	// members is the newest list, rebuilt when it is asked for after a change.
-	members  atomic.Pointer[[]membership.Member]
+	members  atomic.Pointer[[]swim.Member]
 	machines machineList
 	leaving  bool
 	// lastTick is when the core ticked last, since start.
@@ -58,7 +58,7 @@
 		caller:  newCaller(options),
 		metrics: newMetrics(options.Registry),
 		start:   now,
-		core:    membership.New(options.Membership, options.Self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
+		core:    swim.New(options.Membership, options.Self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
 	}
 	node.context, node.cancel = context.WithCancel(context.Background())
 	node.queries.waiting = make(map[int64]*revisionQuery)
@@ -73,7 +73,7 @@
 	node.background(node.tick)
 	node.background(node.keepSynced)
 	node.background(node.keepMachines)
-	node.step(membership.Seeds{Addresses: node.options.Join})
+	node.step(swim.Seeds{Addresses: node.options.Join})
 }
 
 // Close vanishes at once; after Leave others know that it is no failure.
@@ -82,7 +82,7 @@
 	leaving := node.leaving
 	node.mutex.Unlock()
 	if leaving {
-		node.step(membership.Exit{})
+		node.step(swim.Exit{})
 	}
 	node.tasksMutex.Lock()
 	node.cancel()
@@ -110,7 +110,7 @@
 	node.mutex.Lock()
 	node.leaving = true
 	node.mutex.Unlock()
-	node.step(membership.Leave{})
+	node.step(swim.Leave{})
 	select {
 	case <-ctx.Done():
 	case <-node.context.Done():
@@ -121,7 +121,7 @@
 // Members returns the members that are not dead, by ID, the node itself
 // included. The slice is shared: it is the same until something changes, and
 // must not be written to.
-func (node *Node) Members() []membership.Member {
+func (node *Node) Members() []swim.Member {
 	if members := node.members.Load(); members != nil {
 		return *members
 	}
@@ -133,7 +133,7 @@
 }
 
 // step gives an event to the core and does what it asks for.
-func (node *Node) step(event membership.Event) {
+func (node *Node) step(event swim.Event) {
 	node.mutex.Lock()
 	actions := node.core.Step(event, time.Now())
 	node.note(actions)
@@ -161,38 +161,38 @@
 }
 
 // note takes down, while the core is locked, what its actions mean for readers.
-func (node *Node) note(actions []membership.Action) {
+func (node *Node) note(actions []swim.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case membership.Changed:
+		case swim.Changed:
 			node.members.Store(nil)
-		case membership.Paused:
+		case swim.Paused:
 			node.ready.begin(time.Now(), "the node was paused and has not synced since")
 			klog.InfoS("node was paused", "gap", action.Gap.String())
-		case membership.Isolated:
+		case swim.Isolated:
 			node.ready.begin(time.Now(), "the node hears no other member")
 			klog.InfoS("node hears no other member")
-		case membership.Reconnected:
+		case swim.Reconnected:
 			node.ready.begin(time.Now(), "the node was cut off and has not synced since")
 		}
 	}
 }
 
-func (node *Node) perform(actions []membership.Action) {
+func (node *Node) perform(actions []swim.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case membership.Send:
+		case swim.Send:
 			node.sendMessage(action)
-		case membership.Sync:
+		case swim.Sync:
 			node.background(func() { node.syncTable(action.Address) })
-		case membership.Changed:
+		case swim.Changed:
 			node.logChange(action)
 			node.options.Changed(action)
 		}
 	}
 }
 
-func (node *Node) logChange(change membership.Changed) {
+func (node *Node) logChange(change swim.Changed) {
 	klog.V(1).InfoS("member changed", "member", change.Member.ID, "zone", change.Member.Zone,
 		"before", change.Before.String(), "state", change.Member.State.String())
 }
@@ -216,7 +216,7 @@
 	}
 }
 
-func (node *Node) sendMessage(send membership.Send) {
+func (node *Node) sendMessage(send swim.Send) {
 	datagram := newMemberDatagram(send.Message, node.store.Summary())
 	node.sendDatagram(send.Address, tagMember, datagram)
 }
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // A revision published at any node is in force at all of them; an earlier one
@@ -160,7 +160,7 @@
 	leaving := cluster.nodes[1]
 	leaving.Leave(context.Background())
 	cluster.eventually("seen as leaving", func() bool {
-		return cluster.nodes[3].Members()[1].State == membership.Leaving
+		return cluster.nodes[3].Members()[1].State == swim.Leaving
 	})
 	leaving.Close()
 	cluster.nodes = append(cluster.nodes[:1], cluster.nodes[2:]...)
@@ -172,7 +172,7 @@
 func TestClustersStayApart(t *testing.T) {
 	is := is.New(t)
 	one := newCluster(t, 2)
-	other := &cluster{t: t, name: one.name + "-other", owners: make(map[string]int), aloneAfter: time.Second, membership: membership.DefaultOptions()}
+	other := &cluster{t: t, name: one.name + "-other", owners: make(map[string]int), aloneAfter: time.Second, membership: swim.DefaultOptions()}
 	stranger := other.startAs(7, []string{one.nodes[0].self.GossipAddress})
 	stranger.SetMachines([]string{one.nodes[0].self.Address, one.nodes[1].self.Address})
 	one.nodes[0].SetMachines([]string{stranger.self.Address})
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 	Cluster string
 	// Self describes the node. A zero incarnation becomes the wall clock in
 	// milliseconds. Addresses must be those that others can reach.
-	Self membership.Member
+	Self swim.Member
 	// Connection carries the datagrams; the node closes it.
 	Connection net.PacketConn
 	// Server gets the handlers of this package.
@@ -30,7 +30,7 @@
 	// Node.SetMachines.
 	Join []string
 	// Membership holds the periods of the protocol; DefaultOptions when zero.
-	Membership membership.Options
+	Membership swim.Options
 	// AloneAfter is how long a node that can not sync stays without requests
 	// before it serves by what it has; DefaultAloneAfter when zero.
 	AloneAfter time.Duration
@@ -39,7 +39,7 @@
 	Reachable func(from, to string) bool
 	// Changed, when set, is called after a member came or changed its state.
 	// It must return soon, and may be called from several goroutines at a time.
-	Changed func(membership.Changed)
+	Changed func(swim.Changed)
 	// Registry takes the metrics; nil when there is none.
 	Registry prometheus.Registerer
 }
@@ -59,8 +59,8 @@
 )
 
 func (options Options) withDefaults() Options {
-	if options.Membership == (membership.Options{}) {
-		options.Membership = membership.DefaultOptions()
+	if options.Membership == (swim.Options{}) {
+		options.Membership = swim.DefaultOptions()
 	}
 	if options.AloneAfter == 0 {
 		options.AloneAfter = DefaultAloneAfter
@@ -69,7 +69,7 @@
 		options.Reachable = func(string, string) bool { return true }
 	}
 	if options.Changed == nil {
-		options.Changed = func(membership.Changed) {}
+		options.Changed = func(swim.Changed) {}
 	}
 	if options.Self.Incarnation == 0 {
 		options.Self.Incarnation = uint64(time.Now().UnixMilli())
--- a/internal/gossip/readiness.go
+++ b/internal/gossip/readiness.go
@@ -8,7 +8,7 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // readiness tells whether the node may take requests: whether, since it started,
@@ -142,10 +142,10 @@
 }
 
 // syncSources draws members of different zones, as far as there are.
-func (node *Node) syncSources() []membership.Member {
+func (node *Node) syncSources() []swim.Member {
 	others := node.others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	var chosen, rest []membership.Member
+	var chosen, rest []swim.Member
 	zones := make(map[string]bool)
 	for _, member := range others {
 		if zones[member.Zone] {
@@ -160,10 +160,10 @@
 }
 
 // others returns the members besides this node that may be asked.
-func (node *Node) others() []membership.Member {
-	var others []membership.Member
+func (node *Node) others() []swim.Member {
+	var others []swim.Member
 	for _, member := range node.Members() {
-		if member.ID != node.options.Self.ID && member.State != membership.Suspect {
+		if member.ID != node.options.Self.ID && member.State != swim.Suspect {
 			others = append(others, member)
 		}
 	}
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -5,7 +5,7 @@
 	"net"
 
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
@@ -45,7 +45,7 @@
 }
 
 func (node *Node) takeMember(from string, datagram *message.MemberDatagram) {
-	node.step(membership.Received{Address: from, Message: memberMessage(datagram)})
+	node.step(swim.Received{Address: from, Message: memberMessage(datagram)})
 	summary := config.Summary{Highest: datagram.HighestRevision, Hash: uint64(datagram.ConfigHash)}
 	node.compareConfig(datagram.From, summary)
 }
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
@@ -27,7 +27,7 @@
 	if err := node.caller.call(node.context, address, newMemberDigest(digest), difference); err != nil {
 		return
 	}
-	node.step(membership.Synced{Entries: memberUpdates(difference.Entries)})
+	node.step(swim.Synced{Entries: memberUpdates(difference.Entries)})
 	node.mutex.Lock()
 	entries := node.core.Entries(difference.Buckets)
 	node.mutex.Unlock()
@@ -35,7 +35,7 @@
 	_ = node.caller.call(node.context, address, &message.MemberEntries{Entries: newMemberEntries(entries)}, &message.Acknowledgement{})
 }
 
-func newMemberDigest(digest membership.Digest) *message.MemberDigest {
+func newMemberDigest(digest swim.Digest) *message.MemberDigest {
 	encoded := &message.MemberDigest{}
 	for _, hash := range digest.Buckets {
 		encoded.Buckets = append(encoded.Buckets, int64(hash))
@@ -44,7 +44,7 @@
 }
 
 func (node *Node) handleMemberDigest(_ context.Context, request *message.MemberDigest) (*message.MemberDifference, error) {
-	var digest membership.Digest
+	var digest swim.Digest
 	for _, hash := range request.Buckets {
 		digest.Buckets = append(digest.Buckets, uint64(hash))
 	}
@@ -55,7 +55,7 @@
 }
 
 func (node *Node) handleMemberEntries(_ context.Context, request *message.MemberEntries) (*message.Acknowledgement, error) {
-	node.step(membership.Synced{Entries: memberUpdates(request.Entries)})
+	node.step(swim.Synced{Entries: memberUpdates(request.Entries)})
 	return &message.Acknowledgement{}, nil
 }
 
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -96,7 +96,7 @@
 func (s *Server) Stop() { s.stopping.Store(true) }
 
 // End gives up the requests under way: they are answered at once.
-func (s *Server) End() { s.end(dispatch.ErrStopping) }
+func (s *Server) End() { s.end(dispatch.ErrNodeStopped) }
 
 // CloseIdle closes connections on which no request has begun.
 func (s *Server) CloseIdle() { s.open.closeIdle() }
@@ -149,12 +149,12 @@
 		return
 	}
 	s.dispatch(ctx, dispatch.Request{
-		Route:    route,
-		Version:  table.Version,
-		Message:  request.message,
-		Identity: request.identity,
-		Allowed:  request.allowed,
-		Arrived:  arrived,
+		Route:         route,
+		Version:       table.Version,
+		Message:       request.message,
+		Identity:      request.identity,
+		CallerTimeout: request.allowed,
+		Arrived:       arrived,
 	})
 }
 
@@ -180,7 +180,7 @@
 func (s *Server) watched(ctx *fasthttp.RequestCtx, work func(context.Context)) {
 	working, cancel := context.WithCancelCause(s.ending)
 	defer cancel(nil)
-	stopWatch := ctx.Conn().(*connection).watch(func() { cancel(dispatch.ErrCallerGone) })
+	stopWatch := ctx.Conn().(*connection).watch(func() { cancel(dispatch.ErrCallerHungUp) })
 	work(working)
 	stopWatch()
 }
--- a/internal/ingress/start.go
+++ b/internal/ingress/start.go
@@ -71,7 +71,7 @@
 	allowed, _ := s.allowed(&ctx.Request.Header)
 	gone := false
 	s.watched(ctx, func(working context.Context) {
-		waiting, cancel := context.WithDeadline(working, arrived.Add(dispatch.Patience(allowed)))
+		waiting, cancel := context.WithDeadline(working, arrived.Add(dispatch.HoldTime(allowed)))
 		defer cancel()
 		s.start.await(waiting, arrived)
 		gone = working.Err() != nil
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -17,8 +17,8 @@
 type Options struct {
 	// Self names this run of this process; it must never be reused.
 	Self string
-	// Term is the minimum term; zero means DefaultTerm.
-	Term time.Duration
+	// MinTerm is the minimum term; zero means DefaultTerm.
+	MinTerm time.Duration
 }
 
 // Lease is the state of one node. It is not safe for concurrent use.
@@ -73,10 +73,10 @@
 
 // New returns a Lease that is not held and whose first action is due immediately.
 func New(options Options) *Lease {
-	if options.Term <= 0 {
-		options.Term = DefaultTerm
+	if options.MinTerm <= 0 {
+		options.MinTerm = DefaultTerm
 	}
-	return &Lease{self: options.Self, baseTerm: options.Term}
+	return &Lease{self: options.Self, baseTerm: options.MinTerm}
 }
 
 // Held returns the epoch held at the given time, and whether any is held.
--- a/internal/members/announcer.go
+++ b/internal/members/announcer.go
@@ -111,18 +111,18 @@
 	}
 }
 
-// Restored signals that the registry was restored from a backup, which may lack announcements. It
+// StoreRestored signals that the registry was restored from a backup, which may lack announcements. It
 // does not block.
-func (a *Announcer) Restored() {
+func (a *Announcer) StoreRestored() {
 	select {
 	case a.restored <- struct{}{}:
 	default:
 	}
 }
 
-// AskFirst sets a function that returns the announcements from another node. It is called if they
+// PreferPeers sets a function that returns the announcements from another node. It is called if they
 // do not fit on one page of the registry.
-func (a *Announcer) AskFirst(ask func() ([]Member, error)) { a.askPeer = ask }
+func (a *Announcer) PreferPeers(ask func() ([]Member, error)) { a.askPeer = ask }
 
 // Latest returns the announcements that were read from the registry last, or false if they are too
 // old for other nodes to count by them.
@@ -159,7 +159,7 @@
 // handleRestore keeps unlisted members for one lifetime and repeats this node's announcement if the
 // backup may predate it.
 func (a *Announcer) handleRestore(now time.Time) {
-	a.table.Keep(now.Add(a.intervals().lifetime()))
+	a.table.KeepUnlisted(now.Add(a.intervals().lifetime()))
 	if !a.announcedAt.IsZero() && now.Sub(a.announcedAt) < maxBackupAge {
 		a.retryAt = now.Add(rand.N(reannounceJitter + time.Duration(a.count.All)*reannounceJitterPerNode))
 	}
--- a/internal/members/announcer_test.go
+++ b/internal/members/announcer_test.go
@@ -226,7 +226,7 @@
 		for index := range nodes {
 			announcer := NewAnnouncer(shared, Member{Name: fmt.Sprintf("node-%03d", index)}, everywhere, &counters[index])
 			if index >= seeds {
-				announcer.AskFirst(func() ([]Member, error) {
+				announcer.PreferPeers(func() ([]Member, error) {
 					latest, found := first.Latest()
 					if !found {
 						return nil, errDown
@@ -271,7 +271,7 @@
 		clear(shared.members)
 		shared.mutex.Unlock()
 		for _, announcer := range announcers {
-			announcer.Restored()
+			announcer.StoreRestored()
 		}
 		for range 60 {
 			time.Sleep(time.Second)
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Keep keeps members that are not listed until the given time, as long as they count as live.
-func (t *Table) Keep(until time.Time) { t.keepUntil = until }
+// KeepUnlisted keeps members that are not listed until the given time, as long as they count as live.
+func (t *Table) KeepUnlisted(until time.Time) { t.keepUntil = until }
 
 // Count is a number of nodes.
 type Count struct {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -62,7 +62,7 @@
 	now := time.Now()
 	table := NewTable(Member{Name: "own"}, everywhere)
 	table.Observe([]Member{{Name: "a"}, {Name: "b"}}, now)
-	table.Keep(now.Add(lifetime))
+	table.KeepUnlisted(now.Add(lifetime))
 	table.Observe([]Member{{Name: "a", Sequence: 1}}, now.Add(time.Second))
 	is.Equal(table.Count(now.Add(lifetime-1), lifetime).All, 3)
 	is.Equal(table.Count(now.Add(lifetime), lifetime).All, 2)
--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -9,11 +9,11 @@
 	"github.com/driftstage/driftstage/internal/controller"
 	"github.com/driftstage/driftstage/internal/gateway"
 	"github.com/driftstage/driftstage/internal/gossip"
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/owner"
 	"github.com/driftstage/driftstage/internal/platform"
 	"github.com/driftstage/driftstage/internal/scatter"
 	"github.com/driftstage/driftstage/internal/settings"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/telemetry"
 	"github.com/driftstage/driftstage/internal/wire"
 )
@@ -94,7 +94,7 @@
 func newMember(loaded settings.Settings, opened *listeners, server *wire.Server, store *config.Store, registry *prometheus.Registry) *gossip.Node {
 	return gossip.New(gossip.Options{
 		Cluster: loaded.Cluster,
-		Self: membership.Member{
+		Self: swim.Member{
 			ID:            loaded.Name,
 			Address:       opened.wire.Addr().String(),
 			GossipAddress: opened.gossip.LocalAddr().String(),
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -10,10 +10,10 @@
 
 	"github.com/driftstage/driftstage/internal/controller"
 	"github.com/driftstage/driftstage/internal/gossip"
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/placement"
 	"github.com/driftstage/driftstage/internal/platform"
 	"github.com/driftstage/driftstage/internal/settings"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
@@ -143,9 +143,9 @@
 
 // readers returns the nodes that read the list for this zone, and whether this
 // node is to read it.
-func (list *machineList) readers() (readers []membership.Member, reads bool) {
+func (list *machineList) readers() (readers []swim.Member, reads bool) {
 	members := list.members.Members()
-	byID := make(map[string]membership.Member, len(members))
+	byID := make(map[string]swim.Member, len(members))
 	for _, member := range members {
 		byID[member.ID] = member
 	}
@@ -153,7 +153,7 @@
 	if second == "" || first == list.self || second == list.self || list.controls() {
 		return nil, true
 	}
-	return []membership.Member{byID[first], byID[second]}, false
+	return []swim.Member{byID[first], byID[second]}, false
 }
 
 func (list *machineList) read(ctx context.Context) error {
--- a/internal/node/machines_test.go
+++ b/internal/node/machines_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/matryer/is"
 
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/platform"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
@@ -26,9 +26,9 @@
 	return counting.machines, counting.err
 }
 
-type fixedMembers []membership.Member
+type fixedMembers []swim.Member
 
-func (members fixedMembers) Members() []membership.Member { return members }
+func (members fixedMembers) Members() []swim.Member { return members }
 
 type ignoreMachines struct{}
 
@@ -45,7 +45,7 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
 		id := fmt.Sprint("node-", index)
-		members[index] = membership.Member{ID: id, Zone: "a", Address: listener.Addr().String()}
+		members[index] = swim.Member{ID: id, Zone: "a", Address: listener.Addr().String()}
 		lists[index] = &machineList{self: id, zone: "a", platform: source, client: client, members: members, follower: ignoreMachines{}, controls: func() bool { return false }}
 		server := wire.NewServer(wire.ServerOptions{})
 		wire.Handle(server, lists[index].serve)
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -5,13 +5,13 @@
 	"sync"
 
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/placement"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // memberView gives the members of the system, this node included.
 type memberView interface {
-	Members() []membership.Member
+	Members() []swim.Member
 }
 
 // ownership tells which back-end servers this node owns, by the members and the
@@ -23,7 +23,7 @@
 	store   *config.Store
 
 	mutex sync.Mutex
-	list  []membership.Member
+	list  []swim.Member
 	index *placement.Index
 	owned map[string]ownedServers
 }
@@ -53,7 +53,7 @@
 }
 
 // follow starts anew when the set of members has changed.
-func (ownership *ownership) follow(members []membership.Member) {
+func (ownership *ownership) follow(members []swim.Member) {
 	if ownership.index != nil && slices.Equal(members, ownership.list) {
 		return
 	}
@@ -63,7 +63,7 @@
 }
 
 // rankedNodes returns the members that take work, as placement ranks them.
-func rankedNodes(members []membership.Member) []placement.Node {
+func rankedNodes(members []swim.Member) []placement.Node {
 	var nodes []placement.Node
 	for _, member := range members {
 		if member.State.TakesWork() {
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -7,8 +7,8 @@
 	"github.com/driftstage/driftstage/internal/controller"
 	"github.com/driftstage/driftstage/internal/gateway"
 	"github.com/driftstage/driftstage/internal/gossip"
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/settings"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // state is what /debug/state shows to an operator.
@@ -73,7 +73,7 @@
 	return read
 }
 
-func newMemberState(member membership.Member) memberState {
+func newMemberState(member swim.Member) memberState {
 	return memberState{
 		ID:          member.ID,
 		Address:     member.Address,
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -16,9 +16,9 @@
 	cooldown = 12 * time.Second
 )
 
-// Switch distinguishes lasting overload from the short delays of a busy node. The
+// Detector distinguishes lasting overload from the short delays of a busy node. The
 // zero value is not overloaded. It reads no clock and is not safe for concurrent use.
-type Switch struct {
+type Detector struct {
 	busy bool
 	// changedAt is when the current state began. crossedAt is when the delay crossed the
 	// bound that ends it; zero while the delay has not crossed it.
@@ -28,7 +28,7 @@
 }
 
 // Observe processes a delay and reports whether the node is overloaded.
-func (s *Switch) Observe(delay time.Duration, now time.Time) bool {
+func (s *Detector) Observe(delay time.Duration, now time.Time) bool {
 	if s.busy {
 		s.observeBusy(delay, now)
 	} else {
@@ -37,24 +37,24 @@
 	return s.busy
 }
 
-func (s *Switch) observeBusy(delay time.Duration, now time.Time) {
+func (s *Detector) observeBusy(delay time.Duration, now time.Time) {
 	calm := s.heldFor(delay <= calmDelay, calmAfter, now)
 	if expired := now.Sub(s.changedAt) >= maxBusy; calm || expired {
-		*s = Switch{changedAt: now, coolingDown: !calm}
+		*s = Detector{changedAt: now, coolingDown: !calm}
 	}
 }
 
-func (s *Switch) observeCalm(delay time.Duration, now time.Time) {
+func (s *Detector) observeCalm(delay time.Duration, now time.Time) {
 	if s.coolingDown && now.Sub(s.changedAt) < cooldown {
 		return
 	}
 	if s.heldFor(delay >= busyDelay, busyAfter, now) {
-		*s = Switch{busy: true, changedAt: now}
+		*s = Detector{busy: true, changedAt: now}
 	}
 }
 
 // heldFor reports whether a condition has held for the given duration.
-func (s *Switch) heldFor(holds bool, length time.Duration, now time.Time) bool {
+func (s *Detector) heldFor(holds bool, length time.Duration, now time.Time) bool {
 	switch {
 	case !holds:
 		s.crossedAt = time.Time{}
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -38,7 +38,7 @@
 	// busySince is when lasting overload began, in nanoseconds since base; 0 for none.
 	busySince atomic.Int64
 	gcPercent int
-	detector  Switch
+	detector  Detector
 }
 
 // NewMeter returns a meter that does not run yet. gcPercent is the garbage collection
@@ -88,8 +88,8 @@
 	klog.InfoS("overload", "busy", busy, "delay_ms", m.Delay().Milliseconds())
 }
 
-// Busy returns how long the node has been overloaded; zero if it is not.
-func (m *Meter) Busy() time.Duration {
+// BusyFor returns how long the node has been overloaded; zero if it is not.
+func (m *Meter) BusyFor() time.Duration {
 	if start := m.busySince.Load(); start > 0 {
 		return m.now() - time.Duration(start)
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -23,7 +23,7 @@
 		{time.Second, true, 0.25},
 		{time.Minute, false, maxRefusalRatio},
 	} {
-		got := Refused(test.delay, test.clientRetry)
+		got := RefusalRatio(test.delay, test.clientRetry)
 		is.New(t).True(got > test.want-0.01 && got < test.want+0.01)
 	}
 }
@@ -32,11 +32,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		first := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "delay"))
 		more := first + time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "more"))
-		low, high := Refused(first, false), Refused(more, false)
+		low, high := RefusalRatio(first, false), RefusalRatio(more, false)
 		if low > high || low < 0 || high > maxRefusalRatio {
 			t.Fatalf("%v at %v, %v at %v", low, first, high, more)
 		}
-		if Refused(more, true) > high {
+		if RefusalRatio(more, true) > high {
 			t.Fatal("retries are refused more often than first requests")
 		}
 	})
@@ -79,7 +79,7 @@
 		{"overload ends after calmAfter without delay", []step{{time.Second, busyAfter, true}, {calmDelay, calmAfter / 2, true}, {2 * calmDelay, ms, true}, {0, calmAfter / 2, true}, {0, calmAfter, false}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var toggle Switch
+			var toggle Detector
 			now := time.Unix(1, 0)
 			for _, step := range test.steps {
 				toggle.Observe(step.delay, now)
--- a/internal/overload/refusal.go
+++ b/internal/overload/refusal.go
@@ -16,10 +16,10 @@
 	clientRetryFactor = 0.5
 )
 
-// Refused returns the share of requests to refuse, 0 to 1, at a scheduling delay of
+// RefusalRatio returns the share of requests to refuse, 0 to 1, at a scheduling delay of
 // the node: none up to the tolerated delay, and then growing with the delay. Requests
 // that have been refused before are refused less often.
-func Refused(delay time.Duration, clientRetry bool) float64 {
+func RefusalRatio(delay time.Duration, clientRetry bool) float64 {
 	share := float64(delay-toleratedDelay) / float64(maxRefusalDelay-toleratedDelay)
 	share = min(max(share, 0), maxRefusalRatio)
 	if clientRetry {
--- a/internal/owner/execution.go
+++ b/internal/owner/execution.go
@@ -29,7 +29,7 @@
 	}
 	execution.server.mutex.Lock()
 	defer execution.server.mutex.Unlock()
-	execution.server.apply(execution.server.core.End(execution.server.options.Now(), execution.id))
+	execution.server.apply(execution.server.core.Release(execution.server.options.Now(), execution.id))
 }
 
 // judge counts the outcome, and the end as well if that came before.
@@ -40,13 +40,13 @@
 	now := server.options.Now()
 	server.learn(now, result.Draining, result.SnapshotsHeld)
 	outcome := outcomeOf(result)
-	server.apply(server.core.Judge(now, execution.id, outcome))
+	server.apply(server.core.RecordOutcome(now, execution.id, outcome))
 	server.log.state(server.core.View())
 	if outcome == admission.Failed {
 		server.log.fault(execution.request, result.Failure)
 	}
 	if !execution.first.CompareAndSwap(false, true) {
-		server.apply(server.core.End(now, execution.id))
+		server.apply(server.core.Release(now, execution.id))
 	}
 }
 
--- a/internal/owner/server.go
+++ b/internal/owner/server.go
@@ -216,7 +216,7 @@
 	case <-timer.C:
 	}
 	server.mutex.Lock()
-	server.apply(server.core.Withdraw(server.options.Now(), id))
+	server.apply(server.core.Cancel(server.options.Now(), id))
 	server.mutex.Unlock()
 	<-waiter.ready
 }
@@ -225,7 +225,7 @@
 func (server *server) giveBack(id admission.ID) *verdict.Error {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.apply(server.core.End(server.options.Now(), id))
+	server.apply(server.core.Release(server.options.Now(), id))
 	return verdict.New(verdict.NotRun, verdict.CodeCanceled, "given up before it was sent")
 }
 
--- a/internal/peers/starter.go
+++ b/internal/peers/bootstrap.go
@@ -43,8 +43,8 @@
 	Unlisted       []string         `json:",omitempty"`
 }
 
-// Listed returns the servers that the store listed.
-func (s *Snapshot) Listed() []endpoints.Server {
+// ListedServers returns the servers that the store listed.
+func (s *Snapshot) ListedServers() []endpoints.Server {
 	return slices.DeleteFunc(slices.Clone(s.Servers), func(server endpoints.Server) bool {
 		return slices.Contains(s.Unlisted, server.ID)
 	})
@@ -72,8 +72,8 @@
 // errNoResponse means that a peer has not responded.
 var errNoResponse = errors.New("the peer does not answer")
 
-// Ask returns the snapshot of the node at the address (IP:port), or the nodes to which it refers.
-func Ask(address string, requester Asker) (snapshot Snapshot, referrals []string, err error) {
+// FetchSnapshot returns the snapshot of the node at the address (IP:port), or the nodes to which it refers.
+func FetchSnapshot(address string, requester Requester) (snapshot Snapshot, referrals []string, err error) {
 	err = getOnce(address, snapshotPath+"?"+requester.query(), func(response *fasthttp.Response) error {
 		if response.StatusCode() != fasthttp.StatusOK {
 			referrals = parseReferrals(response)
@@ -94,22 +94,22 @@
 	return addresses
 }
 
-// Starter requests snapshots from peers until a starting node has its complete state.
-type Starter struct {
-	// Own identifies the starting node to its peers.
-	Own Asker
+// Bootstrapper requests snapshots from peers until a starting node has its complete state.
+type Bootstrapper struct {
+	// Self identifies the starting node to its peers.
+	Self Requester
 	// Addresses returns the peers; some may be stale or down.
 	Addresses func() []string
-	// Known reports whether the state of the node is complete.
-	Known func() bool
+	// Complete reports whether the state of the node is complete.
+	Complete func() bool
 	// Adopt applies the snapshot of a peer.
 	Adopt func(Snapshot) error
-	// Unanswered is called after a round in which no peer has responded.
-	Unanswered func()
+	// OnNoAnswer is called after a round in which no peer has responded.
+	OnNoAnswer func()
 }
 
 // Run returns when the state of the node is complete or ctx is done.
-func (s Starter) Run(ctx context.Context) {
+func (s Bootstrapper) Run(ctx context.Context) {
 	delay := bootstrapDelay + rand.N(bootstrapJitter)
 	interval := initialRoundInterval
 	for {
@@ -118,13 +118,13 @@
 			return
 		case <-time.After(delay):
 		}
-		if s.Known() {
+		if s.Complete() {
 			return
 		}
 		if !s.askAll() {
-			s.Unanswered()
+			s.OnNoAnswer()
 		}
-		s.Own.Again = true
+		s.Self.Retry = true
 		// Jitter: nodes that start together must not overload the peers that have a snapshot.
 		delay = interval/2 + rand.N(interval)
 		interval = min(2*interval, maxRoundInterval)
@@ -133,18 +133,18 @@
 
 // askAll asks the peers in random order, and the nodes to which they refer, until the state of the
 // node is complete. It reports whether any of them has responded.
-func (s Starter) askAll() (answered bool) {
+func (s Bootstrapper) askAll() (answered bool) {
 	queue := slices.Clone(s.Addresses())
 	rand.Shuffle(len(queue), func(i, j int) { queue[i], queue[j] = queue[j], queue[i] })
 	for asked := 0; asked < len(queue) && asked < maxPeersPerRound; asked++ {
-		if s.Known() {
+		if s.Complete() {
 			return true
 		}
 		address := queue[asked]
-		if address == s.Own.Address {
+		if address == s.Self.Address {
 			continue
 		}
-		snapshot, referrals, err := Ask(address, s.Own)
+		snapshot, referrals, err := FetchSnapshot(address, s.Self)
 		answered = answered || !errors.Is(err, errNoResponse)
 		if err == nil {
 			err = s.Adopt(snapshot)
--- a/internal/peers/configuration.go
+++ b/internal/peers/configuration.go
@@ -22,8 +22,8 @@
 	Table func() *routing.Table
 }
 
-// Route implements Routed.
-func (s ConfigurationServer) Route(routes *router.Router) { routes.GET(configurationPath, s.serve) }
+// Register implements Routed.
+func (s ConfigurationServer) Register(routes *router.Router) { routes.GET(configurationPath, s.serve) }
 
 func (s ConfigurationServer) serve(ctx *fasthttp.RequestCtx) {
 	after, err := strconv.ParseUint(string(ctx.QueryArgs().Peek(paramAfter)), 10, 64)
@@ -44,9 +44,9 @@
 	writeBody(ctx, compress(encoded))
 }
 
-// AskConfiguration requests a configuration of a later version from the nodes at the addresses
+// FetchConfiguration requests a configuration of a later version from the nodes at the addresses
 // (IP:port), in random order until one answers; nil if that node has none.
-func AskConfiguration(addresses []string, after uint64) (*routing.Table, error) {
+func FetchConfiguration(addresses []string, after uint64) (*routing.Table, error) {
 	return askAny(addresses, maxCompared, func(address string) (*routing.Table, error) { return askConfiguration(address, after) })
 }
 
--- a/internal/peers/contact.go
+++ b/internal/peers/contact.go
@@ -8,17 +8,17 @@
 
 const contactPath = "/v1/contact"
 
-// Contact reports to other nodes whether this one gets current data from the store, directly
+// StoreStatusServer reports to other nodes whether this one gets current data from the store, directly
 // or through the node that it follows.
-type Contact struct {
-	// InTouch is called for each request.
-	InTouch func() bool
+type StoreStatusServer struct {
+	// UpToDate is called for each request.
+	UpToDate func() bool
 }
 
-// Route implements Routed.
-func (c Contact) Route(routes *router.Router) {
+// Register implements Routed.
+func (c StoreStatusServer) Register(routes *router.Router) {
 	routes.GET(contactPath, func(ctx *fasthttp.RequestCtx) {
-		if !c.InTouch() {
+		if !c.UpToDate() {
 			ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		}
 	})
--- a/internal/peers/handover.go
+++ b/internal/peers/handover.go
@@ -38,22 +38,22 @@
 	headerReferrals = "Driftstage-Referrals"
 )
 
-// Asker identifies a node that requests a snapshot.
-type Asker struct {
+// Requester identifies a node that requests a snapshot.
+type Requester struct {
 	// Address is where the node serves its peers (IP:port); empty if it does not.
 	Address string
 	Zone    string
 	Region  string
-	// Again is set once the nodes to which it was referred have not served it.
-	Again bool
+	// Retry is set once the nodes to which it was referred have not served it.
+	Retry bool
 }
 
-func (a Asker) query() string {
+func (a Requester) query() string {
 	query := url.Values{}
 	query.Set(paramAddress, a.Address)
 	query.Set(paramZone, a.Zone)
 	query.Set(paramRegion, a.Region)
-	query.Set(paramAgain, strconv.FormatBool(a.Again))
+	query.Set(paramAgain, strconv.FormatBool(a.Retry))
 	return query.Encode()
 }
 
@@ -61,12 +61,12 @@
 // refers further requests to nodes that already have it. If many nodes start together, the snapshot
 // thus spreads from node to node, in a number of rounds logarithmic in the number of nodes.
 type snapshotServer struct {
-	self     Asker
+	self     Requester
 	snapshot func() (Snapshot, bool)
 
 	mutex sync.Mutex
 	// holders are nodes that were served the snapshot, the most recent last.
-	holders []Asker
+	holders []Requester
 	// busyUntil is when the accepted requests are served at snapshotRate.
 	busyUntil time.Time
 	// body is the latest encoded snapshot, encoded at encodedAt.
@@ -76,11 +76,11 @@
 
 func (s *snapshotServer) serve(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
-	requester := Asker{
+	requester := Requester{
 		Address: string(args.Peek(paramAddress)),
 		Zone:    string(args.Peek(paramZone)),
 		Region:  string(args.Peek(paramRegion)),
-		Again:   args.GetBool(paramAgain),
+		Retry:   args.GetBool(paramAgain),
 	}
 	body, err := s.respond(requester, time.Now())
 	switch {
@@ -95,10 +95,10 @@
 }
 
 // respond returns the encoded snapshot; nil if there is none or other nodes are to serve it.
-func (s *snapshotServer) respond(requester Asker, now time.Time) ([]byte, error) {
+func (s *snapshotServer) respond(requester Requester, now time.Time) ([]byte, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.busyUntil.Sub(now) > maxBacklog || !requester.Again && s.hasNearer(requester) {
+	if s.busyUntil.Sub(now) > maxBacklog || !requester.Retry && s.hasNearer(requester) {
 		return nil, nil
 	}
 	body, err := s.encoded(now)
@@ -144,19 +144,19 @@
 
 // hasNearer reports whether a holder is nearer to the requester than this node: traffic between zones,
 // and even more between regions, is expensive.
-func (s *snapshotServer) hasNearer(requester Asker) bool {
-	return slices.ContainsFunc(s.holders, func(holder Asker) bool {
+func (s *snapshotServer) hasNearer(requester Requester) bool {
+	return slices.ContainsFunc(s.holders, func(holder Requester) bool {
 		inZone := holder.Zone == requester.Zone && s.self.Zone != requester.Zone
 		inRegion := holder.Region == requester.Region && s.self.Region != requester.Region
 		return holder.Address != requester.Address && (inZone || inRegion)
 	})
 }
 
-func (s *snapshotServer) addHolder(holder Asker) {
+func (s *snapshotServer) addHolder(holder Requester) {
 	if holder.Address == "" {
 		return
 	}
-	s.holders = slices.DeleteFunc(s.holders, func(other Asker) bool { return other.Address == holder.Address })
+	s.holders = slices.DeleteFunc(s.holders, func(other Requester) bool { return other.Address == holder.Address })
 	s.holders = append(s.holders, holder)
 	if len(s.holders) > maxHolders {
 		s.holders = s.holders[1:]
@@ -165,13 +165,13 @@
 
 // referrals returns holders of the snapshot: some in the requester's zone, else in its region,
 // else any.
-func (s *snapshotServer) referrals(requester Asker) []string {
+func (s *snapshotServer) referrals(requester Requester) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, matches := range []func(Asker) bool{
-		func(holder Asker) bool { return holder.Zone == requester.Zone },
-		func(holder Asker) bool { return holder.Region == requester.Region },
-		func(Asker) bool { return true },
+	for _, matches := range []func(Requester) bool{
+		func(holder Requester) bool { return holder.Zone == requester.Zone },
+		func(holder Requester) bool { return holder.Region == requester.Region },
+		func(Requester) bool { return true },
 	} {
 		var addresses []string
 		for _, index := range rand.Perm(len(s.holders)) {
--- a/internal/peers/handover_test.go
+++ b/internal/peers/handover_test.go
@@ -15,7 +15,7 @@
 
 // simulatedNode is a node that starts with or without the snapshot.
 type simulatedNode struct {
-	requester   Asker
+	requester   Requester
 	server      *snapshotServer
 	hasSnapshot bool
 	queue       []string
@@ -48,7 +48,7 @@
 		address := fmt.Sprintf("10.0.%d.%d:1", index/250, index%250)
 		region := index % 3
 		node := &simulatedNode{
-			requester:   Asker{Address: address, Region: fmt.Sprint("r", region), Zone: fmt.Sprint("r", region, "z", index%2)},
+			requester:   Requester{Address: address, Region: fmt.Sprint("r", region), Zone: fmt.Sprint("r", region, "z", index%2)},
 			hasSnapshot: index < 3,
 			nextAt:      start.Add(bootstrapDelay + rand.N(bootstrapJitter)),
 			pause:       initialRoundInterval,
@@ -94,7 +94,7 @@
 					between++
 				}
 			}
-			node.requester.Again = true
+			node.requester.Retry = true
 			node.nextAt = now.Add(node.pause/2 + rand.N(node.pause))
 			node.pause = min(2*node.pause, maxRoundInterval)
 		}
@@ -123,28 +123,28 @@
 func TestSnapshotRateIsBounded(t *testing.T) {
 	is := is.New(t)
 	full := Snapshot{Servers: []endpoints.Server{{ID: "i"}}}
-	server := &snapshotServer{self: Asker{Zone: "z"}, snapshot: func() (Snapshot, bool) { return full, true }}
+	server := &snapshotServer{self: Requester{Zone: "z"}, snapshot: func() (Snapshot, bool) { return full, true }}
 	now := time.Unix(1000, 0)
 	given := 0
 	for number := range 100_000 {
-		body, err := server.respond(Asker{Address: fmt.Sprintf("10.0.0.1:%d", number), Zone: "z"}, now)
+		body, err := server.respond(Requester{Address: fmt.Sprintf("10.0.0.1:%d", number), Zone: "z"}, now)
 		is.NoErr(err)
 		given += len(body)
 	}
 	is.True(given > 0)
 	is.True(float64(given) <= snapshotRate*maxBacklog.Seconds()+float64(snapshotRate)/100)
 	is.Equal(len(server.holders), maxHolders)
-	is.Equal(len(server.referrals(Asker{})), maxReferrals)
+	is.Equal(len(server.referrals(Requester{})), maxReferrals)
 }
 
 func TestReferralsPreferTheZoneThenTheRegion(t *testing.T) {
 	is := is.New(t)
 	server := &snapshotServer{}
-	server.addHolder(Asker{Address: "far", Zone: "z3", Region: "r2"})
-	is.Equal(server.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"far"})
-	server.addHolder(Asker{Address: "near", Zone: "z2", Region: "r1"})
-	is.Equal(server.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"near"})
-	server.addHolder(Asker{Address: "same", Zone: "z1", Region: "r1"})
-	is.Equal(server.referrals(Asker{Address: "own", Zone: "z1", Region: "r1"}), []string{"same"})
-	is.Equal(server.referrals(Asker{Address: "same", Zone: "z1", Region: "r1"}), []string{"near"})
+	server.addHolder(Requester{Address: "far", Zone: "z3", Region: "r2"})
+	is.Equal(server.referrals(Requester{Address: "own", Zone: "z1", Region: "r1"}), []string{"far"})
+	server.addHolder(Requester{Address: "near", Zone: "z2", Region: "r1"})
+	is.Equal(server.referrals(Requester{Address: "own", Zone: "z1", Region: "r1"}), []string{"near"})
+	server.addHolder(Requester{Address: "same", Zone: "z1", Region: "r1"})
+	is.Equal(server.referrals(Requester{Address: "own", Zone: "z1", Region: "r1"}), []string{"same"})
+	is.Equal(server.referrals(Requester{Address: "same", Zone: "z1", Region: "r1"}), []string{"near"})
 }
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -27,8 +27,8 @@
 	encodedAt time.Time
 }
 
-// Route implements Routed.
-func (s *MemberServer) Route(routes *router.Router) { routes.GET(membersPath, s.serve) }
+// Register implements Routed.
+func (s *MemberServer) Register(routes *router.Router) { routes.GET(membersPath, s.serve) }
 
 func (s *MemberServer) serve(ctx *fasthttp.RequestCtx) {
 	body, err := s.encoded(time.Now())
@@ -62,8 +62,8 @@
 	return s.body, nil
 }
 
-// AskMembers requests the announcements read by one of the nodes at the addresses (IP:port).
-func AskMembers(addresses []string) ([]members.Member, error) {
+// FetchMembers requests the announcements read by one of the nodes at the addresses (IP:port).
+func FetchMembers(addresses []string) ([]members.Member, error) {
 	return askAny(addresses, len(addresses), askMembers)
 }
 
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -14,12 +14,12 @@
 // NoticeServer receives the notices of nodes that cannot write records of suspected requests
 // to the store.
 type NoticeServer struct {
-	// Hear handles a notice.
-	Hear func(quarantine.Notice)
+	// Handle handles a notice.
+	Handle func(quarantine.Notice)
 }
 
-// Route implements Routed.
-func (s NoticeServer) Route(routes *router.Router) { routes.POST(quarantinePath, s.serve) }
+// Register implements Routed.
+func (s NoticeServer) Register(routes *router.Router) { routes.POST(quarantinePath, s.serve) }
 
 func (s NoticeServer) serve(ctx *fasthttp.RequestCtx) {
 	var notice quarantine.Notice
@@ -27,11 +27,11 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	s.Hear(notice)
+	s.Handle(notice)
 	ctx.SetBodyString("{}")
 }
 
-// Tell sends a notice to the node at the address (IP:port).
-func (c *ReportClient) Tell(ctx context.Context, address string, notice quarantine.Notice) error {
+// SendNotice sends a notice to the node at the address (IP:port).
+func (c *Client) SendNotice(ctx context.Context, address string, notice quarantine.Notice) error {
 	return c.post(ctx, address, quarantinePath, notice, &struct{}{})
 }
--- a/internal/peers/publisher.go
+++ b/internal/peers/publisher.go
@@ -21,7 +21,7 @@
 // nodes. The zero value has read nothing. It is safe for concurrent use.
 type Publisher[T any] struct {
 	mutex sync.Mutex
-	log   catalog.Log[T]
+	log   catalog.ChangeLog[T]
 	// state returns all objects, at least as new as the published changes; nil if only
 	// changes are served.
 	state func() []T
@@ -41,7 +41,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.answeredAt = p.now()
-	restored := p.log.Last().Precedes(changes.Revision)
+	restored := p.log.Last().EarlierEraThan(changes.Revision)
 	p.log.Append(after, changes, p.answeredAt)
 	if fresh {
 		p.freshAt = p.answeredAt
@@ -59,8 +59,8 @@
 	return time.Now().Add(p.suspended())
 }
 
-// Followed reports whether other nodes follow this one.
-func (p *Publisher[T]) Followed() bool {
+// HasFollowers reports whether other nodes follow this one.
+func (p *Publisher[T]) HasFollowers() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.now().Sub(p.requestedAt) < followedFor
@@ -91,7 +91,7 @@
 		switch {
 		case errors.Is(err, errStale):
 			until = begun.Add(q.freshTimeout)
-		case err != nil || changes.Whole || len(changes.Changes) > 0:
+		case err != nil || changes.Full || len(changes.Changes) > 0:
 			return changes, err
 		}
 		left := time.Until(until)
@@ -148,7 +148,7 @@
 
 // whole returns the whole state at the latest published revision.
 func (p *Publisher[T]) whole() catalog.Changes[T] {
-	whole := catalog.Changes[T]{Revision: p.log.Last(), Whole: true}
+	whole := catalog.Changes[T]{Revision: p.log.Last(), Full: true}
 	for _, value := range p.state() {
 		whole.Changes = append(whole.Changes, catalog.Change[T]{Value: value})
 	}
--- a/internal/peers/search.go
+++ b/internal/peers/recovery_probe.go
@@ -27,15 +27,15 @@
 	maxSignalBackoff     = 30 * time.Second
 )
 
-// Search probes other nodes, one after the other, while the store does not answer this node.
+// RecoveryProber probes other nodes, one after the other, while the store does not answer this node.
 // It looks for a signal that the store can be reached again: a response after several unanswered
 // probes, or a node that is connected to the store. Probes are cheap, calls to the store are not.
-type Search struct {
+type RecoveryProber struct {
 	Selector *Selector
-	// Lost reports whether the store has not answered for some time.
-	Lost func(now time.Time) bool
-	// Found is called on a recovery signal.
-	Found func(now time.Time)
+	// Disconnected reports whether the store has not answered for some time.
+	Disconnected func(now time.Time) bool
+	// OnRecovery is called on a recovery signal.
+	OnRecovery func(now time.Time)
 	// ask replaces askConnected in tests.
 	ask func(address string) (bool, error)
 
@@ -66,7 +66,7 @@
 }
 
 // Run probes other nodes while the store is lost, until ctx is done.
-func (s *Search) Run(ctx context.Context) {
+func (s *RecoveryProber) Run(ctx context.Context) {
 	if s.ask == nil {
 		s.ask = askConnected
 	}
@@ -83,15 +83,15 @@
 }
 
 // probe probes one node if that is due.
-func (s *Search) probe(now time.Time) {
-	if !s.Lost(now) {
+func (s *RecoveryProber) probe(now time.Time) {
+	if !s.Disconnected(now) {
 		s.reset()
 		return
 	}
 	if s.backingOff(now) {
 		return
 	}
-	member, found := s.Selector.Distant()
+	member, found := s.Selector.RandomRemote()
 	if !found {
 		return
 	}
@@ -102,27 +102,27 @@
 		}
 		if s.isSignal(connected, err, time.Now()) {
 			klog.InfoS("way to the store may be back", "peer", member.Name, "in_touch", connected)
-			s.Selector.Forgive()
-			s.Found(time.Now())
+			s.Selector.ResetAvoided()
+			s.OnRecovery(time.Now())
 		}
 	}()
 }
 
-func (s *Search) reset() {
+func (s *RecoveryProber) reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.unanswered, s.backoffUntil = 0, time.Time{}
 	s.responses, s.connections = signalLimiter{}, signalLimiter{}
 }
 
-func (s *Search) backingOff(now time.Time) bool {
+func (s *RecoveryProber) backingOff(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return now.Before(s.backoffUntil)
 }
 
 // isSignal reports whether the result of a probe indicates that the store can be reached again.
-func (s *Search) isSignal(connected bool, err error, now time.Time) bool {
+func (s *RecoveryProber) isSignal(connected bool, err error, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if err != nil {
--- a/internal/peers/search_test.go
+++ b/internal/peers/recovery_probe_test.go
@@ -50,14 +50,14 @@
 		all := nodes("near", 20)
 		env := &searchEnvironment{selector: NewSelector(all[0], inRegion)}
 		env.selector.SetMembers(all)
-		search := Search{
+		search := RecoveryProber{
 			Selector: env.selector,
-			Lost: func(time.Time) (lost bool) {
+			Disconnected: func(time.Time) (lost bool) {
 				env.set(func() { lost = env.lost })
 				return lost
 			},
-			Found: func(time.Time) { env.set(func() { env.signals++ }) },
-			ask:   env.ask,
+			OnRecovery: func(time.Time) { env.set(func() { env.signals++ }) },
+			ask:        env.ask,
 		}
 		go search.Run(ctx)
 		test(is.New(t), env)
@@ -152,16 +152,16 @@
 	is := is.New(t)
 	own := members.Member{Name: "own", Zone: "near-1"}
 	s := NewSelector(own, inRegion)
-	_, found := s.Distant()
+	_, found := s.RandomRemote()
 	is.True(!found)
 	same := nodes("near-1", 5)
 	s.SetMembers(append(same, own))
-	member, found := s.Distant()
+	member, found := s.RandomRemote()
 	is.True(found)
 	is.Equal(member.Zone, "near-1") // there is no other zone
 	s.SetMembers(append(append(nodes("far", 1), same...), own))
 	for range 20 {
-		member, _ = s.Distant()
+		member, _ = s.RandomRemote()
 		is.Equal(member.Zone, "far")
 	}
 }
@@ -171,8 +171,8 @@
 	is := is.New(t)
 	var mutex sync.Mutex
 	connected := false
-	link := NewLink("kind", PlainCodec[endpoints.Server]{}, NewSelector(members.Member{}, inRegion))
-	contact := Contact{InTouch: func() bool {
+	link := NewRelay("kind", PlainCodec[endpoints.Server]{}, NewSelector(members.Member{}, inRegion))
+	contact := StoreStatusServer{UpToDate: func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return connected
@@ -180,7 +180,7 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	server := NewServer(Asker{}, func() (Snapshot, bool) { return Snapshot{}, false }, link, contact)
+	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, link, contact)
 	go func() { _ = server.Serve(listener) }()
 	got, err := askConnected(listener.Addr().String())
 	is.NoErr(err)
@@ -191,7 +191,7 @@
 	got, err = askConnected(listener.Addr().String())
 	is.NoErr(err)
 	is.True(got)
-	is.True(!link.Followed())
+	is.True(!link.HasFollowers())
 	listener.Close()
 	_, err = askConnected(listener.Addr().String())
 	is.True(err != nil)
--- a/internal/peers/recovery_test.go
+++ b/internal/peers/recovery_test.go
@@ -115,8 +115,8 @@
 	nodes   []*recoveryNode
 }
 
-// Reads implements catalog.Relay.
-func (k *recoveryKind) Reads() bool { return !k.node.selector.Follows(time.Now()) }
+// IsReader implements catalog.Relay.
+func (k *recoveryKind) IsReader() bool { return !k.node.selector.Follows(time.Now()) }
 
 func (k *recoveryKind) latest() catalog.Revision {
 	k.mutex.Lock()
@@ -190,8 +190,8 @@
 func (k *recoveryKind) Publish(after catalog.Revision, changes catalog.Changes[catalog.Revision], fresh bool) {
 	k.publisher.Publish(after, changes, fresh)
 }
-func (k *recoveryKind) StoreFailed()   { k.node.selector.StoreFailed(time.Now()) }
-func (k *recoveryKind) Followed() bool { return k.publisher.Followed() }
+func (k *recoveryKind) StoreFailed()       { k.node.selector.StoreFailed(time.Now()) }
+func (k *recoveryKind) HasFollowers() bool { return k.publisher.HasFollowers() }
 
 func (k *recoveryKind) Source() catalog.Watcher[catalog.Revision] {
 	member, found := k.node.selector.Next(k.lastFollowed(), time.Now())
@@ -210,7 +210,7 @@
 
 func (s recoverySource) Watch(ctx context.Context, request catalog.WatchRequest) (catalog.Changes[catalog.Revision], error) {
 	found, err := s.ask(ctx, request)
-	s.kind.node.selector.Judge(ctx, s.member.Name, err, time.Now())
+	s.kind.node.selector.ReportResult(ctx, s.member.Name, err, time.Now())
 	if err == nil {
 		s.kind.setFollowed(s.member.Name)
 	}
@@ -224,7 +224,7 @@
 		<-ctx.Done()
 		return catalog.Changes[catalog.Revision]{}, errNoAnswer
 	}
-	query := watchQuery{after: request.After, wait: request.Wait, freshTimeout: request.Patience, maxAge: maxDataAge, whole: true}
+	query := watchQuery{after: request.After, wait: request.Wait, freshTimeout: request.CatchUpWait, maxAge: maxDataAge, whole: true}
 	return other.kinds[s.kind.index].publisher.answer(ctx, query)
 }
 
@@ -268,11 +268,11 @@
 		kind.node, kind.index = n, index
 		kind.publisher.state = func() []catalog.Revision { return []catalog.Revision{kind.latest()} }
 		follower := catalog.NewFollower("kind", kind, kind, noopObserver{})
-		follower.Share(kind)
-		follower.ShareBackoff(&n.backoff)
+		follower.UseRelay(kind)
+		follower.UseBackoff(&n.backoff)
 		go follower.Run(ctx)
 	}
-	search := Search{Selector: n.selector, Lost: n.backoff.Lost, Found: n.backoff.Wake, ask: n.askConnected}
+	search := RecoveryProber{Selector: n.selector, Disconnected: n.backoff.Disconnected, OnRecovery: n.backoff.RetryNow, ask: n.askConnected}
 	go search.Run(ctx)
 }
 
@@ -282,12 +282,12 @@
 		time.Sleep(requestTimeout)
 		return false, errNoAnswer
 	}
-	return other.backoff.InTouch(time.Now()), nil
+	return other.backoff.UpToDate(time.Now()), nil
 }
 
 type noopObserver struct{}
 
-func (noopObserver) ObjectUnreadable(string, catalog.Flaw) {}
+func (noopObserver) ObjectUnreadable(string, catalog.DecodeFailure) {}
 
 func (noopObserver) StoreCalled(string, error) {}
 
--- a/internal/peers/link.go
+++ b/internal/peers/relay.go
@@ -56,16 +56,16 @@
 	body            []byte
 }
 
-// Link connects the followers of one kind of objects on all nodes: it publishes the
+// Relay connects the followers of one kind of objects on all nodes: it publishes the
 // changes that this node reads from the store, and follows another node if the selector
 // picks one.
-type Link[T any] struct {
+type Relay[T any] struct {
 	kind      string
 	codec     Codec[T]
 	selector  *Selector
 	publisher Publisher[T]
 	// eras are exchanged with other nodes.
-	eras *catalog.Eras
+	eras *catalog.EraTracker
 
 	mutex sync.Mutex
 	// client calls the node followed last.
@@ -76,38 +76,40 @@
 	latest cachedBody
 }
 
-// NewLink returns a link for a kind of objects. The kind is part of the HTTP path.
-func NewLink[T any](kind string, codec Codec[T], selector *Selector) *Link[T] {
-	return &Link[T]{kind: kind, codec: codec, selector: selector, eras: &catalog.Eras{}}
+// NewRelay returns a link for a kind of objects. The kind is part of the HTTP path.
+func NewRelay[T any](kind string, codec Codec[T], selector *Selector) *Relay[T] {
+	return &Relay[T]{kind: kind, codec: codec, selector: selector, eras: &catalog.EraTracker{}}
 }
 
-// ShareEras makes the link exchange the store's era with other nodes, so that they notice a restored store.
-func (l *Link[T]) ShareEras(eras *catalog.Eras) { l.eras = eras }
+// UseEraTracker makes the link exchange the store's era with other nodes, so that they notice a restored store.
+func (l *Relay[T]) UseEraTracker(eras *catalog.EraTracker) { l.eras = eras }
 
-// HandOver makes the link send the whole state to followers whose revision is older than
+// ServeState makes the link send the whole state to followers whose revision is older than
 // the changes that this node keeps. The state must include everything that was published.
-func (l *Link[T]) HandOver(state func() []T) { l.publisher.state = state }
+func (l *Relay[T]) ServeState(state func() []T) { l.publisher.state = state }
 
-// CountSuspensions makes the published data age while the machine of this node is suspended.
-func (l *Link[T]) CountSuspensions(suspended func() time.Duration) { l.publisher.suspended = suspended }
+// SetSuspensionClock makes the published data age while the machine of this node is suspended.
+func (l *Relay[T]) SetSuspensionClock(suspended func() time.Duration) {
+	l.publisher.suspended = suspended
+}
 
 // Publish implements catalog.Relay.
-func (l *Link[T]) Publish(after catalog.Revision, changes catalog.Changes[T], fresh bool) {
+func (l *Relay[T]) Publish(after catalog.Revision, changes catalog.Changes[T], fresh bool) {
 	l.publisher.Publish(after, changes, fresh)
 }
 
 // StoreFailed implements catalog.Relay.
-func (l *Link[T]) StoreFailed() { l.selector.StoreFailed(time.Now()) }
+func (l *Relay[T]) StoreFailed() { l.selector.StoreFailed(time.Now()) }
 
-// Followed implements catalog.Relay. It also reports true for a reader that is not followed yet: it must
+// HasFollowers implements catalog.Relay. It also reports true for a reader that is not followed yet: it must
 // have the data that its followers will request.
-func (l *Link[T]) Followed() bool { return l.publisher.Followed() || l.selector.Reads() }
+func (l *Relay[T]) HasFollowers() bool { return l.publisher.HasFollowers() || l.selector.IsReader() }
 
-// Reads implements catalog.Relay.
-func (l *Link[T]) Reads() bool { return !l.selector.Follows(time.Now()) }
+// IsReader implements catalog.Relay.
+func (l *Relay[T]) IsReader() bool { return !l.selector.Follows(time.Now()) }
 
 // Source implements catalog.Relay.
-func (l *Link[T]) Source() catalog.Watcher[T] {
+func (l *Relay[T]) Source() catalog.Watcher[T] {
 	member, found := l.selector.Next(l.lastFollowed(), time.Now())
 	if !found {
 		l.setFollowed("")
@@ -117,7 +119,7 @@
 }
 
 // lastFollowed returns the name of the node that answered last; empty for the store.
-func (l *Link[T]) lastFollowed() string {
+func (l *Relay[T]) lastFollowed() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.followed
@@ -126,7 +128,7 @@
 // setFollowed records and logs the node that answered, if it has changed; empty for the
 // store. Nodes that do not answer are not logged: while the store is down for all nodes,
 // every node tries many others.
-func (l *Link[T]) setFollowed(name string) {
+func (l *Relay[T]) setFollowed(name string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.followed != name {
@@ -135,18 +137,18 @@
 	}
 }
 
-// Route implements Routed.
-func (l *Link[T]) Route(routes *router.Router) {
+// Register implements Routed.
+func (l *Relay[T]) Register(routes *router.Router) {
 	routes.GET(changesPath+l.kind, l.serve)
 }
 
-func (l *Link[T]) serve(ctx *fasthttp.RequestCtx) {
+func (l *Relay[T]) serve(ctx *fasthttp.RequestCtx) {
 	query, err := parseWatchQuery(ctx.QueryArgs())
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	l.eras.Hear(query.era)
+	l.eras.Observe(query.era)
 	changes, err := l.publisher.answer(ctx, query)
 	switch {
 	case errors.Is(err, catalog.ErrHistoryGone):
@@ -164,18 +166,18 @@
 	ctx.Response.Header.Set(headerRevision, strconv.FormatUint(uint64(changes.Revision), 10))
 	ctx.Response.Header.Set(headerAge, changes.Age.String())
 	ctx.Response.Header.Set(headerFreshAge, changes.FreshAge.String())
-	if changes.Whole {
+	if changes.Full {
 		ctx.Response.Header.Set(headerWhole, strconv.FormatBool(true))
 	}
 	writeBody(ctx, body)
 }
 
 // body returns the encoded changes after a revision; nil if there are none.
-func (l *Link[T]) body(after catalog.Revision, changes catalog.Changes[T]) ([]byte, error) {
+func (l *Relay[T]) body(after catalog.Revision, changes catalog.Changes[T]) ([]byte, error) {
 	if len(changes.Changes) == 0 {
 		return nil, nil
 	}
-	if changes.Whole {
+	if changes.Full {
 		after = 0 // the body does not depend on the requested revision
 	}
 	l.mutex.Lock()
@@ -191,7 +193,7 @@
 	return l.latest.body, nil
 }
 
-func (l *Link[T]) encode(changes catalog.Changes[T]) ([]byte, error) {
+func (l *Relay[T]) encode(changes catalog.Changes[T]) ([]byte, error) {
 	entries := make([]change, 0, len(changes.Changes))
 	for _, item := range changes.Changes {
 		entry := change{Name: item.Name, Removed: item.Removed, Unreadable: item.Unreadable}
@@ -207,7 +209,7 @@
 	return json.Marshal(entries)
 }
 
-func (l *Link[T]) decode(response *fasthttp.Response) (catalog.Changes[T], error) {
+func (l *Relay[T]) decode(response *fasthttp.Response) (catalog.Changes[T], error) {
 	changes, err := decodeHeaders[T](&response.Header)
 	if err != nil || len(response.Body()) == 0 {
 		return changes, err
@@ -227,13 +229,13 @@
 }
 
 // add adds a change. An entry that cannot be decoded does not prevent the others from being read.
-func (l *Link[T]) add(changes *catalog.Changes[T], entry change) {
+func (l *Relay[T]) add(changes *catalog.Changes[T], entry change) {
 	item := catalog.Change[T]{Name: entry.Name, Removed: entry.Removed, Unreadable: entry.Unreadable}
 	if !entry.Removed {
 		value, err := l.codec.Decode(entry.Value)
 		if err != nil {
-			changes.Flaws = append(changes.Flaws, catalog.Flaw{Name: entry.Name, Cause: err.Error()})
-			if changes.Whole {
+			changes.DecodeFailures = append(changes.DecodeFailures, catalog.DecodeFailure{Name: entry.Name, Cause: err.Error()})
+			if changes.Full {
 				return
 			}
 			item.Removed, item.Unreadable = true, true
@@ -258,5 +260,5 @@
 		return catalog.Changes[T]{}, errors.Wrap(err, headerFreshAge)
 	}
 	whole := string(header.Peek(headerWhole)) == strconv.FormatBool(true)
-	return catalog.Changes[T]{Revision: catalog.Revision(revision), Age: age, FreshAge: freshAge, Whole: whole}, nil
+	return catalog.Changes[T]{Revision: catalog.Revision(revision), Age: age, FreshAge: freshAge, Full: whole}, nil
 }
--- a/internal/peers/link_test.go
+++ b/internal/peers/relay_test.go
@@ -43,9 +43,9 @@
 		is.Equal(got.Age, time.Duration(0))
 		is.Equal(got.FreshAge, 200*time.Millisecond)
 		is.Equal(len(got.Changes), 1)
-		is.True(publisher.Followed())
+		is.True(publisher.HasFollowers())
 		time.Sleep(followedFor)
-		is.True(!publisher.Followed())
+		is.True(!publisher.HasFollowers())
 	})
 }
 
@@ -72,18 +72,18 @@
 }
 
 // linked returns the link of a reader, and the source and selector by which another node follows it.
-func linked[T any](t *testing.T, codec Codec[T]) (reader *Link[T], source catalog.Watcher[T], selector *Selector) {
+func linked[T any](t *testing.T, codec Codec[T]) (reader *Relay[T], source catalog.Watcher[T], selector *Selector) {
 	t.Helper()
-	reader = NewLink("kind", codec, NewSelector(members.Member{Name: "reader"}, inRegion))
+	reader = NewRelay("kind", codec, NewSelector(members.Member{Name: "reader"}, inRegion))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	server := NewServer(Asker{}, func() (Snapshot, bool) { return Snapshot{}, false }, reader)
+	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, reader)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { listener.Close() })
 	selector = NewSelector(members.Member{Name: "own"}, inRegion)
 	selector.SetMembers([]members.Member{{Name: "reader", Zone: "near", Address: listener.Addr().String()}})
 	selector.StoreFailed(time.Now())
-	return reader, NewLink("kind", codec, selector).Source(), selector
+	return reader, NewRelay("kind", codec, selector).Source(), selector
 }
 
 func TestFollowersReceiveServers(t *testing.T) {
@@ -150,7 +150,7 @@
 	is := is.New(t)
 	reader, source, selector := linked(t, PlainCodec[endpoints.Server]{})
 	link := source.(interface {
-		owner() *Link[endpoints.Server]
+		owner() *Relay[endpoints.Server]
 	}).owner()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -166,7 +166,7 @@
 	is.Equal(link.followed, "")
 }
 
-func (s source[T]) owner() *Link[T] { return s.link }
+func (s source[T]) owner() *Relay[T] { return s.link }
 
 func TestInvalidQueriesAreRejected(t *testing.T) {
 	for _, query := range []string{"", "after=x&wait=1s&age=1s", "after=1&wait=1&age=1s", "after=1&wait=1s", "after=-1&wait=1s&age=1s"} {
@@ -187,14 +187,14 @@
 	is := is.New(t)
 	reader, source, selector := linked(t, PlainCodec[endpoints.Server]{})
 	state := []endpoints.Server{{ID: "a", Service: "s", Slots: 3}, {ID: "b", Service: "s"}}
-	reader.HandOver(func() []endpoints.Server { return state })
+	reader.ServeState(func() []endpoints.Server { return state })
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	reader.Publish(5, changesAt(7, put("a")), true)
 	for _, after := range []catalog.Revision{2, 3} {
 		got, err := source.Watch(ctx, catalog.WatchRequest{After: after, Wait: time.Second})
 		is.NoErr(err)
-		is.True(got.Whole)
+		is.True(got.Full)
 		is.Equal(got.Revision, catalog.Revision(7))
 		is.Equal(len(got.Changes), 2)
 		is.Equal(got.Changes[0].Value, state[0])
@@ -202,7 +202,7 @@
 	}
 	got, err := source.Watch(ctx, catalog.WatchRequest{After: 5, Wait: time.Second})
 	is.NoErr(err)
-	is.True(!got.Whole) // the changes suffice
+	is.True(!got.Full) // the changes suffice
 	is.Equal(got.Changes, []catalog.Change[endpoints.Server]{put("a")})
 	_, err = reader.publisher.answer(ctx, watchQuery{after: 2, wait: time.Second, maxAge: time.Hour})
 	is.True(errors.Is(err, catalog.ErrHistoryGone)) // the whole state was not requested
@@ -210,11 +210,11 @@
 	reader.Publish(8, changesAt(9), true) // drops the earlier changes
 	got, err = source.Watch(ctx, catalog.WatchRequest{After: 2, Wait: time.Second})
 	is.NoErr(err)
-	is.True(got.Whole)
+	is.True(got.Full)
 	is.Equal(len(got.Changes), 0)
-	_, found := selector.Again("reader", time.Now())
+	_, found := selector.Resume("reader", time.Now())
 	is.True(found) // still followed while the store fails
 	selector.Failed("reader", time.Now())
-	_, found = selector.Again("reader", time.Now())
+	_, found = selector.Resume("reader", time.Now())
 	is.True(!found)
 }
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -26,13 +26,13 @@
 
 // ReportServer receives the rollout reports of other nodes.
 type ReportServer struct {
-	// Take handles a report; nil if rollouts are disabled.
-	Take func(rollout.Report) ([]rollout.Ruling, error)
+	// Handle handles a report; nil if rollouts are disabled.
+	Handle func(rollout.Report) ([]rollout.OrderReply, error)
 }
 
-// Route implements Routed.
-func (s ReportServer) Route(routes *router.Router) {
-	if s.Take != nil {
+// Register implements Routed.
+func (s ReportServer) Register(routes *router.Router) {
+	if s.Handle != nil {
 		routes.POST(rolloutsPath, s.serve)
 	}
 }
@@ -43,7 +43,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	rulings, err := s.Take(report)
+	rulings, err := s.Handle(report)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
@@ -65,9 +65,9 @@
 	return json.Unmarshal(body, message)
 }
 
-// ReportClient sends rollout reports and other messages to other nodes over persistent
+// Client sends rollout reports and other messages to other nodes over persistent
 // connections. The zero value is ready to use. It is safe for concurrent use.
-type ReportClient struct {
+type Client struct {
 	mutex   sync.Mutex
 	clients map[string]*messageTarget
 }
@@ -79,14 +79,14 @@
 }
 
 // Send implements rollout.Transport.
-func (c *ReportClient) Send(ctx context.Context, address string, report rollout.Report) ([]rollout.Ruling, error) {
-	var rulings []rollout.Ruling
+func (c *Client) Send(ctx context.Context, address string, report rollout.Report) ([]rollout.OrderReply, error) {
+	var rulings []rollout.OrderReply
 	err := c.post(ctx, address, rolloutsPath, report, &rulings)
 	return rulings, err
 }
 
 // post sends a message to the node at the address and decodes the response.
-func (c *ReportClient) post(ctx context.Context, address, path string, message, answer any) error {
+func (c *Client) post(ctx context.Context, address, path string, message, answer any) error {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return errors.New("a message to another node needs a deadline")
@@ -115,7 +115,7 @@
 }
 
 // client returns the client for an address, and closes idle ones.
-func (c *ReportClient) client(address string, now time.Time) *fasthttp.HostClient {
+func (c *Client) client(address string, now time.Time) *fasthttp.HostClient {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for key, target := range c.clients {
--- a/internal/peers/reports_test.go
+++ b/internal/peers/reports_test.go
@@ -14,17 +14,17 @@
 )
 
 // serveReports starts a server that receives reports and returns its address.
-func serveReports(t *testing.T, take func(rollout.Report) ([]rollout.Ruling, error)) string {
+func serveReports(t *testing.T, take func(rollout.Report) ([]rollout.OrderReply, error)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = listener.Close() })
-	server := NewServer(Asker{}, func() (Snapshot, bool) { return Snapshot{}, false }, ReportServer{Take: take})
+	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, ReportServer{Handle: take})
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String()
 }
 
-func sendReport(t *testing.T, client *ReportClient, address string, report rollout.Report) ([]rollout.Ruling, error) {
+func sendReport(t *testing.T, client *Client, address string, report rollout.Report) ([]rollout.OrderReply, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -37,7 +37,7 @@
 	for index := range orders {
 		report.Orders = append(report.Orders, rollout.OrderReport{
 			Service: fmt.Sprint("service-", index), Target: "v2", Created: 10, Revision: 11, Elapsed: 3 * time.Second,
-			OldUnderWay: 2, Servers: 3, Requests: 100, Sent: 4, Halted: index == 1,
+			OldInFlight: 2, Servers: 3, Requests: 100, Sent: 4, Halted: index == 1,
 			Routes: []rollout.RouteCounts{{
 				Route: "route", Old: rollout.Counts{Answers: 96, Timed: 90, Slow: 1},
 				New: map[rollout.ServerID]rollout.Counts{"new-1": {Answers: 4, Failed: 1, Timed: 3}},
@@ -54,15 +54,15 @@
 			is := is.New(t)
 			sent := reportOf(orders)
 			var taken rollout.Report
-			address := serveReports(t, func(report rollout.Report) ([]rollout.Ruling, error) {
+			address := serveReports(t, func(report rollout.Report) ([]rollout.OrderReply, error) {
 				taken = report
-				var rulings []rollout.Ruling
+				var rulings []rollout.OrderReply
 				for _, order := range report.Orders {
-					rulings = append(rulings, rollout.Ruling{Service: order.Service, Target: order.Target, Created: order.Created, Halt: order.Halted})
+					rulings = append(rulings, rollout.OrderReply{Service: order.Service, Target: order.Target, Created: order.Created, Halt: order.Halted})
 				}
 				return rulings, nil
 			})
-			var client ReportClient
+			var client Client
 			rulings, err := sendReport(t, &client, address, sent)
 			is.NoErr(err)
 			is.Equal(taken, sent)
@@ -77,8 +77,8 @@
 
 func TestRefusedReportsAreErrors(t *testing.T) {
 	is := is.New(t)
-	var client ReportClient
-	refusing := serveReports(t, func(rollout.Report) ([]rollout.Ruling, error) { return nil, errors.New("frozen") })
+	var client Client
+	refusing := serveReports(t, func(rollout.Report) ([]rollout.OrderReply, error) { return nil, errors.New("frozen") })
 	_, err := sendReport(t, &client, refusing, reportOf(1))
 	is.True(err != nil)
 	without := serveReports(t, nil)
@@ -91,7 +91,7 @@
 // Clients of nodes that receive no more reports are dropped.
 func TestIdleClientsAreDropped(t *testing.T) {
 	is := is.New(t)
-	var client ReportClient
+	var client Client
 	now := time.Now()
 	first := client.client("first:1", now)
 	is.Equal(client.client("first:1", now), first)
--- a/internal/peers/restored_test.go
+++ b/internal/peers/restored_test.go
@@ -122,7 +122,7 @@
 	cluster  *restoreCluster
 	selector *Selector
 	backoff  catalog.Backoff
-	eras     catalog.Eras
+	eras     catalog.EraTracker
 	kinds    map[string]*restoreKind
 }
 
@@ -161,8 +161,8 @@
 	for number := range count {
 		node := &restoreNode{number: number, cluster: cluster, selector: NewSelector(all[number], inRegion), kinds: make(map[string]*restoreKind)}
 		node.selector.SetMembers(all)
-		node.backoff.SetCallers(node.selector.Callers(count))
-		node.eras.OnRestore(func(catalog.Era) { node.backoff.Restored() })
+		node.backoff.SetCallers(node.selector.StoreCallers(count))
+		node.eras.OnRestore(func(catalog.Era) { node.backoff.StoreRestored() })
 		for _, name := range []string{kindTables, kindServers} {
 			kind := &restoreKind{node: node, name: name, objects: make(map[string]string)}
 			kind.publisher.state = kind.list
@@ -173,9 +173,9 @@
 	for _, node := range cluster.nodes {
 		for _, kind := range node.kinds {
 			follower := catalog.NewFollower[storeObject](kind.name, kind, kind, noopObserver{})
-			follower.Share(kind)
-			follower.ShareBackoff(&node.backoff)
-			follower.ShareEras(&node.eras)
+			follower.UseRelay(kind)
+			follower.UseBackoff(&node.backoff)
+			follower.UseEraTracker(&node.eras)
 			go follower.Run(ctx)
 		}
 	}
@@ -207,9 +207,9 @@
 	if store.down {
 		return errStoreDown
 	}
-	k.node.eras.Hear(store.era)
+	k.node.eras.Observe(store.era)
 	if store.era < k.node.eras.Latest() {
-		return catalog.ErrOlder
+		return catalog.ErrOutdated
 	}
 	return answer(store)
 }
@@ -311,9 +311,11 @@
 func (k *restoreKind) Publish(after catalog.Revision, changes catalog.Changes[storeObject], fresh bool) {
 	k.publisher.Publish(after, changes, fresh)
 }
-func (k *restoreKind) StoreFailed()   { k.node.selector.StoreFailed(time.Now()) }
-func (k *restoreKind) Followed() bool { return k.publisher.Followed() || k.node.selector.Reads() }
-func (k *restoreKind) Reads() bool    { return !k.node.selector.Follows(time.Now()) }
+func (k *restoreKind) StoreFailed() { k.node.selector.StoreFailed(time.Now()) }
+func (k *restoreKind) HasFollowers() bool {
+	return k.publisher.HasFollowers() || k.node.selector.IsReader()
+}
+func (k *restoreKind) IsReader() bool { return !k.node.selector.Follows(time.Now()) }
 
 func (k *restoreKind) Source() catalog.Watcher[storeObject] {
 	member, found := k.node.selector.Next(k.lastFollowed(), time.Now())
@@ -345,7 +347,7 @@
 
 func (s restoreSource) Watch(ctx context.Context, request catalog.WatchRequest) (catalog.Changes[storeObject], error) {
 	found, err := s.ask(ctx, request)
-	s.kind.node.selector.Judge(ctx, s.member.Name, err, time.Now())
+	s.kind.node.selector.ReportResult(ctx, s.member.Name, err, time.Now())
 	if err == nil {
 		s.kind.setFollowed(s.member.Name)
 	}
@@ -359,8 +361,8 @@
 		<-ctx.Done()
 		return catalog.Changes[storeObject]{}, errNoAnswer
 	}
-	query := watchQuery{after: request.After, wait: request.Wait, freshTimeout: request.Patience, maxAge: maxDataAge, whole: true, era: node.eras.Latest()}
-	other.eras.Hear(query.era)
+	query := watchQuery{after: request.After, wait: request.Wait, freshTimeout: request.CatchUpWait, maxAge: maxDataAge, whole: true, era: node.eras.Latest()}
+	other.eras.Observe(query.era)
 	return other.kinds[s.kind.name].publisher.answer(ctx, query)
 }
 
--- a/internal/peers/retries.go
+++ b/internal/peers/retries.go
@@ -20,11 +20,11 @@
 	Now func() time.Time
 }
 
-// Route implements Routed.
-func (s RetryServer) Route(routes *router.Router) { routes.POST(retriesPath, s.serve) }
+// Register implements Routed.
+func (s RetryServer) Register(routes *router.Router) { routes.POST(retriesPath, s.serve) }
 
 func (s RetryServer) serve(ctx *fasthttp.RequestCtx) {
-	var wants retrybudget.Wants
+	var wants retrybudget.SendCounts
 	if err := decodeMessage(&ctx.Request, &wants); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
@@ -37,9 +37,9 @@
 	writeBody(ctx, compress(encoded))
 }
 
-// AskRetries requests retries from the budget of the node at the address (IP:port).
-func (c *ReportClient) AskRetries(ctx context.Context, address string, wants retrybudget.Wants) (retrybudget.Wants, error) {
-	var granted retrybudget.Wants
+// AcquireRetries requests retries from the budget of the node at the address (IP:port).
+func (c *Client) AcquireRetries(ctx context.Context, address string, wants retrybudget.SendCounts) (retrybudget.SendCounts, error) {
+	var granted retrybudget.SendCounts
 	err := c.post(ctx, address, retriesPath, wants, &granted)
 	return granted, err
 }
--- a/internal/peers/selector.go
+++ b/internal/peers/selector.go
@@ -95,7 +95,7 @@
 // Next returns the node to follow next: while the store fails, the one followed last if it is not avoided;
 // otherwise the one returned by Pick.
 func (s *Selector) Next(followed string, now time.Time) (members.Member, bool) {
-	if member, found := s.Again(followed, now); found {
+	if member, found := s.Resume(followed, now); found {
 		return member, true
 	}
 	return s.Pick(now)
@@ -131,8 +131,8 @@
 // readerCount returns how many of the given number of nodes read from the store.
 func readerCount(nodes int) int { return 1 + nodes/nodesPerReader }
 
-// Reads reports whether this node reads from the store for others.
-func (s *Selector) Reads() bool {
+// IsReader reports whether this node reads from the store for others.
+func (s *Selector) IsReader() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.region) < minRelayNodes {
@@ -150,9 +150,9 @@
 	return found
 }
 
-// Holder returns the node that manages the retry budget of this one; false if that is this
+// RetryPoolNode returns the node that manages the retry budget of this one; false if that is this
 // node itself.
-func (s *Selector) Holder(now time.Time) (members.Member, bool) {
+func (s *Selector) RetryPoolNode(now time.Time) (members.Member, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reader(now)
@@ -191,9 +191,9 @@
 	return available
 }
 
-// Again returns the node of the given name if the store does not answer this one and that
+// Resume returns the node of the given name if the store does not answer this one and that
 // node may still be followed.
-func (s *Selector) Again(name string, now time.Time) (members.Member, bool) {
+func (s *Selector) Resume(name string, now time.Time) (members.Member, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.storeFails(now) {
@@ -234,9 +234,9 @@
 	return slices.DeleteFunc(slices.Concat(s.region, s.others), func(member members.Member) bool { return member.Name == s.self.Name })
 }
 
-// Distant returns a random other node, in another zone if there is one: the nodes of a zone
+// RandomRemote returns a random other node, in another zone if there is one: the nodes of a zone
 // are often cut off together.
-func (s *Selector) Distant() (members.Member, bool) {
+func (s *Selector) RandomRemote() (members.Member, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var sameZone, otherZones []members.Member
@@ -258,8 +258,8 @@
 	return otherZones[rand.IntN(len(otherZones))], true
 }
 
-// Forgive clears the avoidance of all nodes.
-func (s *Selector) Forgive() {
+// ResetAvoided clears the avoidance of all nodes.
+func (s *Selector) ResetAvoided() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	clear(s.avoided)
@@ -277,11 +277,11 @@
 	return now.Sub(s.storeFailedAt) < storeAvoidance
 }
 
-// Judge records the result of a request to a node; a canceled request is ignored.
-func (s *Selector) Judge(ctx context.Context, name string, err error, now time.Time) {
+// ReportResult records the result of a request to a node; a canceled request is ignored.
+func (s *Selector) ReportResult(ctx context.Context, name string, err error, now time.Time) {
 	switch {
 	case err == nil:
-		s.Answered(name)
+		s.Succeeded(name)
 	case errors.Is(ctx.Err(), context.Canceled):
 	case errors.Is(err, errStale):
 		s.Refused(name, now)
@@ -309,18 +309,18 @@
 	s.avoided[name] = avoidance{until: now.Add(staleAvoidance)}
 }
 
-// Callers returns how many of the given number of nodes call the store while it answers. For a node that
+// StoreCallers returns how many of the given number of nodes call the store while it answers. For a node that
 // follows another one it returns all of them, since followers call the store only when no other node does.
-func (s *Selector) Callers(nodes int) int {
-	if !s.Reads() {
+func (s *Selector) StoreCallers(nodes int) int {
+	if !s.IsReader() {
 		return nodes
 	}
 	return readerCount(nodes)
 }
 
-// Answered records that a node answered with recent data of one kind of objects; it is then preferred for
+// Succeeded records that a node answered with recent data of one kind of objects; it is then preferred for
 // all kinds.
-func (s *Selector) Answered(name string) {
+func (s *Selector) Succeeded(name string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.avoided, name)
--- a/internal/peers/selector_test.go
+++ b/internal/peers/selector_test.go
@@ -104,7 +104,7 @@
 		s.Failed("other", now)
 	}
 	is.Equal(s.avoided["other"].length, maxAvoidance)
-	s.Answered("other")
+	s.Succeeded("other")
 	s.Failed("other", now)
 	is.Equal(s.avoided["other"].length, initialAvoidance)
 }
@@ -187,7 +187,7 @@
 			if picked, found := selector.Pick(testTime); found {
 				followed[picked.Name] = true
 			}
-			if selector.Reads() {
+			if selector.IsReader() {
 				readers[own.Name] = true
 			}
 		}
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -24,19 +24,19 @@
 	http *fasthttp.Server
 }
 
-// Routed adds its paths to the router of a server.
-type Routed interface {
-	Route(routes *router.Router)
+// RouteRegistrar adds its paths to the router of a server.
+type RouteRegistrar interface {
+	Register(routes *router.Router)
 }
 
 // NewServer returns a server for the node's snapshot and for further paths. The snapshot
 // function returns false while there is no state to serve.
-func NewServer(self Asker, snapshot func() (Snapshot, bool), extra ...Routed) *Server {
+func NewServer(self Requester, snapshot func() (Snapshot, bool), extra ...RouteRegistrar) *Server {
 	routes := router.New()
 	snapshots := &snapshotServer{self: self, snapshot: snapshot}
 	routes.GET(snapshotPath, snapshots.serve)
 	for _, routed := range extra {
-		routed.Route(routes)
+		routed.Register(routes)
 	}
 	return &Server{http: &fasthttp.Server{
 		Handler:               routes.Handler,
--- a/internal/peers/source.go
+++ b/internal/peers/source.go
@@ -17,14 +17,14 @@
 
 // source is the watcher of a followed node.
 type source[T any] struct {
-	link   *Link[T]
+	link   *Relay[T]
 	member members.Member
 }
 
 // Watch implements catalog.Watcher.
 func (s source[T]) Watch(ctx context.Context, request catalog.WatchRequest) (catalog.Changes[T], error) {
 	changes, err := s.ask(ctx, request)
-	s.link.selector.Judge(ctx, s.member.Name, err, time.Now())
+	s.link.selector.ReportResult(ctx, s.member.Name, err, time.Now())
 	if err != nil {
 		return changes, errors.Wrapf(err, "node %s", s.member.Name)
 	}
@@ -40,7 +40,7 @@
 	query := url.Values{}
 	query.Set(paramAfter, strconv.FormatUint(uint64(request.After), 10))
 	query.Set(paramWait, request.Wait.String())
-	query.Set(paramFreshTimeout, request.Patience.String())
+	query.Set(paramFreshTimeout, request.CatchUpWait.String())
 	query.Set(paramAge, maxDataAge.String())
 	query.Set(paramWhole, strconv.FormatBool(true))
 	query.Set(paramEra, strconv.FormatUint(uint64(s.link.eras.Latest()), 10))
@@ -65,7 +65,7 @@
 
 // clientOf returns the client for an address. Idle connections to the node that was
 // followed before are closed.
-func (l *Link[T]) clientOf(address string) *fasthttp.HostClient {
+func (l *Relay[T]) clientOf(address string) *fasthttp.HostClient {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.client != nil && l.client.Addr == address {
--- a/internal/peers/watch_query.go
+++ b/internal/peers/watch_query.go
@@ -61,7 +61,7 @@
 		return 0, nil
 	}
 	era, err := strconv.ParseUint(string(text), 10, 32)
-	if err == nil && catalog.Era(era) > catalog.LatestEra {
+	if err == nil && catalog.Era(era) > catalog.MaxEra {
 		err = errors.Newf("%d is out of range", era)
 	}
 	return catalog.Era(era), err
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -12,7 +12,7 @@
 // noop is an observer and a registry that do nothing.
 type noop struct{}
 
-func (noop) RequestsLost(string, int)                               {}
+func (noop) AttemptsLost(string, int)                               {}
 func (noop) RequestDecided(Action)                                  {}
 func (noop) TrialEnded(TrialResult)                                 {}
 func (noop) RecordWritten(error)                                    {}
@@ -24,15 +24,15 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, test := range []struct{ records, body int }{{0, 0}, {maxRecords, 0}, {maxRecords, 1 << 20}} {
 		b.Run(fmt.Sprintf("%d records, body of %d", test.records, test.body), func(b *testing.B) {
-			keeper := NewKeeper(Options{Term: testTerm, Registry: noop{}, Observer: noop{}, Now: boottime.Now})
+			keeper := NewManager(Options{Term: testTerm, Store: noop{}, Observer: noop{}, Now: boottime.Now})
 			for number := range test.records {
 				loss := Loss{Digest: request(fmt.Sprint("bad-", number)).Digest(), Service: "s", Server: "i", At: time.Now()}
-				keeper.Lost(loss)
+				keeper.AttemptLost(loss)
 			}
-			keeper.Ended("i")
+			keeper.ServerCrashed("i")
 			for number := range test.records {
 				keeper.locked(func(now boottime.Instant) {
-					keeper.register.Charge(Loss{Digest: request(fmt.Sprint("bad-", number)).Digest(), Service: "s", Server: "i"}, now)
+					keeper.register.AddLoss(Loss{Digest: request(fmt.Sprint("bad-", number)).Digest(), Service: "s", Server: "i"}, now)
 				})
 			}
 			body := make([]byte, test.body)
@@ -40,7 +40,7 @@
 			for b.Loop() {
 				identity := &Identity{Line: []byte("GET /sound HTTP/1.1"), Host: "h", Body: body}
 				admission := keeper.Admit(b.Context(), identity, time.Second, anyServer)
-				admission.Permits()
+				admission.MaySend()
 			}
 		})
 	}
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -45,7 +45,7 @@
 
 // node is one node with its connection to the store.
 type node struct {
-	*Keeper
+	*Manager
 	cluster *cluster
 	name    string
 	// cut is set while the store cannot be reached, alone while other nodes cannot be reached.
@@ -67,9 +67,9 @@
 // start adds a node that has read the store.
 func (c *cluster) start(name string) *node {
 	added := &node{cluster: c, name: name}
-	added.Keeper = NewKeeper(Options{
-		Node: name, Term: testTerm, Registry: added, Refuses: func(context.Context, string) bool { return true },
-		Observer: added, Now: added.now, Tell: added.broadcastNotice,
+	added.Manager = NewManager(Options{
+		Node: name, Term: testTerm, Store: added, ConnectionRefused: func(context.Context, string) bool { return true },
+		Observer: added, Now: added.now, Broadcast: added.broadcastNotice,
 	})
 	go added.Run(c.t.Context())
 	c.mutex.Lock()
@@ -93,8 +93,8 @@
 	n.suspended += span
 }
 
-// RequestsLost implements Observer.
-func (n *node) RequestsLost(string, int) {}
+// AttemptsLost implements Observer.
+func (n *node) AttemptsLost(string, int) {}
 
 // RequestDecided implements Observer.
 func (n *node) RequestDecided(Action) {}
@@ -120,9 +120,9 @@
 	case c.down || n.cut:
 		return record, errDown
 	case !found && record.Revision > 0:
-		return Record{Digest: record.Digest}, ErrChanged
+		return Record{Digest: record.Digest}, ErrConflict
 	case found && known.Revision != record.Revision:
-		return known.clone(), ErrChanged
+		return known.clone(), ErrConflict
 	}
 	c.revision++
 	record.Revision = c.revision
@@ -140,7 +140,7 @@
 		if receiver != n && !receiver.alone && !n.alone {
 			notice := notice
 			notice.Record = notice.Record.clone()
-			time.AfterFunc(feedLatency, func() { receiver.Hear(notice) })
+			time.AfterFunc(feedLatency, func() { receiver.ReceiveNotice(notice) })
 		}
 	}
 }
@@ -213,20 +213,20 @@
 	if admission.Action == Refuse {
 		return seen
 	}
-	if admission.Tries() {
+	if admission.IsTrial() {
 		// Suspected services come first.
-		services = append(slices.Clone(admission.Suspects), slices.DeleteFunc(slices.Clone(services), func(service string) bool {
-			return slices.Contains(admission.Suspects, service)
+		services = append(slices.Clone(admission.SuspectedServices), slices.DeleteFunc(slices.Clone(services), func(service string) bool {
+			return slices.Contains(admission.SuspectedServices, service)
 		})...)
 	}
 	for index, service := range services {
-		if !admission.Permits() {
+		if !admission.MaySend() {
 			continue
 		}
 		seen.sends++
 		answered := n.send(identity, service, crashes(service))
 		seen.answered = seen.answered || answered
-		if admission.Tries() && !answered {
+		if admission.IsTrial() && !answered {
 			return seen
 		}
 		if index == 0 {
@@ -249,11 +249,11 @@
 	}
 	c.mutex.Unlock()
 	if !crashes {
-		n.Answered(identity, service)
+		n.RequestAnswered(identity, service)
 		return true
 	}
-	n.Lost(Loss{Digest: identity.Digest(), Variant: identity.Variant(), Service: service, Server: server, Address: string(server), At: time.Now()})
-	n.Ended(server)
+	n.AttemptLost(Loss{Digest: identity.Digest(), Variant: identity.Variant(), Service: service, Server: server, Address: string(server), At: time.Now()})
+	n.ServerCrashed(server)
 	return false
 }
 
--- a/internal/quarantine/decide.go
+++ b/internal/quarantine/decide.go
@@ -39,7 +39,7 @@
 // Decide returns the decision on a request. The request is refused or tried as a whole: a
 // platform may count everything that is still sent for it, even to shards whose servers it
 // does not crash.
-func (r *Register) Decide(digest Digest, variant Variant, now boottime.Instant) Decision {
+func (r *recordTable) Decide(digest Digest, variant Variant, now boottime.Instant) Decision {
 	e := r.entries[digest]
 	if e == nil || !e.record.covers(variant) {
 		return Decision{}
@@ -58,9 +58,9 @@
 	return decision
 }
 
-// Permits reports whether a request that was admitted earlier may be sent now. A node whose own
+// MaySend reports whether a request that was admitted earlier may be sent now. A node whose own
 // request was running when servers crashed may retry it: most such requests are harmless.
-func (r *Register) Permits(digest Digest, variant Variant, trial Trial, now boottime.Instant) bool {
+func (r *recordTable) MaySend(digest Digest, variant Variant, trial Trial, now boottime.Instant) bool {
 	e := r.entries[digest]
 	switch {
 	case e == nil || !e.record.covers(variant):
@@ -74,9 +74,9 @@
 	return e.crashedLocally && e.trialDelay(variant, now) == 0
 }
 
-// Begin adds a trial of this node, which the store has permitted or could not be asked
+// BeginTrial adds a trial of this node, which the store has permitted or could not be asked
 // about. It reports false if another trial excludes it.
-func (r *Register) Begin(digest Digest, trial Trial, now boottime.Instant) bool {
+func (r *recordTable) BeginTrial(digest Digest, trial Trial, now boottime.Instant) bool {
 	e := r.entries[digest]
 	if e == nil || !e.record.blockingTrial(trial.Variant, now).isZero() {
 		return false
@@ -88,9 +88,9 @@
 	return true
 }
 
-// Renew renews the lease of this node's trial. It returns the record to be written; false if
+// RenewTrial renews the lease of this node's trial. It returns the record to be written; false if
 // the record no longer holds the trial.
-func (r *Register) Renew(digest Digest, trial Trial, now boottime.Instant) (Record, bool) {
+func (r *recordTable) RenewTrial(digest Digest, trial Trial, now boottime.Instant) (Record, bool) {
 	e := r.entries[digest]
 	if e == nil {
 		return Record{}, false
@@ -104,10 +104,10 @@
 	return e.record.clone(), true
 }
 
-// End removes this node's trial. Failed is the number of failed trials of the variant including
+// EndTrial removes this node's trial. Failed is the number of failed trials of the variant including
 // this one; zero if this one did not crash a server. End is idempotent. It returns the record to
 // be written.
-func (r *Register) End(digest Digest, trial Trial, failed int, now boottime.Instant) (Record, bool) {
+func (r *recordTable) EndTrial(digest Digest, trial Trial, failed int, now boottime.Instant) (Record, bool) {
 	e := r.entries[digest]
 	if e == nil {
 		return Record{}, false
--- a/internal/quarantine/describe.go
+++ b/internal/quarantine/describe.go
@@ -37,7 +37,7 @@
 }
 
 // Describe returns all records known to this node, sorted by digest.
-func (k *Keeper) Describe() []Description {
+func (k *Manager) Describe() []Description {
 	described := []Description{}
 	if k == nil {
 		return described
@@ -56,16 +56,16 @@
 	description := Description{
 		Digest:       e.record.Digest,
 		State:        StateSuspected,
-		Services:     e.record.Services(),
-		Servers:      e.record.Ended(),
-		Variants:     len(e.record.Suspects),
-		FailedTrials: e.record.Failed(),
+		Services:     e.record.ServiceNames(),
+		Servers:      e.record.CrashedServers(),
+		Variants:     len(e.record.SuspectedVariants),
+		FailedTrials: e.record.FailedTrials(),
 		Shared:       e.record.Revision > 0,
 	}
 	switch left := e.releaseAt(term).Sub(now); {
-	case e.record.Convicted() && left > 0:
+	case e.record.Quarantined() && left > 0:
 		description.State, description.SecondsLeft = StateRefused, left.Seconds()
-	case e.record.Convicted():
+	case e.record.Quarantined():
 		description.State = StateProbation
 	}
 	return description
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -23,7 +23,7 @@
 
 // releaseAt returns when the term of a quarantined variant is over.
 func (e *entry) releaseAt(term time.Duration) boottime.Instant {
-	return e.lastFailure.Add(doubledTerm(term, e.record.Failed()-minFailedTrials))
+	return e.lastFailure.Add(doubledTerm(term, e.record.FailedTrials()-minFailedTrials))
 }
 
 // doubledTerm returns the first term doubled the given number of times, up to maxTerm.
@@ -41,11 +41,11 @@
 // trialDelay returns how long no trial of the variant may start because another one has just crashed
 // a server. If the record is mixed, only failed trials of the variant itself count.
 func (e *entry) trialDelay(variant Variant, now boottime.Instant) time.Duration {
-	failed := e.record.Failed()
-	if e.record.Mixed {
+	failed := e.record.FailedTrials()
+	if e.record.SomeAnswered {
 		failed = e.record.failedTrials(variant)
 	}
-	if failed == 0 || e.record.Convicted() {
+	if failed == 0 || e.record.Quarantined() {
 		return 0
 	}
 	return max(e.lastFailure.Add(trialPause).Sub(now), 0)
@@ -72,8 +72,8 @@
 
 // retention returns how long the record is kept without changes.
 func (e *entry) retention(term time.Duration) time.Duration {
-	if e.record.Convicted() {
-		return doubledTerm(term, e.record.Failed()-minFailedTrials) + quarantineRetention
+	if e.record.Quarantined() {
+		return doubledTerm(term, e.record.FailedTrials()-minFailedTrials) + quarantineRetention
 	}
 	return suspectRetention
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/loss_tracker.go
@@ -33,10 +33,10 @@
 	maxServersWithLosses = 1024
 )
 
-// Ledger holds the attempts that were lost at each server until it is known whether the
+// lossTracker holds the attempts that were lost at each server until it is known whether the
 // server has crashed or is alive: a lost answer alone says nothing about the request. It does
 // no I/O and reads no clock. The zero value is empty.
-type Ledger struct {
+type lossTracker struct {
 	servers map[ServerID]*serverLosses
 	// lossesByDigest counts the losses by request, so that answers of requests without losses, the
 	// usual case, cost one lookup.
@@ -52,9 +52,9 @@
 	checked bool
 }
 
-// Lost adds a loss. It reports whether the server is known to have crashed: then the loss
+// Add adds a loss. It reports whether the server is known to have crashed: then the loss
 // is attributed to the crash immediately and not kept.
-func (l *Ledger) Lost(loss Loss) bool {
+func (l *lossTracker) Add(loss Loss) bool {
 	s := l.servers[loss.Server]
 	switch {
 	case s != nil && !s.crashedAt.IsZero():
@@ -72,7 +72,7 @@
 	return false
 }
 
-func (l *Ledger) add(server ServerID) *serverLosses {
+func (l *lossTracker) add(server ServerID) *serverLosses {
 	if l.servers == nil {
 		l.servers = make(map[ServerID]*serverLosses)
 		l.lossesByDigest = make(map[Digest]int)
@@ -82,9 +82,9 @@
 	return added
 }
 
-// Alive records that the server has answered a request sent at the given time: earlier losses
+// ServerAlive records that the server has answered a request sent at the given time: earlier losses
 // were not caused by a crash.
-func (l *Ledger) Alive(server ServerID, sent time.Time) {
+func (l *lossTracker) ServerAlive(server ServerID, sent time.Time) {
 	s := l.servers[server]
 	if s == nil || !s.crashedAt.IsZero() {
 		return
@@ -93,8 +93,8 @@
 	l.dropIfEmpty(server, s)
 }
 
-// Answered records that a service has answered the request: it does not crash that service's servers.
-func (l *Ledger) Answered(digest Digest, variant Variant, service string) {
+// RequestAnswered records that a service has answered the request: it does not crash that service's servers.
+func (l *lossTracker) RequestAnswered(digest Digest, variant Variant, service string) {
 	if l.lossesByDigest[digest] == 0 {
 		return
 	}
@@ -106,9 +106,9 @@
 	}
 }
 
-// Ended records that the server has crashed and returns the attempts lost there. Later losses are
+// ServerCrashed records that the server has crashed and returns the attempts lost there. Later losses are
 // attributed to the crash too: a request to a silent server may be given up after the crash is known.
-func (l *Ledger) Ended(server ServerID, now time.Time) []Loss {
+func (l *lossTracker) ServerCrashed(server ServerID, now time.Time) []Loss {
 	s := l.servers[server]
 	if s == nil && len(l.servers) >= maxServersWithLosses {
 		return nil
@@ -124,9 +124,9 @@
 	return losses
 }
 
-// Unconfirmed returns one loss of each server that has to be checked, and drops losses that
+// TakeUnconfirmed returns one loss of each server that has to be checked, and drops losses that
 // are too old. A server is checked once for its latest loss.
-func (l *Ledger) Unconfirmed(now time.Time) []Loss {
+func (l *lossTracker) TakeUnconfirmed(now time.Time) []Loss {
 	var unconfirmed []Loss
 	for server, s := range l.servers {
 		l.drop(s, func(loss Loss) bool { return now.Sub(loss.At) > lossRetention })
@@ -142,24 +142,24 @@
 	return unconfirmed
 }
 
-// Has reports whether it is still unknown whether the server of the loss has crashed.
-func (l *Ledger) Has(loss Loss) bool {
+// Pending reports whether it is still unknown whether the server of the loss has crashed.
+func (l *lossTracker) Pending(loss Loss) bool {
 	s := l.servers[loss.Server]
 	return s != nil && slices.Contains(s.losses, loss)
 }
 
 // Empty reports whether no server has unexplained losses or a recent crash.
-func (l *Ledger) Empty() bool { return len(l.servers) == 0 }
+func (l *lossTracker) Empty() bool { return len(l.servers) == 0 }
 
 // dropIfEmpty drops the entry of a server without losses or a recent crash.
-func (l *Ledger) dropIfEmpty(server ServerID, s *serverLosses) {
+func (l *lossTracker) dropIfEmpty(server ServerID, s *serverLosses) {
 	if len(s.losses) == 0 && s.crashedAt.IsZero() {
 		delete(l.servers, server)
 	}
 }
 
 // drop removes the losses for which unwanted returns true.
-func (l *Ledger) drop(s *serverLosses, unwanted func(Loss) bool) {
+func (l *lossTracker) drop(s *serverLosses, unwanted func(Loss) bool) {
 	s.losses = slices.DeleteFunc(s.losses, func(loss Loss) bool {
 		if !unwanted(loss) {
 			return false
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/manager.go
@@ -45,14 +45,14 @@
 	broadcastDelay = 100 * time.Millisecond
 )
 
-// ErrChanged means that the record in the store is not the expected version.
-var ErrChanged = errors.New("the record has changed")
+// ErrConflict means that the record in the store is not the expected version.
+var ErrConflict = errors.New("the record has changed")
 
 // errRateLimited means that this node has used up its rate of writes.
 var errRateLimited = errors.New("rate limit of record writes exceeded")
 
-// Registry stores the records of all nodes.
-type Registry interface {
+// RecordStore stores the records of all nodes.
+type RecordStore interface {
 	// Write creates the record if its revision is zero, or else replaces the stored one, which
 	// must have this revision. It returns the record as stored. With ErrChanged that is the
 	// version of another node; without a revision if the record is gone.
@@ -64,8 +64,8 @@
 // Observer receives the findings and decisions of a keeper, for metrics. Its methods do not
 // block.
 type Observer interface {
-	// RequestsLost reports how many attempts were lost because a server of the service crashed.
-	RequestsLost(service string, count int)
+	// AttemptsLost reports how many attempts were lost because a server of the service crashed.
+	AttemptsLost(service string, count int)
 	// RequestDecided reports the decision on a suspected request.
 	RequestDecided(action Action)
 	// TrialEnded reports the result of a trial of this node.
@@ -80,20 +80,20 @@
 	Node string
 	// Term is how long a request that crashes servers is refused. It doubles each time the trial
 	// after it crashes another server. With zero no request is refused: losses are only reported.
-	Term     time.Duration
-	Registry Registry
-	// Tell sends a notice to other nodes without waiting for them; nil if that is not possible.
-	Tell func(notice Notice)
-	// Refuses reports whether the address (IP:port) refuses connections: the server has crashed.
-	Refuses  func(ctx context.Context, address string) bool
-	Observer Observer
+	Term  time.Duration
+	Store RecordStore
+	// Broadcast sends a notice to other nodes without waiting for them; nil if that is not possible.
+	Broadcast func(notice Notice)
+	// ConnectionRefused reports whether the address (IP:port) refuses connections: the server has crashed.
+	ConnectionRefused func(ctx context.Context, address string) bool
+	Observer          Observer
 	// Now reads the clock for terms and leases.
 	Now func() boottime.Instant
 }
 
-// Keeper detects requests that crash servers and, together with the keepers of all other
+// Manager detects requests that crash servers and, together with the keepers of all other
 // nodes, quarantines them. It is safe for concurrent use. A nil keeper admits every request.
-type Keeper struct {
+type Manager struct {
 	Options
 	// confirming is a semaphore for concurrent checks of servers.
 	confirming chan struct{}
@@ -105,17 +105,17 @@
 	// hasLosses and hasRecords let requests skip the lock while there is nothing to decide.
 	hasLosses, hasRecords atomic.Bool
 	mutex                 sync.Mutex
-	ledger                Ledger
-	register              Register
+	ledger                lossTracker
+	register              recordTable
 	// trials are the active trials of this node.
 	trials map[trialKey]*trial
 	// storeFailedAt is when a write to the store last failed; zero after a successful one.
 	storeFailedAt boottime.Instant
 }
 
-// NewKeeper returns a keeper. It checks servers and writes records only while Run runs.
-func NewKeeper(options Options) *Keeper {
-	keeper := &Keeper{
+// NewManager returns a keeper. It checks servers and writes records only while Run runs.
+func NewManager(options Options) *Manager {
+	keeper := &Manager{
 		Options:    options,
 		confirming: make(chan struct{}, maxConfirming),
 		writes:     rate.NewLimiter(writesPerSecond, writeBurst),
@@ -127,7 +127,7 @@
 }
 
 // Run checks servers that lost attempts, and writes and expires records, until ctx is done.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	defer k.cancel()
 	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
@@ -148,7 +148,7 @@
 }
 
 // locked runs the change under the lock and updates the flags that let requests skip it.
-func (k *Keeper) locked(change func(now boottime.Instant)) {
+func (k *Manager) locked(change func(now boottime.Instant)) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	change(k.Now())
@@ -156,13 +156,13 @@
 	k.hasRecords.Store(k.register.Count() > 0)
 }
 
-// Lost records that an attempt was sent and has ended without an answer.
-func (k *Keeper) Lost(loss Loss) {
+// AttemptLost records that an attempt was sent and has ended without an answer.
+func (k *Manager) AttemptLost(loss Loss) {
 	if k == nil {
 		return
 	}
 	k.locked(func(now boottime.Instant) {
-		if k.ledger.Lost(loss) {
+		if k.ledger.Add(loss) {
 			k.recordCrash([]Loss{loss}, now)
 			return
 		}
@@ -172,54 +172,54 @@
 	})
 }
 
-// Alive records that the server has answered a request sent at the given time.
-func (k *Keeper) Alive(server ServerID, sent time.Time) {
+// ServerAlive records that the server has answered a request sent at the given time.
+func (k *Manager) ServerAlive(server ServerID, sent time.Time) {
 	if k == nil || !k.hasLosses.Load() {
 		return
 	}
-	k.locked(func(boottime.Instant) { k.ledger.Alive(server, sent) })
+	k.locked(func(boottime.Instant) { k.ledger.ServerAlive(server, sent) })
 }
 
-// Answered records that a service has answered the request: it does not crash that service's servers.
-func (k *Keeper) Answered(identity *Identity, service string) {
+// RequestAnswered records that a service has answered the request: it does not crash that service's servers.
+func (k *Manager) RequestAnswered(identity *Identity, service string) {
 	if k == nil || identity == nil || !k.hasLosses.Load() && !k.hasRecords.Load() {
 		return
 	}
 	digest, variant := identity.Digest(), identity.Variant()
 	k.locked(func(now boottime.Instant) {
-		k.ledger.Answered(digest, variant, service)
+		k.ledger.RequestAnswered(digest, variant, service)
 		if t := k.trials[trialKey{digest, variant}]; t.concerns(service) {
 			k.finish(digest, t, TrialAnswered)
 			return
 		}
-		if k.register.Acquit(digest, variant, service, now) {
+		if k.register.RequestAnswered(digest, variant, service, now) {
 			k.spawn(func(ctx context.Context) { k.publishAnswer(ctx, digest, variant, service) })
 		}
 	})
 }
 
-// Ended records that the server is gone other than by a planned shutdown.
-func (k *Keeper) Ended(server ServerID) {
+// ServerCrashed records that the server is gone other than by a planned shutdown.
+func (k *Manager) ServerCrashed(server ServerID) {
 	if k == nil {
 		return
 	}
-	k.locked(func(now boottime.Instant) { k.recordCrash(k.ledger.Ended(server, time.Now()), now) })
+	k.locked(func(now boottime.Instant) { k.recordCrash(k.ledger.ServerCrashed(server, time.Now()), now) })
 }
 
 // recordCrash records the attempts that were lost in the crash of one server. The lock is held.
-func (k *Keeper) recordCrash(losses []Loss, now boottime.Instant) {
+func (k *Manager) recordCrash(losses []Loss, now boottime.Instant) {
 	if len(losses) == 0 {
 		return
 	}
 	for _, loss := range losses {
 		if k.Term > 0 {
-			k.register.Charge(loss, now)
+			k.register.AddLoss(loss, now)
 		}
 		if t := k.trials[trialKey{loss.Digest, loss.Variant}]; t.concerns(loss.Service) {
 			k.finish(loss.Digest, t, TrialFailed)
 		}
 	}
-	k.Observer.RequestsLost(losses[0].Service, len(losses))
+	k.Observer.AttemptsLost(losses[0].Service, len(losses))
 	klog.InfoS("server ended under requests", "server", losses[0].Server, "service", losses[0].Service,
 		"count", len(losses), "digests", digestsOf(losses))
 }
@@ -234,9 +234,9 @@
 }
 
 // confirm checks the servers that have not answered anything since an attempt was lost there.
-func (k *Keeper) confirm(now time.Time) {
+func (k *Manager) confirm(now time.Time) {
 	var unconfirmed []Loss
-	k.locked(func(boottime.Instant) { unconfirmed = k.ledger.Unconfirmed(now) })
+	k.locked(func(boottime.Instant) { unconfirmed = k.ledger.TakeUnconfirmed(now) })
 	for _, loss := range unconfirmed {
 		select {
 		case k.confirming <- struct{}{}:
@@ -251,16 +251,16 @@
 }
 
 // checkServer checks whether the server of a loss still accepts connections.
-func (k *Keeper) checkServer(ctx context.Context, loss Loss) {
+func (k *Manager) checkServer(ctx context.Context, loss Loss) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if k.Refuses(ctx, loss.Address) {
-		k.Ended(loss.Server)
+	if k.ConnectionRefused(ctx, loss.Address) {
+		k.ServerCrashed(loss.Server)
 	}
 }
 
-// Stored returns the records that are in the store, for nodes that follow this one.
-func (k *Keeper) Stored() []Record {
+// StoredRecords returns the records that are in the store, for nodes that follow this one.
+func (k *Manager) StoredRecords() []Record {
 	if k == nil {
 		return nil
 	}
@@ -278,7 +278,7 @@
 
 // Release ends the quarantine of a request on all nodes, on behalf of an operator. It reports
 // whether this node had a record of it.
-func (k *Keeper) Release(ctx context.Context, digest Digest) (bool, error) {
+func (k *Manager) Release(ctx context.Context, digest Digest) (bool, error) {
 	if k == nil {
 		return false, nil
 	}
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/manager_test.go
@@ -207,10 +207,10 @@
 		c.nodes[0].execute(identity, services, always)
 		time.Sleep(time.Second)
 		admission := c.nodes[0].Admit(t.Context(), identity, time.Second, anyServer)
-		is.True(admission.Tries())
-		is.True(admission.Permits())
+		is.True(admission.IsTrial())
+		is.True(admission.MaySend())
 		c.nodes[0].suspend(trialLease)
-		is.True(!admission.Permits())
+		is.True(!admission.MaySend())
 		admission.Close()
 	})
 }
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -25,16 +25,16 @@
 const clearedRetention = 2 * publishRetryDelay
 
 // broadcast sends a notice to other nodes.
-func (k *Keeper) broadcast(notice Notice) {
-	if k.Tell == nil {
+func (k *Manager) broadcast(notice Notice) {
+	if k.Broadcast == nil {
 		return
 	}
 	notice.Node = k.Node
-	k.Tell(notice)
+	k.Broadcast(notice)
 }
 
-// Hear applies a notice of another node.
-func (k *Keeper) Hear(notice Notice) {
+// ReceiveNotice applies a notice of another node.
+func (k *Manager) ReceiveNotice(notice Notice) {
 	if k == nil || k.Term == 0 {
 		return
 	}
@@ -43,13 +43,13 @@
 			k.register.Release(notice.Record.Digest, now)
 			return
 		}
-		k.register.Hear(notice, now, rand.N(forwardJitter))
+		k.register.ApplyNotice(notice, now, rand.N(forwardJitter))
 	})
 }
 
-// Hear applies a notice of another node. Its content is written to the store after forwardDelay,
+// ApplyNotice applies a notice of another node. Its content is written to the store after forwardDelay,
 // unless it arrives from there first.
-func (r *Register) Hear(notice Notice, now boottime.Instant, forwardDelay time.Duration) {
+func (r *recordTable) ApplyNotice(notice Notice, now boottime.Instant, forwardDelay time.Duration) {
 	received := notice.Record.clone()
 	e := r.entries[received.Digest]
 	if e == nil {
@@ -58,9 +58,9 @@
 		}
 		e = r.put(Record{Digest: received.Digest})
 	}
-	failed := e.record.Failed()
+	failed := e.record.FailedTrials()
 	changed := e.record.merge(received)
-	if e.record.Failed() > failed {
+	if e.record.FailedTrials() > failed {
 		e.lastFailure = now
 	}
 	e.replaceTrialsOf(notice.Node, received.Trials, now)
--- a/internal/quarantine/notice_test.go
+++ b/internal/quarantine/notice_test.go
@@ -16,12 +16,12 @@
 	notice := Notice{Node: "other", Record: record}
 	is.Equal(register.Decide(bad, 1, at(time.Second)).Action, Try)
 	register.Release(bad, at(time.Second))
-	register.Hear(notice, at(time.Second+publishRetryDelay), 0)
+	register.ApplyNotice(notice, at(time.Second+publishRetryDelay), 0)
 	is.Equal(register.Decide(bad, 1, at(time.Second+publishRetryDelay)).Action, Proceed)
-	register.Charge(lossOf(bad, 1, "a", "later"), at(time.Second+publishRetryDelay)) // findings of this node count
+	register.AddLoss(lossOf(bad, 1, "a", "later"), at(time.Second+publishRetryDelay)) // findings of this node count
 	is.Equal(register.Decide(bad, 1, at(time.Second+publishRetryDelay)).Action, Try)
 	register.Release(bad, at(2*time.Second))
-	register.Hear(notice, at(2*time.Second+clearedRetention), 0)
+	register.ApplyNotice(notice, at(2*time.Second+clearedRetention), 0)
 	is.Equal(register.Decide(bad, 1, at(2*time.Second+clearedRetention)).Action, Try)
 }
 
@@ -32,18 +32,18 @@
 	register := suspected("a", "b")
 	record, _ := register.Record(bad)
 	record.Trials = []Trial{testTrial}
-	register.Hear(Notice{Node: testTrial.Node, Record: record}, at(time.Second), 0)
+	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(time.Second), 0)
 	is.Equal(register.Decide(bad, 1, at(time.Second)).Action, Await)
-	register.Hear(Notice{Node: "third", Record: record}, at(2*time.Second), 0)
+	register.ApplyNotice(Notice{Node: "third", Record: record}, at(2*time.Second), 0)
 	is.Equal(register.Decide(bad, 1, at(time.Second+trialLease)).Action, Try)
-	register.Hear(Notice{Node: testTrial.Node, Record: record}, at(4*time.Second), 0)
+	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(4*time.Second), 0)
 	ended := record
 	ended.Trials = nil
-	register.Hear(Notice{Node: "third", Record: ended}, at(4*time.Second), 0)
+	register.ApplyNotice(Notice{Node: "third", Record: ended}, at(4*time.Second), 0)
 	is.Equal(register.Decide(bad, 1, at(4*time.Second)).Action, Await) // a notice of a third node does not count
-	register.Hear(Notice{Node: testTrial.Node, Record: ended}, at(4*time.Second), 0)
+	register.ApplyNotice(Notice{Node: testTrial.Node, Record: ended}, at(4*time.Second), 0)
 	is.Equal(register.Decide(bad, 1, at(4*time.Second)).Action, Try)
-	register.Hear(Notice{Node: "third", Record: record}, at(4*time.Second), 0)
+	register.ApplyNotice(Notice{Node: "third", Record: record}, at(4*time.Second), 0)
 	is.Equal(register.Decide(bad, 1, at(4*time.Second)).Action, Try)
 }
 
@@ -55,13 +55,13 @@
 	record, _ := source.Record(bad)
 	record.Trials = []Trial{testTrial}
 	register := newRegister(testTerm)
-	register.Hear(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
+	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
 	is.Equal(register.Decide(bad, 1, at(0)).Action, Await)
-	register.Gone(bad, at(time.Second))
+	register.StoreRemoved(bad, at(time.Second))
 	is.Equal(register.Decide(bad, 1, at(time.Second)).Action, Proceed)
 
 	register = suspected("a", "b") // has recent findings of its own
-	register.Hear(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
-	register.Gone(bad, at(publishRetryDelay-1))
+	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
+	register.StoreRemoved(bad, at(publishRetryDelay-1))
 	is.Equal(register.Decide(bad, 1, at(publishRetryDelay-1)).Action, Try)
 }
--- a/internal/quarantine/publish.go
+++ b/internal/quarantine/publish.go
@@ -12,12 +12,12 @@
 )
 
 // spawn runs a task in the background; its context is canceled when Run returns.
-func (k *Keeper) spawn(task func(ctx context.Context)) {
+func (k *Manager) spawn(task func(ctx context.Context)) {
 	go task(k.context)
 }
 
 // write writes the record to the store once.
-func (k *Keeper) write(ctx context.Context, record Record) (Record, error) {
+func (k *Manager) write(ctx context.Context, record Record) (Record, error) {
 	if !k.writes.Allow() {
 		return record, errRateLimited
 	}
@@ -27,29 +27,29 @@
 	}
 	written := record
 	err := k.callStore(ctx, Notice{Record: record}, func(ctx context.Context) (err error) {
-		written, err = k.Registry.Write(ctx, record)
+		written, err = k.Store.Write(ctx, record)
 		return err
 	})
 	return written, err
 }
 
 // remove removes a record from the store.
-func (k *Keeper) remove(ctx context.Context, digest Digest) error {
+func (k *Manager) remove(ctx context.Context, digest Digest) error {
 	return k.callStore(ctx, Notice{Record: Record{Digest: digest}, Cleared: true}, func(ctx context.Context) error {
-		return k.Registry.Remove(ctx, digest)
+		return k.Store.Remove(ctx, digest)
 	})
 }
 
 // callStore makes one call to the store, and broadcasts the notice if the call fails or the store
 // does not answer within broadcastDelay.
-func (k *Keeper) callStore(ctx context.Context, notice Notice, call func(ctx context.Context) error) error {
+func (k *Manager) callStore(ctx context.Context, notice Notice, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	timer := time.AfterFunc(broadcastDelay, func() { k.broadcast(notice) })
 	err := call(ctx)
 	pending := timer.Stop()
 	k.Observer.RecordWritten(err)
-	failed := err != nil && !errors.Is(err, ErrChanged)
+	failed := err != nil && !errors.Is(err, ErrConflict)
 	k.locked(func(now boottime.Instant) {
 		k.storeFailedAt = 0
 		if failed {
@@ -66,7 +66,7 @@
 var errStoreDown = errors.New("the store does not answer")
 
 // writeUnlessDown is like write, but if a write has failed recently it only notifies other nodes.
-func (k *Keeper) writeUnlessDown(ctx context.Context, record Record) (Record, error) {
+func (k *Manager) writeUnlessDown(ctx context.Context, record Record) (Record, error) {
 	k.mutex.Lock()
 	down := k.storeFailedAt > 0 && k.Now().Sub(k.storeFailedAt) < storeBackoff
 	k.mutex.Unlock()
@@ -78,14 +78,14 @@
 }
 
 // logWriteError logs a failed write; the record is written later or expires.
-func (k *Keeper) logWriteError(digest Digest, err error) {
+func (k *Manager) logWriteError(digest Digest, err error) {
 	if err != nil {
 		klog.InfoS("record not written", "digest", digest, "cause", err.Error())
 	}
 }
 
 // publish writes the records that are due.
-func (k *Keeper) publish() {
+func (k *Manager) publish() {
 	var due []Record
 	k.locked(func(now boottime.Instant) {
 		due = k.register.Due(now)
@@ -101,7 +101,7 @@
 }
 
 // publishAnswer writes to the store that a service has answered a request.
-func (k *Keeper) publishAnswer(ctx context.Context, digest Digest, variant Variant, service string) {
+func (k *Manager) publishAnswer(ctx context.Context, digest Digest, variant Variant, service string) {
 	found := false
 	k.locked(func(boottime.Instant) { _, found = k.register.Record(digest) })
 	if !found {
@@ -109,14 +109,14 @@
 		return
 	}
 	k.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
-		k.register.Acquit(digest, variant, service, now)
+		k.register.RequestAnswered(digest, variant, service, now)
 		return k.register.Record(digest)
 	})
 }
 
 // update applies a change to a record and writes the result. If another node has written the
 // record meanwhile, it applies that version and the change again.
-func (k *Keeper) update(ctx context.Context, digest Digest, change func(now boottime.Instant) (Record, bool)) {
+func (k *Manager) update(ctx context.Context, digest Digest, change func(now boottime.Instant) (Record, bool)) {
 	for range maxWriteAttempts {
 		var record Record
 		var found bool
@@ -125,7 +125,7 @@
 			return
 		}
 		written, err := k.write(ctx, record)
-		if err != nil && !errors.Is(err, ErrChanged) {
+		if err != nil && !errors.Is(err, ErrConflict) {
 			k.logWriteError(digest, err)
 			return
 		}
@@ -141,49 +141,49 @@
 			return
 		}
 	}
-	k.logWriteError(digest, ErrChanged)
+	k.logWriteError(digest, ErrConflict)
 }
 
 // applyConflict applies the version of a record that another node has written.
-func (k *Keeper) applyConflict(digest Digest, record Record, now boottime.Instant) {
+func (k *Manager) applyConflict(digest Digest, record Record, now boottime.Instant) {
 	if record.Revision == 0 {
 		k.register.Release(digest, now)
 		return
 	}
-	k.register.Learn(record, now)
+	k.register.ApplyStored(record, now)
 }
 
 // logQuarantined logs that a request is refused from now on.
 func logQuarantined(record Record) {
-	if record.Convicted() {
-		klog.InfoS("request quarantined", "digest", record.Digest, "services", record.Services(),
-			"servers", record.Ended(), "failed_trials", record.Failed())
+	if record.Quarantined() {
+		klog.InfoS("request quarantined", "digest", record.Digest, "services", record.ServiceNames(),
+			"servers", record.CrashedServers(), "failed_trials", record.FailedTrials())
 	}
 }
 
 // expire removes the records that have not changed for their retention.
-func (k *Keeper) expire() {
+func (k *Manager) expire() {
 	var outdated []Record
-	k.locked(func(now boottime.Instant) { outdated = k.register.Outdated(now) })
+	k.locked(func(now boottime.Instant) { outdated = k.register.Expire(now) })
 	for _, record := range outdated {
 		k.spawn(func(ctx context.Context) { k.logWriteError(record.Digest, k.remove(ctx, record.Digest)) })
 	}
 }
 
 // Replace implements catalog.Sink. The store does not expire records, so a list after an outage lacks none.
-func (k *Keeper) Replace(records []Record, _ bool) {
+func (k *Manager) Replace(records []Record, _ bool) {
 	k.locked(func(now boottime.Instant) { k.register.Replace(records, now) })
 }
 
-// Restored notes that the store was restored from a backup.
-func (k *Keeper) Restored() {
+// StoreRestored notes that the store was restored from a backup.
+func (k *Manager) StoreRestored() {
 	if k != nil {
-		k.locked(func(boottime.Instant) { k.register.Restored() })
+		k.locked(func(boottime.Instant) { k.register.StoreRestored() })
 	}
 }
 
 // ReplaceRestored implements catalog.RestoredSink.
-func (k *Keeper) ReplaceRestored(records []Record) {
+func (k *Manager) ReplaceRestored(records []Record) {
 	var returned []Digest
 	var due int
 	k.locked(func(now boottime.Instant) {
@@ -197,12 +197,12 @@
 }
 
 // Resumed implements catalog.Sink.
-func (k *Keeper) Resumed() {}
+func (k *Manager) Resumed() {}
 
 // Apply implements catalog.Sink.
-func (k *Keeper) Apply(change catalog.Change[Record]) {
+func (k *Manager) Apply(change catalog.Change[Record]) {
 	if !change.Removed {
-		k.locked(func(now boottime.Instant) { k.register.Learn(change.Value, now) })
+		k.locked(func(now boottime.Instant) { k.register.ApplyStored(change.Value, now) })
 		logQuarantined(change.Value)
 		return
 	}
@@ -211,5 +211,5 @@
 		klog.InfoS("record removed that is none", "name", change.Name)
 		return
 	}
-	k.locked(func(now boottime.Instant) { k.register.Gone(digest, now) })
+	k.locked(func(now boottime.Instant) { k.register.StoreRemoved(digest, now) })
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -21,15 +21,15 @@
 	maxVariants = 8
 )
 
-// Suspicion is a service whose servers crashed under a request and that has not answered it since.
-type Suspicion struct {
+// SuspectedService is a service whose servers crashed under a request and that has not answered it since.
+type SuspectedService struct {
 	Service string `json:"service"`
 	// Servers are the crashed servers; the first maxServers are kept.
 	Servers []ServerID `json:"servers"`
 }
 
-// Suspect is a variant of a request under which servers crashed.
-type Suspect struct {
+// SuspectedVariant is a variant of a request under which servers crashed.
+type SuspectedVariant struct {
 	Variant Variant `json:"variant"`
 	// Failed is the number of its trials that crashed a server.
 	Failed int `json:"failed,omitempty"`
@@ -64,66 +64,66 @@
 	Digest Digest `json:"digest"`
 	// Revision is the revision of the record in the store; zero if it is not stored.
 	Revision catalog.Revision `json:"revision"`
-	// Suspicions are sorted by service.
-	Suspicions []Suspicion `json:"suspicions"`
-	// Suspects are the variants under which servers crashed; the first maxVariants are kept.
-	Suspects []Suspect `json:"suspects"`
-	// Mixed is set once another variant was answered: from then on only the listed variants
+	// SuspectedServices are sorted by service.
+	SuspectedServices []SuspectedService `json:"suspicions"`
+	// SuspectedVariants are the variants under which servers crashed; the first maxVariants are kept.
+	SuspectedVariants []SuspectedVariant `json:"suspects"`
+	// SomeAnswered is set once another variant was answered: from then on only the listed variants
 	// are suspected.
-	Mixed bool `json:"mixed,omitempty"`
+	SomeAnswered bool `json:"mixed,omitempty"`
 	// Trials are the active ones, and those of nodes that died before ending them.
 	Trials []Trial `json:"trials,omitempty"`
 }
 
-// Ended returns the number of crashed servers listed.
-func (r Record) Ended() int {
+// CrashedServers returns the number of crashed servers listed.
+func (r Record) CrashedServers() int {
 	count := 0
-	for _, suspicion := range r.Suspicions {
+	for _, suspicion := range r.SuspectedServices {
 		count += len(suspicion.Servers)
 	}
 	return count
 }
 
-// Failed returns the number of trials that crashed a server.
-func (r Record) Failed() int {
+// FailedTrials returns the number of trials that crashed a server.
+func (r Record) FailedTrials() int {
 	count := 0
-	for _, suspect := range r.Suspects {
+	for _, suspect := range r.SuspectedVariants {
 		count += suspect.Failed
 	}
 	return count
 }
 
-// Convicted reports whether some variant of the request is known to crash servers.
-func (r Record) Convicted() bool {
-	return r.Ended() >= minCrashedServers && (r.coversAllVariants() || slices.ContainsFunc(r.Suspects, Suspect.confirmed))
+// Quarantined reports whether some variant of the request is known to crash servers.
+func (r Record) Quarantined() bool {
+	return r.CrashedServers() >= minCrashedServers && (r.coversAllVariants() || slices.ContainsFunc(r.SuspectedVariants, SuspectedVariant.confirmed))
 }
 
 // confirmed reports whether enough trials of the variant have failed to quarantine it.
-func (s Suspect) confirmed() bool { return s.Failed >= minFailedTrials }
+func (s SuspectedVariant) confirmed() bool { return s.Failed >= minFailedTrials }
 
 // coversAllVariants reports whether trials of several variants have crashed servers while no
 // variant was answered: then all variants are quarantined.
 func (r Record) coversAllVariants() bool {
 	count := 0
-	for _, suspect := range r.Suspects {
+	for _, suspect := range r.SuspectedVariants {
 		if suspect.Failed > 0 {
 			count++
 		}
 	}
-	return !r.Mixed && count >= minFailedTrials
+	return !r.SomeAnswered && count >= minFailedTrials
 }
 
 // quarantines reports whether the variant is known to crash servers.
 func (r Record) quarantines(variant Variant) bool {
 	suspect := r.findSuspect(variant)
-	return r.Ended() >= minCrashedServers && (r.coversAllVariants() || suspect != nil && suspect.confirmed())
+	return r.CrashedServers() >= minCrashedServers && (r.coversAllVariants() || suspect != nil && suspect.confirmed())
 }
 
-// Names reports whether the variant is listed: servers crashed under it.
-func (r Record) Names(variant Variant) bool { return r.findSuspect(variant) != nil }
+// IsSuspected reports whether the variant is listed: servers crashed under it.
+func (r Record) IsSuspected(variant Variant) bool { return r.findSuspect(variant) != nil }
 
 // covers reports whether the variant is suspected.
-func (r Record) covers(variant Variant) bool { return !r.Mixed || r.Names(variant) }
+func (r Record) covers(variant Variant) bool { return !r.SomeAnswered || r.IsSuspected(variant) }
 
 // failedTrials returns the number of trials of the variant that crashed a server.
 func (r Record) failedTrials(variant Variant) int {
@@ -134,18 +134,20 @@
 }
 
 // findSuspect returns the listed variant; nil if it is not listed.
-func (r Record) findSuspect(variant Variant) *Suspect {
-	index := slices.IndexFunc(r.Suspects, func(s Suspect) bool { return s.Variant == variant })
+func (r Record) findSuspect(variant Variant) *SuspectedVariant {
+	index := slices.IndexFunc(r.SuspectedVariants, func(s SuspectedVariant) bool { return s.Variant == variant })
 	if index < 0 {
 		return nil
 	}
-	return &r.Suspects[index]
+	return &r.SuspectedVariants[index]
 }
 
 // triedSeparately reports whether the variant is tried independently of others: either only its
 // own trials count for it, or it is likely the one that crashes servers and others must not wait
 // for it.
-func (r Record) triedSeparately(variant Variant) bool { return r.Mixed || r.failedTrials(variant) > 0 }
+func (r Record) triedSeparately(variant Variant) bool {
+	return r.SomeAnswered || r.failedTrials(variant) > 0
+}
 
 // blockingTrial returns the active trial that excludes one of the variant; the zero value if there is none.
 func (r Record) blockingTrial(variant Variant, now boottime.Instant) Trial {
@@ -172,10 +174,10 @@
 	r.Trials = slices.DeleteFunc(slices.Clone(r.Trials), drop)
 }
 
-// Services returns the names of the suspected services.
-func (r Record) Services() []string {
-	services := make([]string, len(r.Suspicions))
-	for index, suspicion := range r.Suspicions {
+// ServiceNames returns the names of the suspected services.
+func (r Record) ServiceNames() []string {
+	services := make([]string, len(r.SuspectedServices))
+	for index, suspicion := range r.SuspectedServices {
 		services[index] = suspicion.Service
 	}
 	return services
@@ -183,24 +185,24 @@
 
 // clone returns a deep copy of the record.
 func (r Record) clone() Record {
-	r.Suspects = slices.Clone(r.Suspects)
+	r.SuspectedVariants = slices.Clone(r.SuspectedVariants)
 	r.Trials = slices.Clone(r.Trials)
-	r.Suspicions = slices.Clone(r.Suspicions)
-	for index := range r.Suspicions {
-		r.Suspicions[index].Servers = slices.Clone(r.Suspicions[index].Servers)
+	r.SuspectedServices = slices.Clone(r.SuspectedServices)
+	for index := range r.SuspectedServices {
+		r.SuspectedServices[index].Servers = slices.Clone(r.SuspectedServices[index].Servers)
 	}
 	return r
 }
 
 // addServer lists a crashed server; it reports whether the record changed.
 func (r *Record) addServer(service string, server ServerID) bool {
-	index, found := slices.BinarySearchFunc(r.Suspicions, service, func(s Suspicion, name string) int {
+	index, found := slices.BinarySearchFunc(r.SuspectedServices, service, func(s SuspectedService, name string) int {
 		return strings.Compare(s.Service, name)
 	})
 	if !found {
-		r.Suspicions = slices.Insert(r.Suspicions, index, Suspicion{Service: service})
+		r.SuspectedServices = slices.Insert(r.SuspectedServices, index, SuspectedService{Service: service})
 	}
-	suspicion := &r.Suspicions[index]
+	suspicion := &r.SuspectedServices[index]
 	if slices.Contains(suspicion.Servers, server) || len(suspicion.Servers) >= maxServers {
 		return false
 	}
@@ -213,10 +215,10 @@
 func (r *Record) addVariant(variant Variant, failed int) bool {
 	suspect := r.findSuspect(variant)
 	switch {
-	case suspect == nil && len(r.Suspects) >= maxVariants:
+	case suspect == nil && len(r.SuspectedVariants) >= maxVariants:
 		return false
 	case suspect == nil:
-		r.Suspects = append(r.Suspects, Suspect{Variant: variant, Failed: failed})
+		r.SuspectedVariants = append(r.SuspectedVariants, SuspectedVariant{Variant: variant, Failed: failed})
 		return true
 	case suspect.Failed >= failed:
 		return false
@@ -228,16 +230,16 @@
 // merge adds what another version of the record lists; it reports whether the record changed.
 func (r *Record) merge(other Record) bool {
 	changed := false
-	for _, suspicion := range other.Suspicions {
+	for _, suspicion := range other.SuspectedServices {
 		for _, server := range suspicion.Servers {
 			changed = r.addServer(suspicion.Service, server) || changed
 		}
 	}
-	for _, suspect := range other.Suspects {
+	for _, suspect := range other.SuspectedVariants {
 		changed = r.addVariant(suspect.Variant, suspect.Failed) || changed
 	}
-	if other.Mixed && !r.Mixed {
-		r.Mixed, changed = true, true
+	if other.SomeAnswered && !r.SomeAnswered {
+		r.SomeAnswered, changed = true, true
 	}
 	return changed
 }
@@ -246,27 +248,27 @@
 // changed. A service that answered the only listed variant is no longer suspected. If several
 // variants are listed, the answered one is cleared.
 func (r *Record) markAnswered(variant Variant, service string) bool {
-	suspected := slices.Contains(r.Services(), service)
+	suspected := slices.Contains(r.ServiceNames(), service)
 	switch {
-	case !r.Names(variant):
-		changed := !r.Mixed
-		r.Mixed = true
+	case !r.IsSuspected(variant):
+		changed := !r.SomeAnswered
+		r.SomeAnswered = true
 		return changed
 	case !suspected:
 		return false
-	case len(r.Suspects) > 1:
+	case len(r.SuspectedVariants) > 1:
 		r.clearVariant(variant)
 		return true
 	}
-	r.Suspicions = slices.DeleteFunc(r.Suspicions, func(s Suspicion) bool { return s.Service == service })
+	r.SuspectedServices = slices.DeleteFunc(r.SuspectedServices, func(s SuspectedService) bool { return s.Service == service })
 	return true
 }
 
 // clearVariant removes a variant that was answered.
 func (r *Record) clearVariant(variant Variant) {
-	r.Suspects = slices.DeleteFunc(r.Suspects, func(s Suspect) bool { return s.Variant == variant })
-	r.Mixed = true
+	r.SuspectedVariants = slices.DeleteFunc(r.SuspectedVariants, func(s SuspectedVariant) bool { return s.Variant == variant })
+	r.SomeAnswered = true
 }
 
 // empty reports whether nothing is suspected any more.
-func (r Record) empty() bool { return len(r.Suspicions) == 0 || len(r.Suspects) == 0 }
+func (r Record) empty() bool { return len(r.SuspectedServices) == 0 || len(r.SuspectedVariants) == 0 }
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/record_table.go
@@ -37,9 +37,9 @@
 	writeGrace = 3 * time.Second
 )
 
-// Register holds the records that a node knows and decides on requests by them. It does no
+// recordTable holds the records that a node knows and decides on requests by them. It does no
 // I/O and reads no clock.
-type Register struct {
+type recordTable struct {
 	// term is the first term of a quarantine.
 	term    time.Duration
 	entries map[Digest]*entry
@@ -50,8 +50,8 @@
 }
 
 // newRegister returns an empty register.
-func newRegister(term time.Duration) Register {
-	return Register{
+func newRegister(term time.Duration) recordTable {
+	return recordTable{
 		term:     term,
 		entries:  make(map[Digest]*entry),
 		prefixes: make(map[prefix]int),
@@ -59,14 +59,14 @@
 	}
 }
 
-// Suspects reports whether there may be a record of the request, without hashing its body.
-func (r *Register) Suspects(identity *Identity) bool { return r.prefixes[identity.prefix()] > 0 }
+// MayContain reports whether there may be a record of the request, without hashing its body.
+func (r *recordTable) MayContain(identity *Identity) bool { return r.prefixes[identity.prefix()] > 0 }
 
 // Count returns the number of records.
-func (r *Register) Count() int { return len(r.entries) }
+func (r *recordTable) Count() int { return len(r.entries) }
 
-// Charge records a lost attempt whose server has crashed. It reports whether the record changed.
-func (r *Register) Charge(loss Loss, now boottime.Instant) bool {
+// AddLoss records a lost attempt whose server has crashed. It reports whether the record changed.
+func (r *recordTable) AddLoss(loss Loss, now boottime.Instant) bool {
 	e := r.entries[loss.Digest]
 	if e == nil {
 		if !r.makeRoom() {
@@ -81,7 +81,7 @@
 	}
 	e.lastChange = now
 	after := publishDelay
-	if e.record.Ended() >= minCrashedServers {
+	if e.record.CrashedServers() >= minCrashedServers {
 		after = urgentPublishDelay
 	}
 	if due := now.Add(after); e.publishAt == 0 || due < e.publishAt {
@@ -93,13 +93,13 @@
 
 // makeRoom evicts an entry if the register is full: of those without failed or active trials, the
 // one that has not changed for the longest time. It reports whether there is room.
-func (r *Register) makeRoom() bool {
+func (r *recordTable) makeRoom() bool {
 	if len(r.entries) < maxRecords {
 		return true
 	}
 	var oldest *entry
 	for _, e := range r.entries {
-		if e.record.Failed() == 0 && len(e.record.Trials) == 0 && (oldest == nil || e.lastChange < oldest.lastChange) {
+		if e.record.FailedTrials() == 0 && len(e.record.Trials) == 0 && (oldest == nil || e.lastChange < oldest.lastChange) {
 			oldest = e
 		}
 	}
@@ -110,9 +110,9 @@
 	return true
 }
 
-// Acquit notes that the service has answered the request. It reports whether the change has
+// RequestAnswered notes that the service has answered the request. It reports whether the change has
 // to be written to the store.
-func (r *Register) Acquit(digest Digest, variant Variant, service string, now boottime.Instant) bool {
+func (r *recordTable) RequestAnswered(digest Digest, variant Variant, service string, now boottime.Instant) bool {
 	e := r.entries[digest]
 	if e == nil || !e.record.markAnswered(variant, service) {
 		return false
@@ -121,8 +121,8 @@
 	return e.record.Revision > 0
 }
 
-// Clear notes that a trial of the request was answered.
-func (r *Register) Clear(digest Digest, variant Variant, now boottime.Instant) {
+// TrialAnswered notes that a trial of the request was answered.
+func (r *recordTable) TrialAnswered(digest Digest, variant Variant, now boottime.Instant) {
 	if e := r.entries[digest]; e != nil {
 		e.record.clearVariant(variant)
 		r.changed(e, now)
@@ -130,7 +130,7 @@
 }
 
 // changed notifies those who wait for the record, and drops it if nothing is suspected any more.
-func (r *Register) changed(e *entry, now boottime.Instant) {
+func (r *recordTable) changed(e *entry, now boottime.Instant) {
 	e.lastChange = now
 	e.notify()
 	if e.record.empty() {
@@ -140,7 +140,7 @@
 
 // Release drops the record of the request. It returns the record that has to be removed from
 // the store, and whether there was one.
-func (r *Register) Release(digest Digest, now boottime.Instant) (Record, bool) {
+func (r *recordTable) Release(digest Digest, now boottime.Instant) (Record, bool) {
 	r.removed[digest] = now
 	e := r.entries[digest]
 	if e == nil {
@@ -150,8 +150,8 @@
 	return e.record, true
 }
 
-// Learn applies a record of the store. Unpublished findings of this node are merged into it.
-func (r *Register) Learn(record Record, now boottime.Instant) {
+// ApplyStored applies a record of the store. Unpublished findings of this node are merged into it.
+func (r *recordTable) ApplyStored(record Record, now boottime.Instant) {
 	e := r.entries[record.Digest]
 	if e == nil {
 		if !r.makeRoom() {
@@ -165,7 +165,7 @@
 	if record.Revision <= e.record.Revision {
 		return
 	}
-	if record.Failed() > e.record.Failed() {
+	if record.FailedTrials() > e.record.FailedTrials() {
 		e.lastFailure = now
 	}
 	before := e.record
@@ -178,16 +178,16 @@
 }
 
 // Written notes that this node has written the record.
-func (r *Register) Written(record Record, now boottime.Instant) {
-	r.Learn(record, now)
+func (r *recordTable) Written(record Record, now boottime.Instant) {
+	r.ApplyStored(record, now)
 	if e := r.entries[record.Digest]; e != nil {
 		e.writtenAt = now
 	}
 }
 
-// Gone notes that the record was removed from the store: it was cleared or released. Findings of this
+// StoreRemoved notes that the record was removed from the store: it was cleared or released. Findings of this
 // node that were not written yet and are younger than publishRetryDelay may be newer, and are kept.
-func (r *Register) Gone(digest Digest, now boottime.Instant) {
+func (r *recordTable) StoreRemoved(digest Digest, now boottime.Instant) {
 	r.removed[digest] = now
 	e := r.entries[digest]
 	switch {
@@ -201,21 +201,21 @@
 }
 
 // Replace applies a list of all records in the store.
-func (r *Register) Replace(records []Record, now boottime.Instant) {
+func (r *recordTable) Replace(records []Record, now boottime.Instant) {
 	listed := make(map[Digest]bool, len(records))
 	for _, record := range records {
 		listed[record.Digest] = true
-		r.Learn(record, now)
+		r.ApplyStored(record, now)
 	}
 	for digest, e := range r.entries {
 		if !listed[digest] && e.record.Revision > 0 && !e.recentlyWritten(now) {
-			r.Gone(digest, now)
+			r.StoreRemoved(digest, now)
 		}
 	}
 }
 
 // Due returns the records that have to be written to the store now.
-func (r *Register) Due(now boottime.Instant) []Record {
+func (r *recordTable) Due(now boottime.Instant) []Record {
 	var due []Record
 	for _, e := range r.entries {
 		if e.publishAt > 0 && now >= e.publishAt {
@@ -226,19 +226,19 @@
 }
 
 // Postpone delays the write of a record that is still to be written.
-func (r *Register) Postpone(digest Digest, until boottime.Instant) {
+func (r *recordTable) Postpone(digest Digest, until boottime.Instant) {
 	if e := r.entries[digest]; e != nil && e.publishAt > 0 {
 		e.publishAt = until
 	}
 }
 
-// Outdated drops the records that have not changed for their retention and returns those that
+// Expire drops the records that have not changed for their retention and returns those that
 // have to be removed from the store. The node that last wrote a record removes it; others do so
 // later, in case that node is gone.
-func (r *Register) Outdated(now boottime.Instant) []Record {
+func (r *recordTable) Expire(now boottime.Instant) []Record {
 	var outdated []Record
 	for digest, removed := range r.removed {
-		if now.Sub(removed) > catalog.OldestCopy {
+		if now.Sub(removed) > catalog.MaxBackupAge {
 			delete(r.removed, digest)
 		}
 	}
@@ -258,7 +258,7 @@
 }
 
 // Records returns all records, including those that are not stored yet.
-func (r *Register) Records() []Record {
+func (r *recordTable) Records() []Record {
 	records := make([]Record, 0, len(r.entries))
 	for _, e := range r.entries {
 		records = append(records, e.record.clone())
@@ -266,14 +266,14 @@
 	return records
 }
 
-func (r *Register) put(record Record) *entry {
+func (r *recordTable) put(record Record) *entry {
 	added := &entry{record: record, changed: make(chan struct{})}
 	r.entries[record.Digest] = added
 	r.prefixes[record.Digest.prefix()]++
 	return added
 }
 
-func (r *Register) remove(digest Digest) {
+func (r *recordTable) remove(digest Digest) {
 	e := r.entries[digest]
 	if e == nil {
 		return
@@ -286,7 +286,7 @@
 }
 
 // Record returns the record of a request, and whether there is one.
-func (r *Register) Record(digest Digest) (Record, bool) {
+func (r *recordTable) Record(digest Digest) (Record, bool) {
 	e := r.entries[digest]
 	if e == nil {
 		return Record{}, false
--- a/internal/quarantine/restored.go
+++ b/internal/quarantine/restored.go
@@ -14,9 +14,9 @@
 	rewriteJitter = 4 * time.Second
 )
 
-// Restored notes that the store was restored from a backup: its permissions for trials from
+// StoreRestored notes that the store was restored from a backup: its permissions for trials from
 // before are void.
-func (r *Register) Restored() {
+func (r *recordTable) StoreRestored() {
 	for _, e := range r.entries {
 		if len(e.record.Trials) > 0 {
 			e.record.Trials = nil
@@ -28,7 +28,7 @@
 // ReplaceRestored applies the list of all records of a store that was restored from a backup. Other known
 // records are kept and written again. It returns the digests of removed records that the backup has
 // brought back and that have to be removed again.
-func (r *Register) ReplaceRestored(records []Record, now boottime.Instant) (returned []Digest) {
+func (r *recordTable) ReplaceRestored(records []Record, now boottime.Instant) (returned []Digest) {
 	listed := make(map[Digest]bool, len(records))
 	for _, record := range records {
 		listed[record.Digest] = true
@@ -40,7 +40,7 @@
 			returned = append(returned, record.Digest)
 		default:
 			record.Trials = nil
-			r.Learn(record, now)
+			r.ApplyStored(record, now)
 		}
 	}
 	for digest, e := range r.entries {
@@ -72,7 +72,7 @@
 }
 
 // unpublished returns the number of records that have to be written.
-func (r *Register) unpublished() int {
+func (r *recordTable) unpublished() int {
 	count := 0
 	for _, e := range r.entries {
 		if e.publishAt > 0 {
--- a/internal/quarantine/restored_test.go
+++ b/internal/quarantine/restored_test.go
@@ -11,7 +11,7 @@
 
 // quarantined returns a register that refuses a request, whose record is in the store at a revision
 // of the first era, and an earlier version of the record.
-func quarantined() (Register, Record) {
+func quarantined() (recordTable, Record) {
 	register := suspected("a", "b")
 	earlier, _ := register.Record(bad)
 	earlier.Revision = catalog.NewRevision(2, 20)
@@ -32,7 +32,7 @@
 			register, earlier := quarantined()
 			now := at(3 * time.Second)
 			is.Equal(register.Decide(bad, 1, now).Action, Refuse)
-			register.Restored()
+			register.StoreRestored()
 			var listed []Record
 			revision := catalog.Revision(0)
 			if inBackup {
@@ -42,7 +42,7 @@
 			is.Equal(register.Decide(bad, 1, now).Action, Refuse)
 			due := register.Due(now) // the node that last wrote it does so immediately
 			is.Equal(len(due), 1)
-			is.Equal(due[0].Failed(), 2)
+			is.Equal(due[0].FailedTrials(), 2)
 			is.Equal(due[0].Revision, revision)
 			due[0].Revision = catalog.NewRevision(2, 25)
 			register.Written(due[0], now)
@@ -58,11 +58,11 @@
 	source, _ := quarantined()
 	record, _ := source.Record(bad)
 	register := newRegister(testTerm)
-	register.Learn(record, at(0))
+	register.ApplyStored(record, at(0))
 	register.ReplaceRestored(nil, at(0))
 	is.Equal(len(register.Due(at(rewriteDelay-1))), 0)
 	record.Revision = catalog.NewRevision(2, 21)
-	register.Learn(record, at(time.Second))
+	register.ApplyStored(record, at(time.Second))
 	is.Equal(len(register.Due(at(time.Hour))), 0)
 }
 
@@ -81,11 +81,11 @@
 	register, earlier := quarantined()
 	known, _ := register.Record(bad)
 	known.Trials, known.Revision = []Trial{testTrial}, catalog.NewRevision(1, 31)
-	register.Learn(known, at(3*time.Second))
-	is.True(register.Permits(bad, 1, testTrial, at(3*time.Second)))
-	register.Restored()
-	is.True(!register.Permits(bad, 1, testTrial, at(3*time.Second)))
+	register.ApplyStored(known, at(3*time.Second))
+	is.True(register.MaySend(bad, 1, testTrial, at(3*time.Second)))
+	register.StoreRestored()
+	is.True(!register.MaySend(bad, 1, testTrial, at(3*time.Second)))
 	earlier.Trials = []Trial{testTrial} // the backup has the trial
 	register.ReplaceRestored([]Record{earlier}, at(4*time.Second))
-	is.True(!register.Permits(bad, 1, testTrial, at(4*time.Second)))
+	is.True(!register.MaySend(bad, 1, testTrial, at(4*time.Second)))
 }
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -68,15 +68,15 @@
 type Admission struct {
 	// Action is Proceed, Refuse or Try.
 	Action Action
-	// Suspects are the suspected services that a trial goes to first.
-	Suspects []string
+	// SuspectedServices are the suspected services that a trial goes to first.
+	SuspectedServices []string
 	// RetryAfter is when the client may retry a refused request.
 	RetryAfter time.Duration
-	// Unusable is set if the request is refused because the suspected services have no server
+	// NoServer is set if the request is refused because the suspected services have no server
 	// to try it on.
-	Unusable bool
+	NoServer bool
 
-	keeper   *Keeper
+	keeper   *Manager
 	identity *Identity
 	trial    Trial
 }
@@ -84,7 +84,7 @@
 // Admit decides on a request before anything of it is sent. If a trial of an identical request
 // is active, it waits for the result, for maxWait at most. Usable reports whether one of the
 // services has a server that can be tried.
-func (k *Keeper) Admit(ctx context.Context, identity *Identity, maxWait time.Duration, usable func(services []string) bool) Admission {
+func (k *Manager) Admit(ctx context.Context, identity *Identity, maxWait time.Duration, usable func(services []string) bool) Admission {
 	admission := Admission{keeper: k, identity: identity}
 	if !k.mayBeSuspected(identity) {
 		return admission
@@ -99,8 +99,8 @@
 			k.Observer.RequestDecided(admission.Action)
 			return admission
 		case Try:
-			if !usable(record.Services()) {
-				admission.Action, admission.Unusable = Refuse, true
+			if !usable(record.ServiceNames()) {
+				admission.Action, admission.NoServer = Refuse, true
 				return admission
 			}
 			err := k.begin(ctx, &admission)
@@ -136,23 +136,23 @@
 }
 
 // refuseWaiting refuses a request whose wait for a trial was unsuccessful.
-func (k *Keeper) refuseWaiting(admission Admission) Admission {
+func (k *Manager) refuseWaiting(admission Admission) Admission {
 	k.Observer.RequestDecided(Await)
 	admission.Action, admission.RetryAfter = Refuse, trialPause
 	return admission
 }
 
 // mayBeSuspected reports whether there may be a record of the request.
-func (k *Keeper) mayBeSuspected(identity *Identity) bool {
+func (k *Manager) mayBeSuspected(identity *Identity) bool {
 	if k == nil || identity == nil || !k.hasRecords.Load() {
 		return false
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.register.Suspects(identity)
+	return k.register.MayContain(identity)
 }
 
-func (k *Keeper) decide(identity *Identity) (Decision, Record) {
+func (k *Manager) decide(identity *Identity) (Decision, Record) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	record, _ := k.register.Record(identity.Digest())
@@ -162,21 +162,21 @@
 // begin requests the permission for a trial from the store, which grants it to one node at a
 // time. A node that cannot reach the store makes one trial at a time on its own. ErrChanged
 // means that another node was first and its version of the record was applied.
-func (k *Keeper) begin(ctx context.Context, admission *Admission) error {
+func (k *Manager) begin(ctx context.Context, admission *Admission) error {
 	digest := admission.identity.Digest()
 	t := &trial{Trial: Trial{Node: k.Node, Number: rand.Uint64() >> 12, Variant: admission.identity.Variant()}}
 	record, free := k.reserve(digest, t)
 	if !free {
-		return ErrChanged
+		return ErrConflict
 	}
 	begun := k.Now()
 	written, err := k.writeUnlessDown(ctx, record)
 	k.locked(func(now boottime.Instant) { t.announced = err != nil || now.Sub(begun) >= broadcastDelay })
-	if errors.Is(err, ErrChanged) || errors.Is(err, errRateLimited) {
+	if errors.Is(err, ErrConflict) || errors.Is(err, errRateLimited) {
 		k.locked(func(now boottime.Instant) {
 			delete(k.trials, trialKey{digest, t.Variant})
-			k.register.End(digest, t.Trial, 0, now)
-			if errors.Is(err, ErrChanged) {
+			k.register.EndTrial(digest, t.Trial, 0, now)
+			if errors.Is(err, ErrConflict) {
 				k.applyConflict(digest, written, now)
 			}
 		})
@@ -185,14 +185,14 @@
 	if err == nil {
 		k.locked(func(now boottime.Instant) { k.register.Written(written, now) })
 	}
-	admission.trial, admission.Suspects = t.Trial, t.services
+	admission.trial, admission.SuspectedServices = t.Trial, t.services
 	k.spawn(func(ctx context.Context) { k.renew(ctx, digest, t.Trial) })
-	klog.InfoS("request trial", "digest", digest, "variant", t.Variant, "services", record.Services(), "failed", record.Failed(), "asked_store", err == nil)
+	klog.InfoS("request trial", "digest", digest, "variant", t.Variant, "services", record.ServiceNames(), "failed", record.FailedTrials(), "asked_store", err == nil)
 	return nil
 }
 
 // renew renews the lease of a trial until the trial ends.
-func (k *Keeper) renew(ctx context.Context, digest Digest, t Trial) {
+func (k *Manager) renew(ctx context.Context, digest Digest, t Trial) {
 	ticker := time.NewTicker(trialRenewInterval)
 	defer ticker.Stop()
 	for {
@@ -204,12 +204,12 @@
 		if !k.isActive(digest, t) {
 			return
 		}
-		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) { return k.register.Renew(digest, t, now) })
+		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) { return k.register.RenewTrial(digest, t, now) })
 	}
 }
 
 // isActive reports whether this node's trial has not ended yet.
-func (k *Keeper) isActive(digest Digest, t Trial) bool {
+func (k *Manager) isActive(digest Digest, t Trial) bool {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	current := k.trials[trialKey{digest, t.Variant}]
@@ -218,45 +218,45 @@
 
 // reserve registers a trial of this node, which excludes further trials of the same request. It
 // returns the record to be written.
-func (k *Keeper) reserve(digest Digest, t *trial) (record Record, free bool) {
+func (k *Manager) reserve(digest Digest, t *trial) (record Record, free bool) {
 	k.locked(func(now boottime.Instant) {
 		key := trialKey{digest, t.Variant}
-		if k.trials[key] != nil || !k.register.Begin(digest, t.Trial, now) {
+		if k.trials[key] != nil || !k.register.BeginTrial(digest, t.Trial, now) {
 			return
 		}
 		record, free = k.register.Record(digest)
-		t.failed, t.services = record.failedTrials(t.Variant), record.Services()
+		t.failed, t.services = record.failedTrials(t.Variant), record.ServiceNames()
 		k.trials[key] = t
 	})
 	return record, free
 }
 
-// Permits reports whether the request may still be sent. It is called right before each send:
+// MaySend reports whether the request may still be sent. It is called right before each send:
 // the record may have changed while the request waited or the machine was suspended.
-func (a *Admission) Permits() bool {
+func (a *Admission) MaySend() bool {
 	k := a.keeper
 	if !k.mayBeSuspected(a.identity) {
 		return true
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.register.Permits(a.identity.Digest(), a.identity.Variant(), a.trial, k.Now())
+	return k.register.MaySend(a.identity.Digest(), a.identity.Variant(), a.trial, k.Now())
 }
 
-// Tries reports whether the request is a trial.
-func (a *Admission) Tries() bool { return !a.trial.isZero() }
+// IsTrial reports whether the request is a trial.
+func (a *Admission) IsTrial() bool { return !a.trial.isZero() }
 
 // Close is called once nothing more of the request is sent. The result of a trial may become
 // known after that.
 func (a *Admission) Close() {
-	if !a.Tries() {
+	if !a.IsTrial() {
 		return
 	}
 	a.keeper.spawn(func(ctx context.Context) { a.keeper.resolve(ctx, a.identity.Digest(), a.trial) })
 }
 
 // resolve ends a trial as soon as its result is known.
-func (k *Keeper) resolve(ctx context.Context, digest Digest, t Trial) {
+func (k *Manager) resolve(ctx context.Context, digest Digest, t Trial) {
 	began, pause := k.Now(), resolveBackoff
 	for {
 		loss, open := k.pendingLoss(digest, t)
@@ -280,23 +280,23 @@
 
 // pendingLoss returns the lost attempt of a trial, and whether it is still unknown whether the
 // server has crashed.
-func (k *Keeper) pendingLoss(digest Digest, t Trial) (Loss, bool) {
+func (k *Manager) pendingLoss(digest Digest, t Trial) (Loss, bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	current := k.trials[trialKey{digest, t.Variant}]
 	if current == nil || current.Trial != t || current.loss == nil {
 		return Loss{}, false
 	}
-	return *current.loss, k.ledger.Has(*current.loss)
+	return *current.loss, k.ledger.Pending(*current.loss)
 }
 
 // finish ends a trial and publishes its result to all nodes. The lock is held.
-func (k *Keeper) finish(digest Digest, t *trial, result TrialResult) {
+func (k *Manager) finish(digest Digest, t *trial, result TrialResult) {
 	delete(k.trials, trialKey{digest, t.Variant})
 	k.Observer.TrialEnded(result)
 	klog.InfoS("request trial ended", "digest", digest, "variant", t.Variant, "result", result.String())
 	if result == TrialAnswered {
-		k.register.Clear(digest, t.Variant, k.Now())
+		k.register.TrialAnswered(digest, t.Variant, k.Now())
 	}
 	if _, suspected := k.register.Record(digest); !suspected {
 		k.broadcastEnd(t, Notice{Record: Record{Digest: digest}, Cleared: true})
@@ -307,22 +307,22 @@
 	if result == TrialFailed {
 		failed = t.failed + 1
 	}
-	if record, found := k.register.End(digest, t.Trial, failed, k.Now()); found {
+	if record, found := k.register.EndTrial(digest, t.Trial, failed, k.Now()); found {
 		k.broadcastEnd(t, Notice{Record: record})
 	}
 	k.spawn(func(ctx context.Context) {
 		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
 			if result == TrialAnswered {
-				k.register.Clear(digest, t.Variant, now)
+				k.register.TrialAnswered(digest, t.Variant, now)
 			}
-			return k.register.End(digest, t.Trial, failed, now)
+			return k.register.EndTrial(digest, t.Trial, failed, now)
 		})
 	})
 }
 
 // broadcastEnd notifies the nodes that were notified of a trial of its end: they would otherwise wait until
 // its lease is over.
-func (k *Keeper) broadcastEnd(t *trial, notice Notice) {
+func (k *Manager) broadcastEnd(t *trial, notice Notice) {
 	if t.announced {
 		k.broadcast(notice)
 	}
--- a/internal/query/care.go
+++ b/internal/query/care.go
@@ -10,15 +10,15 @@
 func (query *Query) noteReply(pending *attempt, failure *verdict.Error) {
 	switch {
 	case failure == nil:
-		query.care.Hear()
+		query.care.RecordAnswer()
 	case failure.Code == verdict.CodeLost || failure.Code == verdict.CodeBadReply:
-		query.care.Lose(pending.careful)
+		query.care.RecordLoss(pending.careful)
 	}
 }
 
 // sendAgain asks further replicas of the shards, those of one server at a time if that is careful.
 func (query *Query) sendAgain(now time.Time, wanted []int) {
-	if !query.care.Careful() {
+	if !query.care.Sequential() {
 		query.send(now, wanted, retry)
 		return
 	}
@@ -27,7 +27,7 @@
 
 // releaseHeld goes on with the shards that wait, as far as that is allowed.
 func (query *Query) releaseHeld(now time.Time) {
-	if !query.care.Careful() {
+	if !query.care.Sequential() {
 		held := query.held
 		query.held = nil
 		if len(held) > 0 {
--- a/internal/query/hedge.go
+++ b/internal/query/hedge.go
@@ -33,7 +33,7 @@
 	}
 	query.hedgeAt = time.Time{}
 	delay, allowed := query.fleet.hedgeAfter(query.unknownDelay())
-	if !allowed || query.care.Careful() {
+	if !allowed || query.care.Sequential() {
 		return
 	}
 	slow := query.slowShards(now, delay)
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/driftstage/driftstage/internal/care"
+	"github.com/driftstage/driftstage/internal/crashguard"
 	"github.com/driftstage/driftstage/internal/snapshot"
 	"github.com/driftstage/driftstage/internal/verdict"
 )
@@ -75,7 +75,7 @@
 	// verdict joins all that has ended; pending attempts are not in it.
 	verdict    verdict.Verdict
 	retryAfter time.Duration
-	care       care.State
+	care       crashguard.Guard
 	// held are the positions of shards that wait for the end of what is under way: the query may be what
 	// ends servers.
 	held []int
--- a/internal/query/send.go
+++ b/internal/query/send.go
@@ -167,7 +167,7 @@
 		shards:  group.shards,
 		sentAt:  now,
 		purpose: purpose,
-		careful: query.care.Careful(),
+		careful: query.care.Sequential(),
 	}
 	query.scheduleHedge(now)
 	query.actions.Sends = append(query.actions.Sends, Send{
@@ -272,7 +272,7 @@
 	if len(again) > 0 {
 		query.sendAgain(now, again)
 	}
-	if len(hedgeAgain) > 0 && !query.care.Careful() {
+	if len(hedgeAgain) > 0 && !query.care.Sequential() {
 		query.send(now, hedgeAgain, hedge)
 	}
 }
--- a/internal/retrybudget/pool.go
+++ b/internal/retrybudget/pool.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Wants are counts of extra sends by service, as requested from a pool or granted by it.
-type Wants map[string]int
+// SendCounts are counts of extra sends by service, as requested from a pool or granted by it.
+type SendCounts map[string]int
 
 // Pool grants extra sends to the nodes that share it. It grants at most the capacity for
 // each service in any window that is longer by GrantLife than that of the limits, because
@@ -26,12 +26,12 @@
 func (p *Pool) SetLimits(capacity float64, window time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.limits.Capacity, p.limits.Window = capacity, window+GrantLife
+	p.limits.Capacity, p.limits.Window = capacity, window+GrantTTL
 }
 
 // Grant returns the extra sends granted of those wanted. The first call, even one that wants
 // nothing, opens the pool.
-func (p *Pool) Grant(wants Wants, now time.Time) Wants {
+func (p *Pool) Grant(wants SendCounts, now time.Time) SendCounts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.openedAt.IsZero() {
@@ -39,7 +39,7 @@
 		p.limits.Started = now
 		p.budgets = make(map[string]*Budget)
 	}
-	granted := make(Wants, len(wants))
+	granted := make(SendCounts, len(wants))
 	for service, count := range wants {
 		if taken := p.take(service, count, now); taken > 0 {
 			granted[service] = taken
--- a/internal/retrybudget/pool_test.go
+++ b/internal/retrybudget/pool_test.go
@@ -14,17 +14,17 @@
 func openPool(capacity float64) *Pool {
 	pool := &Pool{}
 	pool.SetLimits(capacity, defaultWindow)
-	pool.Grant(nil, poolTestTime.Add(-defaultWindow-GrantLife))
+	pool.Grant(nil, poolTestTime.Add(-defaultWindow-GrantTTL))
 	return pool
 }
 
 func TestPoolGrantsCapacityToAnyNode(t *testing.T) {
 	is := is.New(t)
 	pool := openPool(5)
-	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime), Wants{"s": 3})
-	is.Equal(pool.Grant(Wants{"s": 3, "t": 1}, poolTestTime), Wants{"s": 2, "t": 1})
-	is.Equal(pool.Grant(Wants{"s": 1}, poolTestTime.Add(defaultWindow)), Wants{})
-	is.Equal(pool.Grant(Wants{"s": 9}, poolTestTime.Add(defaultWindow+2*GrantLife)), Wants{"s": 5})
+	is.Equal(pool.Grant(SendCounts{"s": 3}, poolTestTime), SendCounts{"s": 3})
+	is.Equal(pool.Grant(SendCounts{"s": 3, "t": 1}, poolTestTime), SendCounts{"s": 2, "t": 1})
+	is.Equal(pool.Grant(SendCounts{"s": 1}, poolTestTime.Add(defaultWindow)), SendCounts{})
+	is.Equal(pool.Grant(SendCounts{"s": 9}, poolTestTime.Add(defaultWindow+2*GrantTTL)), SendCounts{"s": 5})
 }
 
 // A new pool does not grant what the pool that it replaces may have granted.
@@ -32,9 +32,9 @@
 	is := is.New(t)
 	pool := &Pool{}
 	pool.SetLimits(5, defaultWindow)
-	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime), Wants{})
-	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime.Add(defaultWindow)), Wants{})
-	is.Equal(pool.Grant(Wants{"s": 3}, poolTestTime.Add(defaultWindow+GrantLife)), Wants{"s": 3})
+	is.Equal(pool.Grant(SendCounts{"s": 3}, poolTestTime), SendCounts{})
+	is.Equal(pool.Grant(SendCounts{"s": 3}, poolTestTime.Add(defaultWindow)), SendCounts{})
+	is.Equal(pool.Grant(SendCounts{"s": 3}, poolTestTime.Add(defaultWindow+GrantTTL)), SendCounts{"s": 3})
 }
 
 func TestGrantsExpire(t *testing.T) {
@@ -43,14 +43,14 @@
 	var budget Budget
 	is.True(!budget.Take(limits, poolTestTime))
 	budget.Grant(3, poolTestTime)
-	is.Equal(budget.Left(limits, poolTestTime), 3.0)
-	is.True(budget.Take(limits, poolTestTime.Add(GrantLife/2)))
-	budget.Grant(1, poolTestTime.Add(GrantLife/2)) // does not extend the earlier ones
-	is.True(budget.Take(limits, poolTestTime.Add(GrantLife-1)))
-	is.True(!budget.Take(limits, poolTestTime.Add(GrantLife)))
-	budget.Grant(1, poolTestTime.Add(2*GrantLife))
-	is.True(budget.Take(limits, poolTestTime.Add(2*GrantLife)))
-	is.True(!budget.Take(limits, poolTestTime.Add(2*GrantLife)))
+	is.Equal(budget.Remaining(limits, poolTestTime), 3.0)
+	is.True(budget.Take(limits, poolTestTime.Add(GrantTTL/2)))
+	budget.Grant(1, poolTestTime.Add(GrantTTL/2)) // does not extend the earlier ones
+	is.True(budget.Take(limits, poolTestTime.Add(GrantTTL-1)))
+	is.True(!budget.Take(limits, poolTestTime.Add(GrantTTL)))
+	budget.Grant(1, poolTestTime.Add(2*GrantTTL))
+	is.True(budget.Take(limits, poolTestTime.Add(2*GrantTTL)))
+	is.True(!budget.Take(limits, poolTestTime.Add(2*GrantTTL)))
 }
 
 // All extra sends in any window are at most the joint capacity of the pools, whatever the
@@ -75,7 +75,7 @@
 				pool.SetLimits(capacity, defaultWindow)
 				pools[node%len(pools)] = pool
 			case 1, 2:
-				granted := pools[node%len(pools)].Grant(Wants{"s": rapid.IntRange(1, 5).Draw(t, "wanted")}, now)
+				granted := pools[node%len(pools)].Grant(SendCounts{"s": rapid.IntRange(1, 5).Draw(t, "wanted")}, now)
 				budgets[node].Grant(granted["s"], now)
 			default:
 				if budgets[node].Take(Limits{}, now) {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -83,12 +83,12 @@
 	grantedUntil time.Time
 }
 
-// GrantLife is how long a grant of a pool is valid.
-const GrantLife = 2 * time.Second
+// GrantTTL is how long a grant of a pool is valid.
+const GrantTTL = 2 * time.Second
 
 // Grant adds sends that a pool granted. They expire GrantLife after they were requested.
 func (b *Budget) Grant(count int, asked time.Time) {
-	until := asked.Add(GrantLife)
+	until := asked.Add(GrantTTL)
 	if asked.After(b.grantedUntil) {
 		b.granted = 0
 	} else if b.grantedUntil.Before(until) {
@@ -147,9 +147,9 @@
 	return true
 }
 
-// Suspend handles a suspension of the machine: allowances and grants from before it are
+// ResetEarned handles a suspension of the machine: allowances and grants from before it are
 // dropped. Spent sends still count for the whole window, which is longer than necessary.
-func (b *Budget) Suspend() {
+func (b *Budget) ResetEarned() {
 	b.granted = 0
 	for index := range b.slots {
 		b.slots[index].requests = 0
@@ -168,15 +168,15 @@
 	}
 }
 
-// Left returns the number of extra sends left, including grants.
-func (b *Budget) Left(limits Limits, now time.Time) float64 {
+// Remaining returns the number of extra sends left, including grants.
+func (b *Budget) Remaining(limits Limits, now time.Time) float64 {
 	b.advance(limits, now)
 	allowed, spent := b.sum(limits, now)
 	return allowed - spent + float64(b.grantsLeft(now))
 }
 
-// Fullness returns the share of the allowance that is left, 0 to 1, without grants.
-func (b *Budget) Fullness(limits Limits, now time.Time) float64 {
+// RemainingRatio returns the share of the allowance that is left, 0 to 1, without grants.
+func (b *Budget) RemainingRatio(limits Limits, now time.Time) float64 {
 	b.advance(limits, now)
 	allowed, spent := b.sum(limits, now)
 	if allowed <= 0 {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -154,16 +154,16 @@
 	limits := Limits{Capacity: 2}
 	var budget Budget
 	is.True(budget.Take(limits, testTime))
-	is.Equal(budget.Fullness(limits, testTime), 0.5)
+	is.Equal(budget.RemainingRatio(limits, testTime), 0.5)
 	budget.Refund(limits, testTime)
-	is.Equal(budget.Fullness(limits, testTime), 1.0)
+	is.Equal(budget.RemainingRatio(limits, testTime), 1.0)
 	is.True(budget.Take(limits, testTime))
 	is.True(budget.Take(limits, testTime))
 	is.True(!budget.Take(limits, testTime))
 	for range 5 {
 		budget.Refund(limits, testTime)
 	}
-	is.Equal(budget.Left(limits, testTime), limits.Capacity) // never more than the window allows
+	is.Equal(budget.Remaining(limits, testTime), limits.Capacity) // never more than the window allows
 }
 
 // A refund removes the oldest send that counts; the newer one counts until the end of its
@@ -175,5 +175,5 @@
 	is.True(budget.Take(limits, testTime))
 	is.True(budget.Take(limits, testTime.Add(5*time.Second)))
 	budget.Refund(limits, testTime.Add(6*time.Second))
-	is.Equal(budget.Left(limits, testTime.Add(14*time.Second)), 1.0)
+	is.Equal(budget.Remaining(limits, testTime.Add(14*time.Second)), 1.0)
 }
--- a/internal/rollout/admission.go
+++ b/internal/rollout/admission.go
@@ -8,8 +8,8 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// Ask is one attempt of a request for which a version is to be chosen.
-type Ask struct {
+// Attempt is one attempt of a request for which a version is to be chosen.
+type Attempt struct {
 	Service string
 	// Extra attempts are hedges and retries.
 	Extra bool
@@ -93,24 +93,24 @@
 	return same && a.order.Target != version && !slices.ContainsFunc(a.withdrawn, func(order Key) bool { return order.Target == version })
 }
 
-// Unexplained reports whether the candidate is newer than the orders are known to be: it may
+// NewerThanOrders reports whether the candidate is newer than the orders are known to be: it may
 // belong to an unknown one.
-func (a Admission) Unexplained(candidate Candidate) bool {
+func (a Admission) NewerThanOrders(candidate Candidate) bool {
 	return candidate.Created > a.knownRevision && a.knownRevision > 0
 }
 
-// Explains reports whether the candidate belongs to the order.
-func (a Admission) Explains(candidate Candidate) bool { return a.isTarget(candidate) }
+// IsTarget reports whether the candidate belongs to the order.
+func (a Admission) IsTarget(candidate Candidate) bool { return a.isTarget(candidate) }
 
 // Trial reports whether the attempt is for the order's target and can also go elsewhere.
 func (a Admission) Trial() bool { return a.trial }
 
-// MayBypass reports whether the attempt may go to any server when no allowed one can be
+// AllowsFallback reports whether the attempt may go to any server when no allowed one can be
 // reached: old servers stop when an order is completed, which a node may not know yet.
-func (a Admission) MayBypass() bool { return a.fallback }
+func (a Admission) AllowsFallback() bool { return a.fallback }
 
-// Dense reports whether all such attempts go to the candidate with the lowest Rank.
-func (a Admission) Dense() bool { return a.singleServer }
+// SingleServer reports whether all such attempts go to the candidate with the lowest Rank.
+func (a Admission) SingleServer() bool { return a.singleServer }
 
 // Rank orders the candidates of the load stage in the same way on all nodes; the order changes
 // from turn to turn.
@@ -118,8 +118,8 @@
 	return xxhash.Sum64String(string(id)) * (2*a.turn + 1)
 }
 
-// Standing returns the admission of attempts that are not trials.
-func (t *Tracker) Standing(service string, now time.Time) Admission {
+// DefaultAdmission returns the admission of attempts that are not trials.
+func (t *Tracker) DefaultAdmission(service string, now time.Time) Admission {
 	if t == nil {
 		return Admission{}
 	}
@@ -153,7 +153,7 @@
 
 // Admit returns where an attempt may go. An attempt at the target is taken off the exposure;
 // Refund takes that back.
-func (t *Tracker) Admit(ask Ask, now time.Time) Admission {
+func (t *Tracker) Admit(ask Attempt, now time.Time) Admission {
 	if t == nil {
 		return Admission{}
 	}
--- a/internal/rollout/admission_test.go
+++ b/internal/rollout/admission_test.go
@@ -9,7 +9,7 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-var testBounds = Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
+var testBounds = Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second}
 
 // runningOrder returns a running order in a stage.
 func runningOrder(revision catalog.Revision, stage Stage) Order {
@@ -23,7 +23,7 @@
 func exposes(tracker *Tracker, now time.Time) bool {
 	for range 100 {
 		tracker.Request("s")
-		if tracker.Admit(Ask{Service: "s", Repeatable: true}, now).Allows(Candidate{ID: "new", Version: "v2", Created: 20}) {
+		if tracker.Admit(Attempt{Service: "s", Repeatable: true}, now).Allows(Candidate{ID: "new", Version: "v2", Created: 20}) {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 	tracker := NewTracker(Bounds{})
 	is.True(tracker == nil)
 	tracker.Request("s")
-	is.True(tracker.Admit(Ask{Service: "s"}, time.Now()).Allows(Candidate{Version: "v9", Created: 9}))
+	is.True(tracker.Admit(Attempt{Service: "s"}, time.Now()).Allows(Candidate{Version: "v9", Created: 9}))
 }
 
 // A process that is younger than the order may have replaced one that has used its part of the
@@ -118,7 +118,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
-			tracker := NewTracker(Bounds{Slack: 50, RollBack: testBounds.RollBack})
+			tracker := NewTracker(Bounds{Slack: 50, RollbackTime: testBounds.RollbackTime})
 			tracker.Reached(test.learned, now)
 			order := runningOrder(20, StageShift)
 			tracker.Put(order, now)
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -38,19 +38,19 @@
 
 // Observer is notified of what happens to orders. Its methods do not block.
 type Observer interface {
-	// VersionJudged is called for each finding that differs from the one before.
-	VersionJudged(service string, finding Finding)
-	// OrderAnswered is called at the end of each write of a status.
-	OrderAnswered(service string, status Status, err error)
+	// FindingChanged is called for each finding that differs from the one before.
+	FindingChanged(service string, finding Finding)
+	// StatusWritten is called at the end of each write of a status.
+	StatusWritten(service string, status Status, err error)
 }
 
 // Options configure an agent.
 type Options struct {
-	Own       members.Member
-	Bounds    Bounds
-	Tracker   *Tracker
-	Transport Transport
-	Registry  Registry
+	Self        members.Member
+	Bounds      Bounds
+	Tracker     *Tracker
+	Transport   Transport
+	StatusStore StatusStore
 	// Fleet counts the servers of an order's service.
 	Fleet func(Order) Fleet
 	// Process distinguishes this process from earlier ones of the node.
@@ -112,7 +112,7 @@
 	return &Agent{
 		Options:    options,
 		wake:       make(chan struct{}, 1),
-		election:   newElection(options.Own),
+		election:   newElection(options.Self),
 		recipients: make(map[string]*recipient),
 		orders:     make(map[Key]*orderRun),
 		rewrites:   make(map[Key]time.Time),
@@ -160,7 +160,7 @@
 	a.sequence++
 	outgoing := make(map[members.Member][]OrderReport)
 	for _, report := range reports {
-		known, found := a.Tracker.Known(report.Key(), now)
+		known, found := a.Tracker.Progress(report.Key(), now)
 		if !found {
 			continue
 		}
@@ -168,17 +168,17 @@
 		report.Servers = fleet.New
 		run := a.runOf(known.Order)
 		decider := a.election.decider(report.Service, now)
-		if decider.Name == a.Own.Name {
-			a.Tracker.Reported([]Key{report.Key()}, now)
+		if decider.Name == a.Self.Name {
+			a.Tracker.MarkReported([]Key{report.Key()}, now)
 			a.logDecider(run, report.Service, decider.Name)
 		} else {
 			outgoing[decider] = append(outgoing[decider], report)
 		}
-		if decider.Name == a.Own.Name || now.Sub(run.peerReportAt) <= maxReportAge {
-			run.decider.Pool.Add(a.Own.Name, a.Process, a.sequence, report, now)
+		if decider.Name == a.Self.Name || now.Sub(run.peerReportAt) <= maxReportAge {
+			run.decider.Pool.Add(a.Self.Name, a.Process, a.sequence, report, now)
 			a.decide(ctx, run, known, fleet, now)
 		} else {
-			run.decider.Rest()
+			run.decider.Reset()
 		}
 	}
 	for member, orders := range outgoing {
@@ -232,7 +232,7 @@
 }
 
 // decide carries out the next action of an order's decider.
-func (a *Agent) decide(ctx context.Context, run *orderRun, known Known, fleet Fleet, now time.Time) {
+func (a *Agent) decide(ctx context.Context, run *orderRun, known Progress, fleet Fleet, now time.Time) {
 	action := run.decider.Tick(View{
 		Order:   known.Order,
 		Bounds:  a.Bounds,
@@ -260,7 +260,7 @@
 	run.finding = verdict.Finding
 	klog.InfoS("rollout verdict", "service", order.Service, "target", order.Target, "finding", verdict.Finding.String(), "cause", verdict.Cause,
 		"old", verdict.Old, "new", verdict.New, "reporters", run.decider.Pool.Reporters(now, maxReportAge))
-	a.Observer.VersionJudged(order.Service, verdict.Finding)
+	a.Observer.FindingChanged(order.Service, verdict.Finding)
 }
 
 // write makes one conditional write of a status. A write that got no reply may have been done:
@@ -269,8 +269,8 @@
 	begun := a.Now()
 	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	written, err := a.Registry.Answer(writeCtx, order, action.Status)
-	a.Observer.OrderAnswered(order.Service, action.Status, err)
+	written, err := a.StatusStore.WriteStatus(writeCtx, order, action.Status)
+	a.Observer.StatusWritten(order.Service, action.Status, err)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	run.writing = false
@@ -279,13 +279,13 @@
 		run.failing = false
 		a.Tracker.Update(written, begun)
 		a.logStep(run, order, action)
-	case errors.Is(err, ErrChanged):
+	case errors.Is(err, ErrConflict):
 		run.failing = false
 		run.backoffUntil = a.Now().Add(writeBackoff)
 		a.Tracker.Update(written, a.Now())
 	default:
 		run.failing = true
-		a.election.readOnly(a.Own.Name, a.Now())
+		a.election.readOnly(a.Self.Name, a.Now())
 		run.backoffUntil = a.Now().Add(writeBackoff)
 		klog.ErrorS(err, "rollout status not written", "service", order.Service, "state", action.Status.State.String(),
 			"stage", action.Status.Stage.String(), "revision", order.Revision)
@@ -301,7 +301,7 @@
 		message = "rollout completed"
 	case StateRolledBack:
 		message = "rollout rolled back"
-		if order.Invalid() != "" {
+		if order.InvalidReason() != "" {
 			message = "rollout order invalid"
 		}
 	}
--- a/internal/rollout/agent_bench_test.go
+++ b/internal/rollout/agent_bench_test.go
@@ -92,7 +92,7 @@
 func benchmarkAgent(own members.Member, live []members.Member, orders int, transport Transport) *Agent {
 	tracker := NewTracker(deciderBounds)
 	agent := NewAgent(Options{
-		Own: own, Bounds: deciderBounds, Tracker: tracker, Registry: conflictRegistry{}, Transport: transport,
+		Self: own, Bounds: deciderBounds, Tracker: tracker, StatusStore: conflictStore{}, Transport: transport,
 		Fleet: func(Order) Fleet { return Fleet{New: benchmarkServers, Others: 3} }, Observer: nopObserver{},
 	})
 	for order := range orders {
@@ -174,7 +174,7 @@
 	for tick := range second {
 		sequence++
 		for node, member := range live {
-			if member == agent.Own || (node+tick)%every != 0 {
+			if member == agent.Self || (node+tick)%every != 0 {
 				continue
 			}
 			body, err := benchmarkBody(benchmarkReport(member.Name, services, sequence))
@@ -211,7 +211,7 @@
 	if err := json.Unmarshal(encoded, &report); err != nil {
 		b.Fatal(err)
 	}
-	if _, err := agent.Take(report); err != nil {
+	if _, err := agent.HandleReport(report); err != nil {
 		b.Fatal(err)
 	}
 }
@@ -270,7 +270,7 @@
 func benchmarkAnswer(tracker *Tracker, service string, route, server int, now time.Time) {
 	admission := Admission{rule: ruleTarget, order: Key{Service: service, Target: "v2", Created: 10}}
 	candidate := Candidate{ID: benchmarkServer(service, server), Version: "v2"}
-	sample := Sample{Result: OutcomeAnswered, Ratio: 1}
+	sample := Sample{Result: OutcomeAnswered, LatencyRatio: 1}
 	tracker.End(candidate, admission, fmt.Sprint("route-", route), sample, now)
 }
 
@@ -279,13 +279,13 @@
 	reports, bytes atomic.Int64
 }
 
-func (t *countingTransport) Send(_ context.Context, _ string, report Report) ([]Ruling, error) {
+func (t *countingTransport) Send(_ context.Context, _ string, report Report) ([]OrderReply, error) {
 	body, err := benchmarkBody(report)
 	t.reports.Add(1)
 	t.bytes.Add(int64(len(body)))
-	replies := make([]Ruling, len(report.Orders))
+	replies := make([]OrderReply, len(report.Orders))
 	for index, order := range report.Orders {
-		replies[index] = Ruling{Service: order.Service, Target: order.Target, Created: order.Created}
+		replies[index] = OrderReply{Service: order.Service, Target: order.Target, Created: order.Created}
 	}
 	return replies, err
 }
--- a/internal/rollout/agent_reports.go
+++ b/internal/rollout/agent_reports.go
@@ -24,7 +24,7 @@
 		return
 	}
 	to.reporting, to.sentAt = true, now
-	report := Report{Node: a.Own.Name, Process: a.Process, Sequence: a.sequence, Orders: orders}
+	report := Report{Node: a.Self.Name, Process: a.Process, Sequence: a.sequence, Orders: orders}
 	a.tasks.Go(func() { a.send(ctx, member, to, report, now) })
 }
 
@@ -47,14 +47,14 @@
 		a.Wake()
 		return
 	}
-	a.Tracker.Reported(a.applyReplies(member, replies), made)
+	a.Tracker.MarkReported(a.applyReplies(member, replies), made)
 	if len(replies) < len(report.Orders) {
 		a.election.unsynced(member.Name, a.Now())
 	}
 }
 
 // applyReplies applies the replies to a report and returns the keys of their orders.
-func (a *Agent) applyReplies(member members.Member, replies []Ruling) []Key {
+func (a *Agent) applyReplies(member members.Member, replies []OrderReply) []Key {
 	var keys []Key
 	for _, reply := range replies {
 		key := reply.Key()
@@ -62,11 +62,11 @@
 		if run := a.orders[key]; run != nil {
 			a.logDecider(run, key.Service, member.Name)
 		}
-		a.Tracker.StartedBefore(key, reply.Since)
+		a.Tracker.LowerSince(key, reply.Since)
 		if reply.Halt && a.Tracker.Halt(key) {
 			klog.InfoS("rollout halted", "service", key.Service, "target", key.Target, "member", member.Name)
 		}
-		if reply.Unable {
+		if reply.CannotWrite {
 			a.election.readOnly(member.Name, a.Now())
 		}
 	}
@@ -81,15 +81,15 @@
 	}
 }
 
-// Take handles the report of another node. Orders that this node does not know get no reply.
-func (a *Agent) Take(report Report) ([]Ruling, error) {
+// HandleReport handles the report of another node. Orders that this node does not know get no reply.
+func (a *Agent) HandleReport(report Report) ([]OrderReply, error) {
 	now := a.Now()
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.frozen(now) || now.Sub(a.resumedAt) < resumePause {
 		return nil, errResumed
 	}
-	var replies []Ruling
+	var replies []OrderReply
 	for _, reported := range report.Orders {
 		if reply, known := a.handleOrder(report, reported, now); known {
 			replies = append(replies, reply)
@@ -99,23 +99,23 @@
 }
 
 // handleOrder handles the report of one order; false if the order is not known.
-func (a *Agent) handleOrder(report Report, reported OrderReport, now time.Time) (Ruling, bool) {
+func (a *Agent) handleOrder(report Report, reported OrderReport, now time.Time) (OrderReply, bool) {
 	key := reported.Key()
-	a.Tracker.StartedBefore(key, reported.Since)
+	a.Tracker.LowerSince(key, reported.Since)
 	if reported.Halted && a.Tracker.Halt(key) {
 		klog.InfoS("rollout halted", "service", key.Service, "target", key.Target, "member", report.Node)
 	}
-	known, found := a.Tracker.Known(key, now)
+	known, found := a.Tracker.Progress(key, now)
 	if !found {
-		return Ruling{}, false
+		return OrderReply{}, false
 	}
-	reply := Ruling{Service: key.Service, Target: key.Target, Created: key.Created, Since: known.Order.Since, Halt: known.Halted}
+	reply := OrderReply{Service: key.Service, Target: key.Target, Created: key.Created, Since: known.Order.Since, Halt: known.Halted}
 	if known.Order.Ended() {
 		return reply, true
 	}
 	run := a.runOf(known.Order)
 	run.peerReportAt = now
 	run.decider.Pool.Add(report.Node, report.Process, report.Sequence, reported, now)
-	reply.Unable = run.failing
+	reply.CannotWrite = run.failing
 	return reply, true
 }
--- a/internal/rollout/agent_rewrite.go
+++ b/internal/rollout/agent_rewrite.go
@@ -21,7 +21,7 @@
 // anything left to wait for.
 func (a *Agent) rewriteAll(ctx context.Context, now time.Time) bool {
 	a.Tracker.DropMissing(now)
-	orders, missing := a.Tracker.Unwritten()
+	orders, missing := a.Tracker.LostDecisions()
 	if len(orders) == 0 {
 		clear(a.rewrites)
 	}
@@ -29,7 +29,7 @@
 		due, found := a.rewrites[order.Key()]
 		switch {
 		case found:
-		case a.election.decider(order.Service, now).Name == a.Own.Name:
+		case a.election.decider(order.Service, now).Name == a.Self.Name:
 			due = now
 		default:
 			due = now.Add(rewriteDelay + rand.N(rewriteJitter))
@@ -47,9 +47,9 @@
 func (a *Agent) rewrite(ctx context.Context, order Order) {
 	writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	written, err := a.Registry.Answer(writeCtx, order, order.Status)
-	a.Observer.OrderAnswered(order.Service, order.Status, err)
-	if err != nil && !errors.Is(err, ErrChanged) {
+	written, err := a.StatusStore.WriteStatus(writeCtx, order, order.Status)
+	a.Observer.StatusWritten(order.Service, order.Status, err)
+	if err != nil && !errors.Is(err, ErrConflict) {
 		klog.ErrorS(err, "rollout decision not written again", "service", order.Service, "state", order.Status.State.String())
 		return
 	}
