--- a/internal/rollout/agent_test.go
+++ b/internal/rollout/agent_test.go
@@ -57,8 +57,8 @@
 // nopObserver ignores all calls.
 type nopObserver struct{}
 
-func (nopObserver) VersionJudged(string, Finding)       {}
-func (nopObserver) OrderAnswered(string, Status, error) {}
+func (nopObserver) FindingChanged(string, Finding)      {}
+func (nopObserver) StatusWritten(string, Status, error) {}
 
 // newAgentCluster starts the agents of all nodes; placeOrder adds their order.
 func newAgentCluster(t *testing.T) *agentCluster {
@@ -71,7 +71,7 @@
 	for index, member := range live {
 		node := &agentNode{cluster: cluster, name: member.Name}
 		node.start(1)
-		node.tracker.Share(index, agentNodes)
+		node.tracker.SetPosition(index, agentNodes)
 		node.agent.SetMembers(live)
 		cluster.nodes = append(cluster.nodes, node)
 	}
@@ -84,7 +84,7 @@
 	n.tracker = NewTracker(deciderBounds)
 	n.tracker.Reached(1, time.Now())
 	n.agent = NewAgent(Options{
-		Own: members.Member{Name: n.name, Address: n.name}, Bounds: deciderBounds, Tracker: n.tracker, Transport: n, Registry: n,
+		Self: members.Member{Name: n.name, Address: n.name}, Bounds: deciderBounds, Tracker: n.tracker, Transport: n, StatusStore: n,
 		Fleet: func(Order) Fleet { return Fleet{New: 2, Others: 2} }, Process: process, Observer: nopObserver{},
 	})
 	ctx, stop := context.WithCancel(n.cluster.ctx)
@@ -172,12 +172,12 @@
 	for range count {
 		n.tracker.Request("s")
 		n.tracker.Begin(candidate, admission)
-		n.tracker.End(candidate, admission, "route", Sample{Result: result, Ratio: 1}, time.Now())
+		n.tracker.End(candidate, admission, "route", Sample{Result: result, LatencyRatio: 1}, time.Now())
 	}
 }
 
 // Send implements Transport.
-func (n *agentNode) Send(ctx context.Context, address string, report Report) ([]Ruling, error) {
+func (n *agentNode) Send(ctx context.Context, address string, report Report) ([]OrderReply, error) {
 	for _, node := range n.cluster.nodes {
 		if node.name != address {
 			continue
@@ -190,13 +190,13 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		return node.agent.Take(report)
+		return node.agent.HandleReport(report)
 	}
 	return nil, errors.New("no such node")
 }
 
-// Answer implements Registry.
-func (n *agentNode) Answer(ctx context.Context, order Order, status Status) (Order, error) {
+// WriteStatus implements Registry.
+func (n *agentNode) WriteStatus(ctx context.Context, order Order, status Status) (Order, error) {
 	c := n.cluster
 	c.mutex.Lock()
 	if c.storeDown || n.storeCut {
@@ -207,7 +207,7 @@
 	if order.Revision != c.order.Revision {
 		current := c.order
 		c.mutex.Unlock()
-		return current, ErrChanged
+		return current, ErrConflict
 	}
 	c.order.Status = status
 	c.order.Revision++
@@ -379,14 +379,14 @@
 		c.placeOrder()
 		c.serveUntil(StageWhole)
 		decider := c.decider()
-		known, found := decider.tracker.Known(Key{Service: "s", Target: "v2", Created: 10}, time.Now())
+		known, found := decider.tracker.Progress(Key{Service: "s", Target: "v2", Created: 10}, time.Now())
 		c.is.True(found)
 		other := c.nodes[0]
 		rolledBack := Status{State: StateRolledBack, Target: "v2", Stage: StageWhole, Elapsed: known.Elapsed}
-		_, err := other.Answer(c.ctx, known.Order, rolledBack)
+		_, err := other.WriteStatus(c.ctx, known.Order, rolledBack)
 		c.is.NoErr(err)
-		order, err := decider.Answer(c.ctx, known.Order, Status{State: StateCompleted, Target: "v2", Stage: StageWhole})
-		c.is.True(errors.Is(err, ErrChanged))
+		order, err := decider.WriteStatus(c.ctx, known.Order, Status{State: StateCompleted, Target: "v2", Stage: StageWhole})
+		c.is.True(errors.Is(err, ErrConflict))
 		c.is.Equal(order.Status, rolledBack)
 		c.serve(5*time.Second, false)
 		c.is.Equal(c.status(), rolledBack)
@@ -494,7 +494,7 @@
 		is := is.New(t)
 		own, other := members.Member{Name: "own", Address: "own"}, members.Member{Name: "other", Address: "other"}
 		tracker := NewTracker(deciderBounds)
-		agent := NewAgent(Options{Own: own, Tracker: tracker, Registry: hangingRegistry{}, Observer: nopObserver{}})
+		agent := NewAgent(Options{Self: own, Tracker: tracker, StatusStore: hangingStore{}, Observer: nopObserver{}})
 		agent.SetMembers([]members.Member{own, other})
 		order := orderAt(StateRunning, StageCanary, 0)
 		for number := 0; agent.election.decider(order.Service, time.Now()) != own; number++ {
@@ -505,10 +505,10 @@
 		agent.write(t.Context(), agent.runOf(order), order, Action{Status: Status{State: StateRolledBack, Target: "v2"}})
 		is.Equal(agent.election.decider(service, time.Now()), other)
 		report := Report{Node: "other", Orders: []OrderReport{{Service: service, Target: "v2", Created: 10}}}
-		replies, err := agent.Take(report)
+		replies, err := agent.HandleReport(report)
 		is.NoErr(err)
-		is.Equal(replies, []Ruling{{Service: service, Target: "v2", Created: 10, Unable: true}})
-		reporter := NewAgent(Options{Own: other, Tracker: tracker})
+		is.Equal(replies, []OrderReply{{Service: service, Target: "v2", Created: 10, CannotWrite: true}})
+		reporter := NewAgent(Options{Self: other, Tracker: tracker})
 		reporter.SetMembers([]members.Member{own, other})
 		is.Equal(reporter.election.decider(service, time.Now()), own)
 		is.Equal(reporter.applyReplies(own, replies), []Key{order.Key()})
@@ -516,10 +516,10 @@
 	})
 }
 
-// hangingRegistry never replies.
-type hangingRegistry struct{}
+// hangingStore never replies.
+type hangingStore struct{}
 
-func (hangingRegistry) Answer(ctx context.Context, order Order, _ Status) (Order, error) {
+func (hangingStore) WriteStatus(ctx context.Context, order Order, _ Status) (Order, error) {
 	<-ctx.Done()
 	return order, ctx.Err()
 }
@@ -528,12 +528,12 @@
 func TestHaltIsForwarded(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(deciderBounds)
-	agent := NewAgent(Options{Own: members.Member{Name: "own"}, Tracker: tracker})
+	agent := NewAgent(Options{Self: members.Member{Name: "own"}, Tracker: tracker})
 	tracker.Put(orderAt(StateRunning, StageCanary, 0), time.Now())
 	report := OrderReport{Service: "s", Target: "v2", Created: 10, Halted: true}
-	replies, err := agent.Take(Report{Node: "other", Orders: []OrderReport{report}})
+	replies, err := agent.HandleReport(Report{Node: "other", Orders: []OrderReport{report}})
 	is.NoErr(err)
-	is.Equal(replies, []Ruling{{Service: "s", Target: "v2", Created: 10, Halt: true}})
+	is.Equal(replies, []OrderReply{{Service: "s", Target: "v2", Created: 10, Halt: true}})
 	is.True(tracker.Halted("s", Candidate{ID: "new-1", Version: "v2"}))
 }
 
@@ -563,24 +563,24 @@
 		tracker := NewTracker(deciderBounds)
 		own := members.Member{Name: "own", Address: "own"}
 		agent := NewAgent(Options{
-			Own: own, Bounds: deciderBounds, Tracker: tracker, Registry: conflictRegistry{},
+			Self: own, Bounds: deciderBounds, Tracker: tracker, StatusStore: conflictStore{},
 			Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 		})
 		order := orderAt(StateRunning, StageCanary, 0)
 		tracker.Put(order, time.Now())
 		report := Report{Node: "other", Orders: []OrderReport{{Service: "s", Target: "v2", Created: 10}}}
 		is.True(agent.tick(t.Context(), time.Now()))
-		replies, err := agent.Take(report)
+		replies, err := agent.HandleReport(report)
 		is.NoErr(err)
-		is.Equal(replies, []Ruling{{Service: "s", Target: "v2", Created: 10}})
+		is.Equal(replies, []OrderReply{{Service: "s", Target: "v2", Created: 10}})
 		time.Sleep(maxTickGap + time.Millisecond)
-		_, err = agent.Take(report)
+		_, err = agent.HandleReport(report)
 		is.True(errors.Is(err, errResumed))
 		is.True(agent.tick(t.Context(), time.Now()))
-		_, err = agent.Take(report)
+		_, err = agent.HandleReport(report)
 		is.True(errors.Is(err, errResumed))
 		time.Sleep(resumePause)
-		_, err = agent.Take(report)
+		_, err = agent.HandleReport(report)
 		is.NoErr(err)
 		agent.tasks.Wait()
 	})
@@ -594,33 +594,33 @@
 		tracker := NewTracker(deciderBounds)
 		suspended := time.Duration(0)
 		agent := NewAgent(Options{
-			Own: members.Member{Name: "own", Address: "own"}, Bounds: deciderBounds, Tracker: tracker, Registry: conflictRegistry{},
+			Self: members.Member{Name: "own", Address: "own"}, Bounds: deciderBounds, Tracker: tracker, StatusStore: conflictStore{},
 			Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 			Now: func() time.Time { return time.Now().Add(suspended) },
 		})
 		tracker.Put(orderAt(StateRunning, StageCanary, 0), agent.Now())
 		report := Report{Node: "other", Orders: []OrderReport{{Service: "s", Target: "v2", Created: 10}}}
 		is.True(agent.tick(t.Context(), agent.Now()))
-		_, err := agent.Take(report)
+		_, err := agent.HandleReport(report)
 		is.NoErr(err)
 		suspended = maxTickGap + time.Millisecond
-		_, err = agent.Take(report)
+		_, err = agent.HandleReport(report)
 		is.True(errors.Is(err, errResumed))
 		agent.tasks.Wait()
 	})
 }
 
-// conflictRegistry refuses all writes.
-type conflictRegistry struct{}
+// conflictStore refuses all writes.
+type conflictStore struct{}
 
-func (conflictRegistry) Answer(_ context.Context, order Order, _ Status) (Order, error) {
-	return order, ErrChanged
+func (conflictStore) WriteStatus(_ context.Context, order Order, _ Status) (Order, error) {
+	return order, ErrConflict
 }
 
 // recordingTransport records what is sent.
 type recordingTransport struct{ sent chan Report }
 
-func (r recordingTransport) Send(_ context.Context, _ string, report Report) ([]Ruling, error) {
+func (r recordingTransport) Send(_ context.Context, _ string, report Report) ([]OrderReply, error) {
 	r.sent <- report
 	return nil, errors.New("kept")
 }
@@ -633,7 +633,7 @@
 	tracker := NewTracker(deciderBounds)
 	transport := recordingTransport{sent: make(chan Report, count)}
 	agent := NewAgent(Options{
-		Own: own, Bounds: deciderBounds, Tracker: tracker, Transport: transport, Registry: conflictRegistry{},
+		Self: own, Bounds: deciderBounds, Tracker: tracker, Transport: transport, StatusStore: conflictStore{},
 		Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 	})
 	agent.SetMembers([]members.Member{own, other})
@@ -657,15 +657,15 @@
 func TestUnknownOrdersGetNoReply(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(deciderBounds)
-	agent := NewAgent(Options{Own: members.Member{Name: "own"}, Tracker: tracker})
+	agent := NewAgent(Options{Self: members.Member{Name: "own"}, Tracker: tracker})
 	report := OrderReport{Service: "s", Target: "v2", Created: 10}
-	replies, err := agent.Take(Report{Node: "other", Orders: []OrderReport{report}})
+	replies, err := agent.HandleReport(Report{Node: "other", Orders: []OrderReport{report}})
 	is.NoErr(err)
 	is.Equal(len(replies), 0)
 	tracker.Put(orderAt(StateRolledBack, StageLoad, time.Second), time.Now())
-	replies, err = agent.Take(Report{Node: "other", Orders: []OrderReport{report}})
+	replies, err = agent.HandleReport(Report{Node: "other", Orders: []OrderReport{report}})
 	is.NoErr(err)
-	is.Equal(replies, []Ruling{{Service: "s", Target: "v2", Created: 10, Halt: true}})
+	is.Equal(replies, []OrderReply{{Service: "s", Target: "v2", Created: 10, Halt: true}})
 }
 
 // Guards against an order that comes back after its withdrawal, with the reply to a write that
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -76,11 +76,11 @@
 
 // reportPool is what a decider needs from the pooled reports; Pool implements it.
 type reportPool interface {
-	Judge() Verdict
+	Evaluate() Verdict
 	Reporters(now time.Time, within time.Duration) int
 	Adopted(revision catalog.Revision, now time.Time, within time.Duration) int
 	Elapsed(now time.Time) time.Duration
-	OldUnderWay() int
+	OldInFlight() int
 	Servers() int
 	MayAdvance(order Order, plan Plan, bounds Bounds, now time.Time) bool
 }
@@ -90,7 +90,7 @@
 	frozen := !d.tickedAt.IsZero() && now.Sub(d.tickedAt) > maxTickGap
 	d.tickedAt = now
 	if frozen {
-		d.Rest()
+		d.Reset()
 		d.tickedAt = now
 	}
 	return d.decide(view, &d.Pool, now)
@@ -121,11 +121,11 @@
 		elapsed: max(view.Elapsed, pool.Elapsed(now)),
 		now:     now,
 	}
-	if cause := view.Order.Invalid(); cause != "" {
+	if cause := view.Order.InvalidReason(); cause != "" {
 		return tick.rollBack(cause)
 	}
 	d.updateAdoption(tick)
-	verdict := pool.Judge()
+	verdict := pool.Evaluate()
 	d.halted = d.halted || view.Halted || verdict.Finding == Bad
 	d.good = d.good || verdict.Finding == Good
 	tick.noLongerGood = d.good && verdict.Finding == Undecided && tick.elapsed < tick.plan.GiveUp
@@ -197,7 +197,7 @@
 	if !d.adoptedAt.IsZero() {
 		adoptedFor = tick.now.Sub(d.adoptedAt)
 	}
-	drained := adoptedFor >= minWholeTime && tick.pool.OldUnderWay() == 0
+	drained := adoptedFor >= minWholeTime && tick.pool.OldInFlight() == 0
 	switch {
 	case drained, adoptedFor >= maxDrainWait:
 	case tick.stageAge() >= maxAdoptionWait && tick.adoptedByQuorum():
@@ -267,8 +267,8 @@
 	return Action{Status: Status{State: state, Target: t.Order.Target, Stage: stage, Elapsed: t.elapsed}}
 }
 
-// Rest discards all reports, because another node decides.
-func (d *Decider) Rest() {
+// Reset discards all reports, because another node decides.
+func (d *Decider) Reset() {
 	d.Pool = Pool{}
 	d.tickedAt, d.adoptedRevision, d.adoptedAt = time.Time{}, 0, time.Time{}
 	d.good = false
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -9,7 +9,7 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-var deciderBounds = Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
+var deciderBounds = Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second}
 
 // fakePool returns fixed values for the reports.
 type fakePool struct {
@@ -20,11 +20,11 @@
 	servers            int
 }
 
-func (f fakePool) Judge() Verdict                                         { return Verdict{Finding: f.finding, Cause: "cause"} }
+func (f fakePool) Evaluate() Verdict                                      { return Verdict{Finding: f.finding, Cause: "cause"} }
 func (f fakePool) Reporters(time.Time, time.Duration) int                 { return f.reporters }
 func (f fakePool) Adopted(catalog.Revision, time.Time, time.Duration) int { return f.adopted }
 func (f fakePool) Elapsed(time.Time) time.Duration                        { return f.elapsed }
-func (f fakePool) OldUnderWay() int                                       { return f.oldInFlight }
+func (f fakePool) OldInFlight() int                                       { return f.oldInFlight }
 func (f fakePool) Servers() int                                           { return f.servers }
 func (f fakePool) MayAdvance(Order, Plan, Bounds, time.Time) bool         { return f.finding == Good }
 
@@ -250,7 +250,7 @@
 	report := OrderReport{Service: "s", Target: "v2", Created: 10, Revision: 11, Servers: 1}
 	decider.Pool.Add("a", 1, 1, report, epoch)
 	decider.Tick(view, epoch)
-	decider.Rest()
+	decider.Reset()
 	is.Equal(decider.Pool.Reporters(epoch, time.Hour), 0)
 	later := epoch.Add(10 * time.Second)
 	decider.Pool.Add("a", 1, 2, report, later)
--- a/internal/rollout/describe.go
+++ b/internal/rollout/describe.go
@@ -33,7 +33,7 @@
 		State:             status.State.String(),
 		Stage:             u.Stage.String(),
 		Halted:            u.Halted,
-		Invalid:           u.Order.Invalid(),
+		Invalid:           u.Order.InvalidReason(),
 		ElapsedSeconds:    u.Elapsed.Seconds(),
 		DurationSeconds:   u.Order.Duration.Seconds(),
 		Requests:          u.Requests,
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -59,8 +59,8 @@
 	Revision catalog.Revision `json:"revision"`
 	// Elapsed is how long the order has run, as far as the node knows.
 	Elapsed time.Duration `json:"elapsed"`
-	// OldUnderWay is the number of requests in flight at servers of other versions.
-	OldUnderWay int `json:"oldUnderWay,omitempty"`
+	// OldInFlight is the number of requests in flight at servers of other versions.
+	OldInFlight int `json:"oldUnderWay,omitempty"`
 	// Servers is the number of ready servers of the target that the node knows.
 	Servers int `json:"servers,omitempty"`
 	// Requests counts all requests of the service that the process has had since it learned of
@@ -85,8 +85,8 @@
 	Orders   []OrderReport `json:"orders"`
 }
 
-// Ruling is the reply to a report of one order.
-type Ruling struct {
+// OrderReply is the reply to a report of one order.
+type OrderReply struct {
 	Service string           `json:"service"`
 	Target  Version          `json:"target"`
 	Created catalog.Revision `json:"created"`
@@ -95,10 +95,10 @@
 	// Halt means that the version was found bad: it gets nothing more, even while the store is
 	// unavailable.
 	Halt bool `json:"halt,omitempty"`
-	// Unable means that the replying node cannot write to the store, so that another one should
+	// CannotWrite means that the replying node cannot write to the store, so that another one should
 	// decide.
-	Unable bool `json:"unable,omitempty"`
+	CannotWrite bool `json:"unable,omitempty"`
 }
 
 // Key returns the key of the order.
-func (r Ruling) Key() Key { return Key{Service: r.Service, Target: r.Target, Created: r.Created} }
+func (r OrderReply) Key() Key { return Key{Service: r.Service, Target: r.Target, Created: r.Created} }
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -38,8 +38,8 @@
 	Status Status
 }
 
-// StartedSince returns the revision after which servers of the target belong to the order.
-func (o Order) StartedSince() catalog.Revision {
+// ServersSince returns the revision after which servers of the target belong to the order.
+func (o Order) ServersSince() catalog.Revision {
 	if o.Since > 0 {
 		return min(o.Since, o.Created)
 	}
@@ -49,7 +49,7 @@
 // lowerSince adopts an earlier revision after which servers of the target belong to the order;
 // zero is none.
 func (o *Order) lowerSince(since catalog.Revision) {
-	if since > 0 && since < o.StartedSince() {
+	if since > 0 && since < o.ServersSince() {
 		o.Since = since
 	}
 }
@@ -139,9 +139,9 @@
 	// it may get, Slack a number of requests in addition.
 	Share float64
 	Slack float64
-	// RollBack is the time after its 50th bad answer from which it gets nothing.
-	RollBack time.Duration
+	// RollbackTime is the time after its 50th bad answer from which it gets nothing.
+	RollbackTime time.Duration
 }
 
 // Enabled reports whether the deployment has rollouts at all.
-func (b Bounds) Enabled() bool { return b.RollBack > 0 }
+func (b Bounds) Enabled() bool { return b.RollbackTime > 0 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -17,11 +17,11 @@
 	// giveUpFraction is the fraction of an order's time after which a version that has not been
 	// found good is rolled back: the status has to be written before the deadline.
 	giveUpFraction = 0.9
-	// LongestDuration bounds the duration of an order: a longer one is not observed by the same
+	// MaxDuration bounds the duration of an order: a longer one is not observed by the same
 	// processes throughout.
-	LongestDuration = 24 * time.Hour
-	// ShortestDuration is the least time in which a version can be evaluated.
-	ShortestDuration = 2 * time.Second
+	MaxDuration = 24 * time.Hour
+	// MinDuration is the least time in which a version can be evaluated.
+	MinDuration = 2 * time.Second
 )
 
 // Plan holds the times of an order's steps, counted from the order.
@@ -47,14 +47,14 @@
 	}
 }
 
-// Invalid returns why an order cannot be carried out; empty if it can.
-func (o Order) Invalid() string {
+// InvalidReason returns why an order cannot be carried out; empty if it can.
+func (o Order) InvalidReason() string {
 	switch {
 	case o.Target == "":
 		return "no version"
-	case o.Duration < ShortestDuration:
+	case o.Duration < MinDuration:
 		return "the duration is too short to judge a version"
-	case o.Duration > LongestDuration:
+	case o.Duration > MaxDuration:
 		return "the duration is too long"
 	}
 	return ""
--- a/internal/rollout/pool.go
+++ b/internal/rollout/pool.go
@@ -80,8 +80,8 @@
 	return c.Minus(earlier)
 }
 
-// Judge returns the verdict on the reports so far.
-func (p *Pool) Judge() Verdict { return p.evidence.evaluate() }
+// Evaluate returns the verdict on the reports so far.
+func (p *Pool) Evaluate() Verdict { return p.evidence.evaluate() }
 
 // Reporters returns how many processes have reported within the given time.
 func (p *Pool) Reporters(now time.Time, within time.Duration) int {
@@ -114,11 +114,11 @@
 	return longest
 }
 
-// OldUnderWay returns how many requests are in flight at servers of other versions.
-func (p *Pool) OldUnderWay() int {
+// OldInFlight returns how many requests are in flight at servers of other versions.
+func (p *Pool) OldInFlight() int {
 	sum := 0
 	for _, latest := range p.reporters {
-		sum += latest.report.OldUnderWay
+		sum += latest.report.OldInFlight
 	}
 	return sum
 }
@@ -158,7 +158,7 @@
 // in the step to the shift stage, where processes bound their exposure, nor in the last step if
 // too few requests come until the deadline.
 func (p *Pool) MayAdvance(order Order, plan Plan, bounds Bounds, now time.Time) bool {
-	switch p.Judge().Finding {
+	switch p.Evaluate().Finding {
 	case Good:
 		return true
 	case Bad:
--- a/internal/rollout/pool_test.go
+++ b/internal/rollout/pool_test.go
@@ -43,7 +43,7 @@
 			for index, report := range test.reports {
 				pool.Add(report.node, report.process, report.sequence, report.report, epoch.Add(time.Duration(index)*400*time.Millisecond))
 			}
-			verdict := pool.Judge()
+			verdict := pool.Evaluate()
 			is.Equal(verdict.Old, test.old)
 			is.Equal(verdict.New, test.new)
 		})
@@ -55,9 +55,9 @@
 	var pool Pool
 	is.Equal(pool.Reporters(epoch, time.Second), 0)
 	is.Equal(pool.Elapsed(epoch), time.Duration(0))
-	pool.Add("n", 1, 1, OrderReport{Revision: 5, Elapsed: 3 * time.Second, OldUnderWay: 2, Servers: 2, Requests: 40, Sent: 4,
+	pool.Add("n", 1, 1, OrderReport{Revision: 5, Elapsed: 3 * time.Second, OldInFlight: 2, Servers: 2, Requests: 40, Sent: 4,
 		Routes: []RouteCounts{{Route: "a", New: map[ServerID]Counts{"s": {Answers: 3, Failed: 1, Timed: 2, Slow: 1}}}}}, epoch)
-	pool.Add("m", 1, 1, OrderReport{Revision: 6, Elapsed: 2 * time.Second, OldUnderWay: 1, Servers: 3, Requests: 20, Sent: 1}, epoch.Add(time.Second))
+	pool.Add("m", 1, 1, OrderReport{Revision: 6, Elapsed: 2 * time.Second, OldInFlight: 1, Servers: 3, Requests: 20, Sent: 1}, epoch.Add(time.Second))
 	now := epoch.Add(1500 * time.Millisecond)
 	is.Equal(pool.Reporters(now, time.Second), 1)
 	is.Equal(pool.Reporters(now, 2*time.Second), 2)
@@ -65,18 +65,18 @@
 	is.Equal(pool.Adopted(5, now, 2*time.Second), 2)
 	is.Equal(pool.Adopted(5, now, time.Second), 1)
 	is.Equal(pool.Elapsed(now), 4500*time.Millisecond)
-	is.Equal(pool.OldUnderWay(), 3)
+	is.Equal(pool.OldInFlight(), 3)
 	is.Equal(pool.Servers(), 3)
 	is.Equal(pool.Requests(), uint32(60))
 	is.Equal(pool.Sent(), uint32(5))
-	is.Equal(pool.Judge().New, Counts{Answers: 3, Failed: 1, Timed: 2, Slow: 1})
+	is.Equal(pool.Evaluate().New, Counts{Answers: 3, Failed: 1, Timed: 2, Slow: 1})
 }
 
 // A version that gets too few requests to break the bounds needs no evidence.
 func TestPoolMayAdvance(t *testing.T) {
 	order := Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Status: Status{State: StateRunning, Target: "v2", Stage: StageShift}}
 	plan := NewPlan(order.Duration)
-	bounds := Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second}
+	bounds := Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second}
 	for _, test := range []struct {
 		name string
 		// perSecond is the rate of requests of the service, elapsed is how long the order had
@@ -124,7 +124,7 @@
 			for _, node := range []string{"n", "m"} {
 				pool.Add(node, 1, 40, answers(all(300, 0, 12), test.new), epoch)
 			}
-			is.Equal(pool.Judge().Finding, test.want)
+			is.Equal(pool.Evaluate().Finding, test.want)
 		})
 	}
 }
--- a/internal/rollout/restored.go
+++ b/internal/rollout/restored.go
@@ -6,9 +6,9 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// Restored records that the store was restored from a copy: permissions of earlier eras are
+// StoreRestored records that the store was restored from a copy: permissions of earlier eras are
 // void.
-func (t *Tracker) Restored(era catalog.Era, now time.Time) {
+func (t *Tracker) StoreRestored(era catalog.Era, now time.Time) {
 	if t == nil {
 		return
 	}
@@ -17,7 +17,7 @@
 	if !t.settling(now) {
 		t.atRestore = t.syncedRevision
 	}
-	t.settledAt = now.Add(catalog.RewriteTime)
+	t.settledAt = now.Add(catalog.OperatorRewriteTime)
 	t.era = era
 	t.syncedAt = time.Time{}
 }
@@ -55,7 +55,7 @@
 // continues reports whether the order continues one of an earlier era, as the copy holds it or
 // as its operators have written it again.
 func (o Order) continues(known Order) bool {
-	return known.Revision.Precedes(o.Revision) && o.Service == known.Service && o.Target == known.Target
+	return known.Revision.EarlierEraThan(o.Revision) && o.Service == known.Service && o.Target == known.Target
 }
 
 // continueInEra continues the order in a later era.
@@ -78,11 +78,11 @@
 // wasRemoved reports whether a copy has brought back an order that was removed.
 func (t *Tracker) wasRemoved(order Order) bool {
 	ended, found := t.lastRemoved[order.Service]
-	return found && ended.Target == order.Target && ended.Created.Precedes(order.Created) && ended.Created.Number() == order.Created.Number()
+	return found && ended.Target == order.Target && ended.Created.EarlierEraThan(order.Created) && ended.Created.Number() == order.Created.Number()
 }
 
-// Listed returns the orders that the store holds.
-func (t *Tracker) Listed() []Order {
+// StoredOrders returns the orders that the store holds.
+func (t *Tracker) StoredOrders() []Order {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var orders []Order
@@ -99,15 +99,15 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for service, tracked := range t.orders {
-		if !tracked.missingSince.IsZero() && now.Sub(tracked.missingSince) >= catalog.RewriteTime {
+		if !tracked.missingSince.IsZero() && now.Sub(tracked.missingSince) >= catalog.OperatorRewriteTime {
 			t.remove(service)
 		}
 	}
 }
 
-// Unwritten returns the decided orders whose decision the store has lost, and whether it lacks
+// LostDecisions returns the decided orders whose decision the store has lost, and whether it lacks
 // orders.
-func (t *Tracker) Unwritten() (orders []Order, missing bool) {
+func (t *Tracker) LostDecisions() (orders []Order, missing bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, tracked := range t.orders {
--- a/internal/rollout/restored_test.go
+++ b/internal/rollout/restored_test.go
@@ -23,7 +23,7 @@
 func exposesStarted(tracker *Tracker, now time.Time) bool {
 	for range 100 {
 		tracker.Request("s")
-		if tracker.Admit(Ask{Service: "s", Repeatable: true}, now).Allows(started) {
+		if tracker.Admit(Attempt{Service: "s", Repeatable: true}, now).Allows(started) {
 			return true
 		}
 	}
@@ -39,7 +39,7 @@
 	order.Status.State = state
 	tracker.Put(order, now)
 	tracker.Reached(catalog.NewRevision(1, 30), now)
-	tracker.Restored(2, now)
+	tracker.StoreRestored(2, now)
 	return tracker, order
 }
 
@@ -64,13 +64,13 @@
 		now := time.Now()
 		tracker, order := restoredTracker(now, state)
 		replacement := Candidate{ID: "i-later", Version: "v1", Created: catalog.NewRevision(1, 40)}
-		allowed := tracker.Standing("s", now).Allows(replacement)
+		allowed := tracker.DefaultAdmission("s", now).Allows(replacement)
 		tracker.ReplaceRestored([]Order{at(2, 20, StageLoad)}, now)
 		tracker.Put(at(2, 21, StageLoad), now) // another node continues from the copy
 		tracker.Reached(catalog.NewRevision(2, 21), now)
 		is.Equal(exposesStarted(tracker, now), state == StateCompleted)
-		is.Equal(tracker.Standing("s", now).Allows(replacement), allowed)
-		unwritten, missing := tracker.Unwritten()
+		is.Equal(tracker.DefaultAdmission("s", now).Allows(replacement), allowed)
+		unwritten, missing := tracker.LostDecisions()
 		is.True(!missing)
 		is.Equal(len(unwritten), 1)
 		is.Equal(unwritten[0].Status, order.Status)
@@ -78,7 +78,7 @@
 		written := unwritten[0]
 		written.Revision++
 		is.True(tracker.Update(written, now))
-		unwritten, _ = tracker.Unwritten()
+		unwritten, _ = tracker.LostDecisions()
 		is.Equal(len(unwritten), 0)
 	}
 }
@@ -93,7 +93,7 @@
 	tracker.Reached(catalog.NewRevision(2, 20), now)
 	orders, _ := tracker.Orders()
 	is.Equal(len(orders), 0)
-	is.True(!tracker.Standing("s", now).Allows(started))
+	is.True(!tracker.DefaultAdmission("s", now).Allows(started))
 	anew := at(2, 30, StageWaiting)
 	anew.Created = catalog.NewRevision(2, 30)
 	tracker.Put(anew, now)
@@ -110,22 +110,22 @@
 	tracker.ReplaceRestored(nil, now)
 	tracker.Reached(catalog.NewRevision(2, 20), now)
 	is.True(!exposesStarted(tracker, now))
-	is.True(!tracker.Standing("s", now).Allows(started))
+	is.True(!tracker.DefaultAdmission("s", now).Allows(started))
 	again := at(2, 25, StageWaiting)
 	again.Created, again.Status = again.Revision, Status{}
 	tracker.Put(again, now.Add(time.Second))
-	is.True(!tracker.Standing("s", now).Allows(started))
+	is.True(!tracker.DefaultAdmission("s", now).Allows(started))
 	is.Equal(tracker.Usages(now.Add(time.Second))[0].Elapsed, time.Duration(0))
 
 	tracker, _ = restoredTracker(now, StateRunning)
 	tracker.ReplaceRestored(nil, now)
-	tracker.DropMissing(now.Add(catalog.RewriteTime - time.Millisecond))
-	_, missing := tracker.Unwritten()
+	tracker.DropMissing(now.Add(catalog.OperatorRewriteTime - time.Millisecond))
+	_, missing := tracker.LostDecisions()
 	is.True(missing)
-	tracker.DropMissing(now.Add(catalog.RewriteTime))
-	_, missing = tracker.Unwritten()
+	tracker.DropMissing(now.Add(catalog.OperatorRewriteTime))
+	_, missing = tracker.LostDecisions()
 	is.True(!missing)
-	is.True(!tracker.Standing("s", now).Allows(started)) // as after a withdrawal
+	is.True(!tracker.DefaultAdmission("s", now).Allows(started)) // as after a withdrawal
 }
 
 // Guards against a node that has started since and takes the servers of a rewritten order for
@@ -143,12 +143,12 @@
 
 	seen := Candidate{ID: "new", Version: "v2", Created: catalog.NewRevision(2, 22)} // as listed in this era
 	young := NewTracker(testBounds)
-	young.Restored(2, now)
+	young.StoreRestored(2, now)
 	young.Put(again, now)
 	young.Reached(catalog.NewRevision(2, 25), now)
-	is.True(young.Standing("s", now).Allows(seen))
-	young.StartedBefore(reports[0].Key(), reports[0].Since)
-	is.True(!young.Standing("s", now).Allows(seen))
+	is.True(young.DefaultAdmission("s", now).Allows(seen))
+	young.LowerSince(reports[0].Key(), reports[0].Since)
+	is.True(!young.DefaultAdmission("s", now).Allows(seen))
 
 	learned, _ := tracker.Orders()
 	status := again
@@ -157,7 +157,7 @@
 	status.Status.State = StateRolledBack
 	younger := NewTracker(testBounds)
 	younger.Put(status, now)
-	is.True(!younger.Standing("s", now).Allows(seen))
+	is.True(!younger.DefaultAdmission("s", now).Allows(seen))
 }
 
 // Guards against a decision that is replaced by a write of an earlier era whose condition held
@@ -172,7 +172,7 @@
 	tracker.Reached(ended.Revision, now)
 	tracker.Put(at(2, 21, StageShift), now)
 	is.True(!exposesStarted(tracker, now))
-	unwritten, _ := tracker.Unwritten()
+	unwritten, _ := tracker.LostDecisions()
 	is.Equal(len(unwritten), 1)
 }
 
@@ -183,22 +183,22 @@
 	now := time.Now()
 	tracker := NewTracker(testBounds)
 	tracker.Reached(catalog.NewRevision(1, 30), now)
-	tracker.Restored(2, now)
+	tracker.StoreRestored(2, now)
 	tracker.ReplaceRestored(nil, now)
 	tracker.Reached(catalog.NewRevision(2, 20), now)
 	listed := Candidate{ID: "new", Version: "v2", Created: catalog.NewRevision(2, 22)}
 	tracker.Reached(catalog.NewRevision(2, 24), now.Add(time.Second))
-	is.True(tracker.Standing("s", now.Add(time.Second)).Unexplained(listed))
+	is.True(tracker.DefaultAdmission("s", now.Add(time.Second)).NewerThanOrders(listed))
 	again := at(2, 25, StageWaiting)
 	again.Created, again.Status = again.Revision, Status{}
 	tracker.Put(again, now.Add(2*time.Second))
-	is.True(tracker.Standing("s", now.Add(2*time.Second)).Explains(listed))
-	is.True(!tracker.Standing("s", now.Add(catalog.RewriteTime)).Allows(listed))
+	is.True(tracker.DefaultAdmission("s", now.Add(2*time.Second)).IsTarget(listed))
+	is.True(!tracker.DefaultAdmission("s", now.Add(catalog.OperatorRewriteTime)).Allows(listed))
 	reports, _ := tracker.Reports(now.Add(2 * time.Second))
 	is.Equal(reports[0].Since, catalog.NewRevision(1, 30)) // reported to other nodes
 
 	tracker.Remove("s")
 	other := Candidate{ID: "other", Version: "v3", Created: catalog.NewRevision(2, 40)}
-	tracker.Reached(catalog.NewRevision(2, 50), now.Add(catalog.RewriteTime))
-	is.True(!tracker.Standing("s", now.Add(catalog.RewriteTime)).Unexplained(other)) // no order was written
+	tracker.Reached(catalog.NewRevision(2, 50), now.Add(catalog.OperatorRewriteTime))
+	is.True(!tracker.DefaultAdmission("s", now.Add(catalog.OperatorRewriteTime)).NewerThanOrders(other)) // no order was written
 }
--- a/internal/rollout/samples.go
+++ b/internal/rollout/samples.go
@@ -12,8 +12,8 @@
 	OutcomeAnswered
 	// OutcomeFailed is an error of the server, a refusal or a connection that failed.
 	OutcomeFailed
-	// OutcomeSilent is a request that was given up while in flight.
-	OutcomeSilent
+	// OutcomeAbandoned is a request that was given up while in flight.
+	OutcomeAbandoned
 	// OutcomeUnsent is an attempt that reached no server.
 	OutcomeUnsent
 )
@@ -21,8 +21,8 @@
 // Sample is the result of one attempt.
 type Sample struct {
 	Result Outcome
-	// Ratio is the time that the attempt took, divided by the usual time of such requests.
-	Ratio float64
+	// LatencyRatio is the time that the attempt took, divided by the usual time of such requests.
+	LatencyRatio float64
 	// Cold is set if the server has just started.
 	Cold bool
 }
@@ -34,7 +34,7 @@
 
 // counts returns the counts of the sample alone.
 func (s Sample) counts() Counts {
-	slow := s.Ratio >= slowFactor
+	slow := s.LatencyRatio >= slowFactor
 	switch {
 	case s.Result == OutcomeFailed:
 		return Counts{Answers: 1, Failed: 1}
@@ -44,7 +44,7 @@
 		return Counts{Answers: 1, Timed: 1, Slow: 1}
 	case s.Result == OutcomeAnswered:
 		return Counts{Answers: 1, Timed: 1}
-	case s.Result == OutcomeSilent && slow && !s.Cold:
+	case s.Result == OutcomeAbandoned && slow && !s.Cold:
 		// Nothing is known about a request that was given up early.
 		return Counts{Timed: 1, Slow: 1}
 	}
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -109,7 +109,7 @@
 		spread:   spread,
 		random:   rand.New(rand.NewPCG(seed, 0)),
 		plan:     NewPlan(duration),
-		bounds:   Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second},
+		bounds:   Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second},
 	}
 	for position := range order.processes {
 		order.processes[position].limits = NewLimits(order.bounds, position, simProcesses, true)
@@ -199,22 +199,22 @@
 		faults = append(faults, o.scenario.server)
 	}
 	sample := Sample{Result: OutcomeAnswered, Cold: server >= 0 && now < simReadyAt+simWarmUp}
-	sample.Ratio = math.Exp(o.spread * o.random.NormFloat64())
+	sample.LatencyRatio = math.Exp(o.spread * o.random.NormFloat64())
 	if o.random.Float64() < simTailShare {
-		sample.Ratio *= simTailFactor
+		sample.LatencyRatio *= simTailFactor
 	}
 	if o.scenario.paused > 0 && o.random.Float64() < o.scenario.paused {
-		sample.Ratio += 2
+		sample.LatencyRatio += 2
 	}
 	for _, f := range faults {
 		if f.failed > 0 && o.random.Float64() < f.failed {
 			sample.Result = OutcomeFailed
 		}
 		if f.slow > 0 && o.random.Float64() < f.slow {
-			sample.Ratio *= f.factor
+			sample.LatencyRatio *= f.factor
 		}
 	}
-	end := now + time.Duration(sample.Ratio*float64(simServiceTime))
+	end := now + time.Duration(sample.LatencyRatio*float64(simServiceTime))
 	report := int(end/simReportInterval) + 1
 	if report >= len(o.pending) {
 		return
@@ -255,7 +255,7 @@
 		return o.pool.MayAdvance(Order{Target: "v", Status: Status{State: StateRunning, Target: "v", Stage: o.status}}, o.plan, o.bounds, at)
 	}
 	switch {
-	case o.pool.Judge().Finding == Bad, o.status < StageWhole && now >= o.plan.GiveUp:
+	case o.pool.Evaluate().Finding == Bad, o.status < StageWhole && now >= o.plan.GiveUp:
 		o.ended, o.endedAt = StateRolledBack, now
 	case o.status == StageWhole && now-o.statusAt >= time.Second:
 		o.ended, o.endedAt = StateCompleted, now
--- a/internal/rollout/tracked.go
+++ b/internal/rollout/tracked.go
@@ -58,8 +58,8 @@
 	} else {
 		o.recordCompletion(order)
 	}
-	order.lowerSince(o.order.StartedSince())
-	o.since = min(o.since, order.StartedSince())
+	order.lowerSince(o.order.ServersSince())
+	o.since = min(o.since, order.ServersSince())
 	o.baseElapsed, o.baseTime = ranFor, now
 	o.order, o.plan = order, NewPlan(order.Duration)
 }
@@ -92,7 +92,7 @@
 		Since:       o.order.Since,
 		Revision:    o.order.Revision,
 		Elapsed:     o.elapsed(now),
-		OldUnderWay: o.oldInFlight,
+		OldInFlight: o.oldInFlight,
 		Requests:    o.exposure.requests,
 		Sent:        o.exposure.sent,
 		Halted:      o.halted,
@@ -105,9 +105,9 @@
 	return report
 }
 
-// Reported records that a report of the orders that was made at the given time has been
+// MarkReported records that a report of the orders that was made at the given time has been
 // delivered.
-func (t *Tracker) Reported(keys []Key, made time.Time) {
+func (t *Tracker) MarkReported(keys []Key, made time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, key := range keys {
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Share sets the position of this process, from 0, and the number of processes. It applies to
+// SetPosition sets the position of this process, from 0, and the number of processes. It applies to
 // orders that come later.
-func (t *Tracker) Share(position, processes int) {
+func (t *Tracker) SetPosition(position, processes int) {
 	if t == nil {
 		return
 	}
@@ -140,21 +140,21 @@
 	t.orders[order.Service] = added
 }
 
-// StartedBefore adopts an earlier revision, known to other nodes, after which servers of the
+// LowerSince adopts an earlier revision, known to other nodes, after which servers of the
 // target belong to the order; zero is none.
-func (t *Tracker) StartedBefore(key Key, since catalog.Revision) {
+func (t *Tracker) LowerSince(key Key, since catalog.Revision) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if tracked := t.orders[key.Service]; tracked != nil && tracked.order.Key() == key {
 		tracked.order.lowerSince(since)
-		tracked.since = min(tracked.since, tracked.order.StartedSince())
+		tracked.since = min(tracked.since, tracked.order.ServersSince())
 	}
 }
 
 // dropWithdrawn removes the order's target from the withdrawn ones. It returns the revision
 // after which servers of the target belong to the order.
 func (t *Tracker) dropWithdrawn(order Order) catalog.Revision {
-	since := order.StartedSince()
+	since := order.ServersSince()
 	// A new slice, because admissions hold the old one.
 	var rest []Key
 	for _, withdrawn := range t.withdrawn[order.Service] {
@@ -265,8 +265,8 @@
 	return true
 }
 
-// Known is the state of one order as this process knows it.
-type Known struct {
+// Progress is the state of one order as this process knows it.
+type Progress struct {
 	Order Order
 	// Elapsed is how long it has run.
 	Elapsed time.Duration
@@ -274,20 +274,20 @@
 	Halted bool
 }
 
-// Known returns the state of an order; false if it is not the current one of its service.
-func (t *Tracker) Known(key Key, now time.Time) (Known, bool) {
+// Progress returns the state of an order; false if it is not the current one of its service.
+func (t *Tracker) Progress(key Key, now time.Time) (Progress, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	tracked := t.orders[key.Service]
 	if tracked == nil || tracked.order.Key() != key {
-		return Known{}, false
+		return Progress{}, false
 	}
 	halted := tracked.halted || tracked.order.Current().State == StateRolledBack
-	return Known{Order: tracked.order, Elapsed: tracked.elapsed(now), Halted: halted}, true
+	return Progress{Order: tracked.order, Elapsed: tracked.elapsed(now), Halted: halted}, true
 }
 
-// Complete reports whether the orders are known at all. Always true for a nil tracker.
-func (t *Tracker) Complete() bool {
+// HasSynced reports whether the orders are known at all. Always true for a nil tracker.
+func (t *Tracker) HasSynced() bool {
 	if t == nil {
 		return true
 	}
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -15,7 +15,7 @@
 func TestTrackerNeverRegresses(t *testing.T) {
 	const service = "s"
 	rapid.Check(t, func(t *rapid.T) {
-		tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
+		tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
 		now := epoch
 		// history holds all states of the single object in the store, sorted by revision.
 		var history []Order
@@ -94,10 +94,10 @@
 			continue // replaced by a newer order
 		}
 		candidate := Candidate{ID: "new", Version: key.Target, Created: key.Created + 1}
-		if tracker.Admit(Ask{Service: "s", Repeatable: true}, now).Allows(candidate) {
+		if tracker.Admit(Attempt{Service: "s", Repeatable: true}, now).Allows(candidate) {
 			t.Fatalf("a send to the target of %v was admitted", key)
 		}
-		if tracker.Standing("s", now).Allows(candidate) {
+		if tracker.DefaultAdmission("s", now).Allows(candidate) {
 			t.Fatalf("the target of %v is allowed", key)
 		}
 	}
@@ -105,7 +105,7 @@
 
 func TestTrackerIgnoresLateUpdatesOfRemovedOrders(t *testing.T) {
 	is := is.New(t)
-	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
+	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
 	running := Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 2, Revision: 2}
 	tracker.Put(running, epoch)
 	bad := running
@@ -115,7 +115,7 @@
 	tracker.Put(running, epoch)
 	known, _ := tracker.Orders()
 	is.Equal(len(known), 0)
-	is.True(!tracker.Standing("s", epoch).Allows(Candidate{ID: "new", Version: "v2", Created: 4}))
+	is.True(!tracker.DefaultAdmission("s", epoch).Allows(Candidate{ID: "new", Version: "v2", Created: 4}))
 	again := Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 5, Revision: 5}
 	tracker.Put(again, epoch)
 	known, _ = tracker.Orders()
@@ -125,7 +125,7 @@
 // Changing the duration of an order does not reset its elapsed time.
 func TestElapsedContinuesWhenOrderChanges(t *testing.T) {
 	is := is.New(t)
-	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
+	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
 	order := Order{
 		Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 2, Revision: 3,
 		Status: Status{State: StateRunning, Target: "v2", Stage: StageCanary, Elapsed: time.Second},
@@ -144,7 +144,7 @@
 // store would not restore it.
 func TestAdoptedOrdersNeverRegress(t *testing.T) {
 	is := is.New(t)
-	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
+	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
 	order := Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 2, Revision: 3}
 	tracker.Adopt([]Order{order}, 5, epoch)
 	tracker.Adopt(nil, 1, epoch)
@@ -163,13 +163,13 @@
 // An admission stays as it was, whatever is ordered meanwhile.
 func TestAdmissionKeepsWithdrawnOrders(t *testing.T) {
 	is := is.New(t)
-	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
+	tracker := NewTracker(Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
 	for index, target := range []Version{"v2", "v3"} {
 		revision := catalog.Revision(2 + index)
 		tracker.Put(Order{Service: "s", Target: target, Duration: 20 * time.Second, Created: revision, Revision: revision}, epoch)
 		tracker.Remove("s")
 	}
-	before := tracker.Standing("s", epoch)
+	before := tracker.DefaultAdmission("s", epoch)
 	tracker.Put(Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Created: 9, Revision: 9}, epoch)
 	for _, target := range []Version{"v2", "v3"} {
 		is.True(!before.Allows(Candidate{ID: "new", Version: target, Created: 20}))
@@ -187,7 +187,7 @@
 	at := func(milliseconds int) time.Time { return epoch.Add(time.Duration(milliseconds) * time.Millisecond) }
 	answer := func(now time.Time) {
 		candidate := Candidate{ID: "new", Version: "v2", Created: 20}
-		admission := tracker.Admit(Ask{Service: "s", Repeatable: true}, now)
+		admission := tracker.Admit(Attempt{Service: "s", Repeatable: true}, now)
 		tracker.Begin(candidate, admission)
 		tracker.End(candidate, admission, "route", Sample{Result: OutcomeAnswered}, now)
 	}
@@ -198,9 +198,9 @@
 	answer(at(100))
 	made := at(200)
 	answer(at(300))
-	tracker.Reported([]Key{order.Key()}, made)
+	tracker.MarkReported([]Key{order.Key()}, made)
 	is.True(unreported(at(400)))
 	is.Equal(tracker.Usages(at(400))[0].Unreported, 200*time.Millisecond) // since the report was made
-	tracker.Reported([]Key{order.Key()}, at(400))
+	tracker.MarkReported([]Key{order.Key()}, at(400))
 	is.True(!unreported(at(500)))
 }
--- a/internal/rollout/usage.go
+++ b/internal/rollout/usage.go
@@ -8,7 +8,7 @@
 
 // Usage is what one process has sent to the target of an order.
 type Usage struct {
-	Known
+	Progress
 	// Stage is the stage in effect at the process.
 	Stage Stage
 	// Requests counts all requests of the service, Sent those sent to the target, Allowed how
@@ -38,7 +38,7 @@
 
 func (t *Tracker) usage(tracked *trackedOrder, now time.Time) Usage {
 	usage := Usage{
-		Known:    Known{Order: tracked.order, Elapsed: tracked.elapsed(now), Halted: tracked.halted},
+		Progress: Progress{Order: tracked.order, Elapsed: tracked.elapsed(now), Halted: tracked.halted},
 		Stage:    t.stage(tracked, now),
 		Requests: tracked.exposure.requests,
 		Sent:     tracked.exposure.sent,
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -70,8 +70,8 @@
 	Regions []string
 }
 
-// Allows reports whether servers of the region may get requests of the route.
-func (r *Route) Allows(region string) bool {
+// AllowsRegion reports whether servers of the region may get requests of the route.
+func (r *Route) AllowsRegion(region string) bool {
 	return len(r.Regions) == 0 || slices.Contains(r.Regions, region)
 }
 
@@ -205,9 +205,9 @@
 // unit interval (the fractional part of the golden ratio).
 const goldenRatio = 0.6180339887498949
 
-// Choose returns the service for the given turn, a counter of the route's requests.
+// PickService returns the service for the given turn, a counter of the route's requests.
 // Over consecutive turns, each service is chosen in proportion to its weight.
-func (r *Route) Choose(turn uint64) string {
+func (r *Route) PickService(turn uint64) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -77,7 +77,7 @@
 	counts := make(map[string]int)
 	const turns = 300
 	for turn := range uint64(turns) {
-		counts[route.Choose(turn)]++
+		counts[route.PickService(turn)]++
 	}
 	for _, part := range route.Split {
 		share := float64(counts[part.Service]) / turns
--- a/internal/scatter/bench_test.go
+++ b/internal/scatter/bench_test.go
@@ -8,8 +8,8 @@
 
 	v1 "github.com/driftstage/driftstage/api/v1"
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/scatter"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
@@ -51,7 +51,7 @@
 		}
 		spec.Shards = append(spec.Shards, shard)
 	}
-	system := &nodes{members: []membership.Member{{ID: "node-0", Address: "node-0", Zone: "a"}}}
+	system := &nodes{members: []swim.Member{{ID: "node-0", Address: "node-0", Zone: "a"}}}
 	scatterer := scatter.New(scatter.Options{NodeID: "node-0", Zone: "a", Members: system, Owners: system, Local: instant{}, Seed: 1})
 	service := &config.Service{Name: "bench", Revision: 1, Spec: spec}
 	b.ReportAllocs()
--- a/internal/scatter/fault_test.go
+++ b/internal/scatter/fault_test.go
@@ -7,9 +7,9 @@
 
 	v1 "github.com/driftstage/driftstage/api/v1"
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/scatter"
 	"github.com/driftstage/driftstage/internal/standin/backend"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/verdict"
 	"github.com/matryer/is"
 )
@@ -168,9 +168,9 @@
 	}
 	_, answer := ask(t, scatterer, system, false) // refused by the stopped ones
 	is.True(answer.Failure == nil || answer.Verdict != verdict.MayHaveRun)
-	members := append([]membership.Member(nil), system.members...)
-	members[1].State = membership.Leaving
-	members[2].State = membership.Dead
+	members := append([]swim.Member(nil), system.members...)
+	members[1].State = swim.Leaving
+	members[2].State = swim.Dead
 	system.setMembers(members)
 	time.Sleep(50 * time.Millisecond)
 	system.calls.Store(0)
--- a/internal/scatter/routes.go
+++ b/internal/scatter/routes.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/placement"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // routeCheck is how often the members are looked at for changes.
@@ -26,7 +26,7 @@
 
 // members is one state of the membership, prepared for placement.
 type members struct {
-	list      []membership.Member
+	list      []swim.Member
 	index     *placement.Index
 	addresses map[string]string
 	suspects  map[string]bool
@@ -62,7 +62,7 @@
 
 // newMembers selects the members that may own servers: leaving ones take no new
 // work, suspect ones still own theirs.
-func newMembers(list []membership.Member) *members {
+func newMembers(list []swim.Member) *members {
 	made := &members{list: list, addresses: make(map[string]string, len(list)), suspects: make(map[string]bool)}
 	var nodes []placement.Node
 	for index := range list {
@@ -72,7 +72,7 @@
 		}
 		nodes = append(nodes, placement.Node{ID: member.ID, Zone: member.Zone})
 		made.addresses[member.ID] = member.Address
-		made.suspects[member.ID] = member.State == membership.Suspect
+		made.suspects[member.ID] = member.State == swim.Suspect
 	}
 	made.index = placement.NewIndex(nodes)
 	return made
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -11,10 +11,10 @@
 
 	v1 "github.com/driftstage/driftstage/api/v1"
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
 	"github.com/driftstage/driftstage/internal/owner"
 	"github.com/driftstage/driftstage/internal/scatter"
 	"github.com/driftstage/driftstage/internal/standin/backend"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/verdict"
 	"github.com/driftstage/driftstage/internal/wire/message"
 	"github.com/matryer/is"
@@ -28,7 +28,7 @@
 	// mutex guards services and members: attempts that were given up may still read them.
 	mutex    sync.Mutex
 	services []*config.Service
-	members  []membership.Member
+	members  []swim.Member
 	owners   map[string]*owner.Manager
 	// unreachable nodes refuse connections; lost ones break them after the call.
 	unreachable map[string]bool
@@ -37,13 +37,13 @@
 	calls atomic.Int32
 }
 
-func (nodes *nodes) Members() []membership.Member {
+func (nodes *nodes) Members() []swim.Member {
 	nodes.mutex.Lock()
 	defer nodes.mutex.Unlock()
 	return nodes.members
 }
 
-func (nodes *nodes) setMembers(members []membership.Member) {
+func (nodes *nodes) setMembers(members []swim.Member) {
 	nodes.mutex.Lock()
 	defer nodes.mutex.Unlock()
 	nodes.members = members
@@ -113,7 +113,7 @@
 	}
 	for index := range 3 {
 		id := fmt.Sprintf("node-%d", index)
-		system.members = append(system.members, membership.Member{ID: id, Address: id, Zone: "zone-a"})
+		system.members = append(system.members, swim.Member{ID: id, Address: id, Zone: "zone-a"})
 		system.owners[id] = owner.NewManager(owner.Options{Services: system})
 	}
 	scatterer := scatter.New(scatter.Options{
--- a/internal/scatter/types.go
+++ b/internal/scatter/types.go
@@ -6,7 +6,7 @@
 
 	v1 "github.com/driftstage/driftstage/api/v1"
 	"github.com/driftstage/driftstage/internal/config"
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 	"github.com/driftstage/driftstage/internal/verdict"
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
@@ -58,7 +58,7 @@
 
 // Members gives the members of the system, this node included.
 type Members interface {
-	Members() []membership.Member
+	Members() []swim.Member
 }
 
 // Owners calls the owner role of other nodes. Errors are *verdict.Error.
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -124,7 +124,7 @@
 		return number(&s.Rollouts.Slack, text, 0, 100_000)
 	}},
 	{"rollback-time", "0s", "time after its 50th bad answer from which a bad version gets nothing, 0s (no roll-outs) to 10m", func(s *Router, text string) error {
-		return duration(&s.Rollouts.RollBack, text, 0, 10*time.Minute)
+		return duration(&s.Rollouts.RollbackTime, text, 0, 10*time.Minute)
 	}},
 	{"quarantine-term", "2m", "how long a request that ends servers is refused at first, 0s (none is) to 1h", func(s *Router, text string) error {
 		return duration(&s.QuarantineTerm, text, 0, time.Hour)
--- a/internal/settings/router_test.go
+++ b/internal/settings/router_test.go
@@ -37,7 +37,7 @@
 	is.True(!request.Settings.Rollouts.Enabled())
 	request, err = LoadRouter(append(requiredRouter(), "--expose-share", "0.1", "--expose-slack", "50", "--rollback-time", "5000ms"))
 	is.NoErr(err)
-	is.Equal(request.Settings.Rollouts, rollout.Bounds{Share: 0.1, Slack: 50, RollBack: 5 * time.Second})
+	is.Equal(request.Settings.Rollouts, rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
 	is.True(request.Settings.Rollouts.Enabled())
 }
 
--- a/internal/membership/broadcast.go
+++ b/internal/swim/broadcast.go
@@ -1,4 +1,4 @@
-package membership
+package swim
 
 // queuedUpdate is an update with the number of transmissions left.
 type queuedUpdate struct {
@@ -89,7 +89,7 @@
 // send adds queued updates to a message and sends it. The urgent updates go first, such as the
 // claim that the receiver is suspect or dead, which it may refute.
 func (core *Core) send(address string, message Message, urgent ...Update) {
-	space := core.options.DatagramBytes - message.headerSize()
+	space := core.options.MaxDatagramBytes - message.headerSize()
 	for _, update := range urgent {
 		space -= update.size()
 	}
--- a/internal/membership/core.go
+++ b/internal/swim/core.go
@@ -1,4 +1,4 @@
-package membership
+package swim
 
 import (
 	"maps"
@@ -81,7 +81,7 @@
 		core.replaceSeeds(event.Addresses)
 	case Synced:
 		core.merge(event.Entries)
-	case Announce:
+	case GossipNow:
 		core.pendingGossip = core.options.transmissions(core.table.live)
 		core.gossip(core.options.GossipFanout)
 	case Leave:
@@ -231,7 +231,7 @@
 // which of the two failed, and declares the peer dead after the usual suspicion.
 func (core *Core) checkIsolation() {
 	silence := core.now.Sub(core.lastReceived)
-	if core.isolated || silence < core.options.IsolationTime || core.table.live <= 2 {
+	if core.isolated || silence < core.options.IsolationTimeout || core.table.live <= 2 {
 		return
 	}
 	core.isolated = true
--- a/internal/membership/core_test.go
+++ b/internal/swim/core_test.go
@@ -1,4 +1,4 @@
-package membership_test
+package swim_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // The bounds are in virtual time; fixed seeds make every run the same.
@@ -250,11 +250,11 @@
 	is := is.New(t)
 	simulation := started(t, 1, 20)
 	leaving := simulation.nodes[7]
-	simulation.step(leaving, membership.Leave{})
+	simulation.step(leaving, swim.Leave{})
 	seen := func() bool {
 		for _, node := range simulation.nodes {
 			for _, member := range node.core.Members() {
-				if member.ID == leaving.id && member.State != membership.Leaving {
+				if member.ID == leaving.id && member.State != swim.Leaving {
 					return false
 				}
 			}
@@ -265,7 +265,7 @@
 	is.True(held)
 	simulation.run(10 * time.Second)
 	is.True(seen())
-	simulation.step(leaving, membership.Exit{})
+	simulation.step(leaving, swim.Exit{})
 	simulation.kill(leaving)
 	mustAgree(t, simulation, 3*time.Second)
 }
@@ -277,5 +277,5 @@
 	simulation.startAll()
 	simulation.run(time.Minute)
 	is.True(simulation.largest > 600) // otherwise the bound was not tested
-	is.True(simulation.largest <= simulation.options.DatagramBytes)
+	is.True(simulation.largest <= simulation.options.MaxDatagramBytes)
 }
--- a/internal/membership/doc.go
+++ b/internal/swim/doc.go
@@ -1,4 +1,4 @@
-// Package membership decides which nodes are alive, suspect, leaving or dead. It implements SWIM
+// Package swim decides which nodes are alive, suspect, leaving or dead. It implements SWIM
 // (Das, Gupta and Motivala, 2002) with suspicion and incarnations as a pure core: Core.Step and
 // Core.Tick take events and the time and return actions for the caller to perform.
 //
@@ -15,4 +15,4 @@
 //     is probed.
 //   - A node that was paused (its clock jumped between ticks) or that receives no
 //     messages reports that by the actions Paused and Isolated.
-package membership
+package swim
--- a/internal/membership/event.go
+++ b/internal/swim/event.go
@@ -1,4 +1,4 @@
-package membership
+package swim
 
 import "time"
 
@@ -18,9 +18,9 @@
 // Synced delivers entries of another node's table.
 type Synced struct{ Entries []Update }
 
-// Announce requests a message to several members immediately, because the caller's own part of the
+// GossipNow requests a message to several members immediately, because the caller's own part of the
 // message has changed.
-type Announce struct{}
+type GossipNow struct{}
 
 // Leave starts a planned stop.
 type Leave struct{}
@@ -28,12 +28,12 @@
 // Exit completes a planned stop: the process is about to end.
 type Exit struct{}
 
-func (Received) isEvent() {}
-func (Seeds) isEvent()    {}
-func (Synced) isEvent()   {}
-func (Announce) isEvent() {}
-func (Leave) isEvent()    {}
-func (Exit) isEvent()     {}
+func (Received) isEvent()  {}
+func (Seeds) isEvent()     {}
+func (Synced) isEvent()    {}
+func (GossipNow) isEvent() {}
+func (Leave) isEvent()     {}
+func (Exit) isEvent()      {}
 
 // Action is something that the caller must do, in the given order.
 type Action interface{ isAction() }
--- a/internal/membership/message.go
+++ b/internal/swim/message.go
@@ -1,4 +1,4 @@
-package membership
+package swim
 
 // Kind is the type of a message.
 type Kind uint8
--- a/internal/membership/options.go
+++ b/internal/swim/options.go
@@ -1,4 +1,4 @@
-package membership
+package swim
 
 import (
 	"math"
@@ -24,8 +24,8 @@
 	// RetransmitFactor times the logarithm (base 10) of the number of members is how often a node
 	// sends each update.
 	RetransmitFactor int
-	// DatagramBytes is the maximum size of a message, below the usual MTU of 1,500 bytes.
-	DatagramBytes int
+	// MaxDatagramBytes is the maximum size of a message, below the usual MTU of 1,500 bytes.
+	MaxDatagramBytes int
 	// DeadProbePeriod is the time between two pings to dead members or seeds.
 	DeadProbePeriod time.Duration
 	// DeadRetention is how long a failed member is remembered; it bounds how long regions can be
@@ -37,9 +37,9 @@
 	SyncPeriod time.Duration
 	// PauseThreshold is the gap between two ticks that counts as a pause of the process.
 	PauseThreshold time.Duration
-	// IsolationTime is how long a node that knows several live members may receive no messages
+	// IsolationTimeout is how long a node that knows several live members may receive no messages
 	// before it considers itself isolated.
-	IsolationTime time.Duration
+	IsolationTimeout time.Duration
 }
 
 // DefaultOptions returns options for 3 to 3,600 nodes with round trips of up to 50 ms.
@@ -52,13 +52,13 @@
 		GossipPeriod:     200 * time.Millisecond,
 		GossipFanout:     3,
 		RetransmitFactor: 4,
-		DatagramBytes:    1200,
+		MaxDatagramBytes: 1200,
 		DeadProbePeriod:  5 * time.Second,
 		DeadRetention:    24 * time.Hour,
 		LeftRetention:    time.Hour,
 		SyncPeriod:       10 * time.Second,
 		PauseThreshold:   time.Second,
-		IsolationTime:    3 * time.Second,
+		IsolationTimeout: 3 * time.Second,
 	}
 }
 
--- a/internal/membership/probe.go
+++ b/internal/swim/probe.go
@@ -1,4 +1,4 @@
-package membership
+package swim
 
 import (
 	"slices"
--- a/internal/membership/simulator_test.go
+++ b/internal/swim/simulator_test.go
@@ -1,4 +1,4 @@
-package membership_test
+package swim_test
 
 import (
 	"cmp"
@@ -8,13 +8,13 @@
 	"slices"
 	"time"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // simulator runs many cores in virtual time over a network that loses, delays, duplicates and
 // reorders messages, and whose links can be cut in one direction.
 type simulator struct {
-	options membership.Options
+	options swim.Options
 	random  *rand.Rand
 	now     time.Time
 	start   time.Time
@@ -36,7 +36,7 @@
 	zone    string
 	region  string
 	id      string
-	core    *membership.Core
+	core    *swim.Core
 	running bool
 	frozen  bool
 	paused  int
@@ -59,7 +59,7 @@
 func newSimulator(seed uint64, count int) *simulator {
 	start := time.Unix(1_000_000, 0)
 	simulation := &simulator{
-		options: membership.DefaultOptions(),
+		options: swim.DefaultOptions(),
 		random:  rand.New(rand.NewPCG(seed, 1)),
 		now:     start,
 		start:   start,
@@ -86,7 +86,7 @@
 // startNode starts a process on a machine. Its seeds are the first two machines.
 func (simulation *simulator) startNode(node *simulatedNode, id string) {
 	node.id = id
-	self := membership.Member{
+	self := swim.Member{
 		ID:            id,
 		Address:       node.address,
 		GossipAddress: node.address,
@@ -95,15 +95,15 @@
 		Incarnation:   uint64(simulation.now.Sub(simulation.start).Milliseconds()) + 1,
 	}
 	random := rand.New(rand.NewPCG(simulation.random.Uint64(), 2))
-	node.core = membership.New(simulation.options, self, random, simulation.now)
+	node.core = swim.New(simulation.options, self, random, simulation.now)
 	node.running, node.frozen, node.backlog = true, false, nil
 	node.deaths = make(map[string]time.Time)
-	seeds := membership.Seeds{Addresses: []string{simulation.nodes[0].address, simulation.nodes[1].address}}
+	seeds := swim.Seeds{Addresses: []string{simulation.nodes[0].address, simulation.nodes[1].address}}
 	simulation.perform(node, node.core.Step(seeds, simulation.now))
 	simulation.tick(node, node.core)
 }
 
-func (simulation *simulator) tick(node *simulatedNode, core *membership.Core) {
+func (simulation *simulator) tick(node *simulatedNode, core *swim.Core) {
 	if node.core != core || !node.running {
 		return
 	}
@@ -113,24 +113,24 @@
 	simulation.after(tickPeriod, func() { simulation.tick(node, core) })
 }
 
-func (simulation *simulator) step(node *simulatedNode, event membership.Event) {
+func (simulation *simulator) step(node *simulatedNode, event swim.Event) {
 	simulation.perform(node, node.core.Step(event, simulation.now))
 }
 
-func (simulation *simulator) perform(node *simulatedNode, actions []membership.Action) {
+func (simulation *simulator) perform(node *simulatedNode, actions []swim.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
-		case membership.Send:
+		case swim.Send:
 			simulation.send(node, action)
-		case membership.Sync:
+		case swim.Sync:
 			simulation.sync(node, action.Address)
-		case membership.Paused:
+		case swim.Paused:
 			node.paused++
-		case membership.Changed:
+		case swim.Changed:
 			switch action.Member.State {
-			case membership.Dead:
+			case swim.Dead:
 				node.deaths[action.Member.ID] = simulation.now
-			case membership.Suspect:
+			case swim.Suspect:
 				node.suspicions++
 			}
 		}
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (simulation *simulator) send(from *simulatedNode, action membership.Send) {
+func (simulation *simulator) send(from *simulatedNode, action swim.Send) {
 	to := simulation.at(action.Address)
 	simulation.largest = max(simulation.largest, action.Message.Size())
 	copies := 1
@@ -157,13 +157,13 @@
 		if to == nil || simulation.cut(from, to) || simulation.random.Float64() < simulation.loss {
 			continue
 		}
-		event := membership.Received{Address: from.address, Message: action.Message}
+		event := swim.Received{Address: from.address, Message: action.Message}
 		simulation.after(simulation.latency(from, to), func() { simulation.deliver(to, event) })
 	}
 }
 
 // deliver delivers a datagram; those to a frozen node stay in its socket buffer.
-func (simulation *simulator) deliver(to *simulatedNode, event membership.Event) {
+func (simulation *simulator) deliver(to *simulatedNode, event swim.Event) {
 	switch {
 	case !to.running:
 	case to.frozen:
@@ -189,8 +189,8 @@
 			return
 		}
 		difference := peer.core.Compare(core.Digest())
-		simulation.step(node, membership.Synced{Entries: difference.Entries})
-		simulation.step(peer, membership.Synced{Entries: core.Entries(difference.Buckets)})
+		simulation.step(node, swim.Synced{Entries: difference.Entries})
+		simulation.step(peer, swim.Synced{Entries: core.Entries(difference.Buckets)})
 	})
 }
 
@@ -208,7 +208,7 @@
 
 func (simulation *simulator) replaceSeeds(addresses []string) {
 	for _, node := range simulation.nodes {
-		simulation.step(node, membership.Seeds{Addresses: addresses})
+		simulation.step(node, swim.Seeds{Addresses: addresses})
 	}
 }
 
@@ -265,7 +265,7 @@
 		var got []string
 		for _, member := range node.core.Members() {
 			got = append(got, member.ID)
-			if member.State == membership.Suspect {
+			if member.State == swim.Suspect {
 				return fmt.Sprintf("%s suspects %s", node.id, member.ID)
 			}
 		}
--- a/internal/membership/step_test.go
+++ b/internal/swim/step_test.go
@@ -1,4 +1,4 @@
-package membership_test
+package swim_test
 
 import (
 	"fmt"
@@ -8,43 +8,43 @@
 
 	"github.com/matryer/is"
 
-	"github.com/driftstage/driftstage/internal/membership"
+	"github.com/driftstage/driftstage/internal/swim"
 )
 
 // harness drives a single core step by step; its peers are simulated by messages.
 type harness struct {
-	core *membership.Core
+	core *swim.Core
 	now  time.Time
 }
 
 func newHarness(peers int) *harness {
 	now := time.Unix(1_000_000, 0)
-	self := membership.Member{ID: "self", GossipAddress: "10.1.0.0:7000", Incarnation: 1}
+	self := swim.Member{ID: "self", GossipAddress: "10.1.0.0:7000", Incarnation: 1}
 	h := &harness{now: now}
-	h.core = membership.New(membership.DefaultOptions(), self, rand.New(rand.NewPCG(1, 2)), now)
-	var entries []membership.Update
+	h.core = swim.New(swim.DefaultOptions(), self, rand.New(rand.NewPCG(1, 2)), now)
+	var entries []swim.Update
 	for index := range peers {
-		entries = append(entries, peerUpdate(index, membership.StatusAlive))
+		entries = append(entries, peerUpdate(index, swim.StatusAlive))
 	}
-	h.step(membership.Synced{Entries: entries})
+	h.step(swim.Synced{Entries: entries})
 	return h
 }
 
 func peerID(index int) string      { return fmt.Sprintf("peer-%d", index) }
 func peerAddress(index int) string { return fmt.Sprintf("10.0.0.%d:7000", index) }
 
-func peerUpdate(index int, status membership.Status) membership.Update {
-	details := &membership.Details{GossipAddress: peerAddress(index)}
-	return membership.Update{ID: peerID(index), Incarnation: 5, Status: status, Details: details}
+func peerUpdate(index int, status swim.Status) swim.Update {
+	details := &swim.Details{GossipAddress: peerAddress(index)}
+	return swim.Update{ID: peerID(index), Incarnation: 5, Status: status, Details: details}
 }
 
-func (h *harness) step(event membership.Event) []membership.Action {
+func (h *harness) step(event swim.Event) []swim.Action {
 	return h.core.Step(event, h.now)
 }
 
 // run ticks for a while and returns the actions.
-func (h *harness) run(duration time.Duration) []membership.Action {
-	var actions []membership.Action
+func (h *harness) run(duration time.Duration) []swim.Action {
+	var actions []swim.Action
 	for end := h.now.Add(duration); h.now.Before(end); {
 		h.now = h.now.Add(tickPeriod)
 		actions = append(actions, h.core.Tick(h.now)...)
@@ -54,27 +54,27 @@
 
 // deliverGossip delivers a message from a peer, which keeps the core from becoming isolated.
 func (h *harness) deliverGossip(index int) {
-	h.step(membership.Received{Address: peerAddress(index), Message: membership.Message{
-		Kind: membership.Gossip, From: peerID(index), FromIncarnation: 5,
+	h.step(swim.Received{Address: peerAddress(index), Message: swim.Message{
+		Kind: swim.Gossip, From: peerID(index), FromIncarnation: 5,
 	}})
 }
 
 // pings returns the pings to a peer.
-func pings(actions []membership.Action, index int) []membership.Message {
-	var found []membership.Message
+func pings(actions []swim.Action, index int) []swim.Message {
+	var found []swim.Message
 	for _, action := range actions {
-		send, sent := action.(membership.Send)
-		if sent && send.Address == peerAddress(index) && send.Message.Kind == membership.Ping {
+		send, sent := action.(swim.Send)
+		if sent && send.Address == peerAddress(index) && send.Message.Kind == swim.Ping {
 			found = append(found, send.Message)
 		}
 	}
 	return found
 }
 
-func changes(actions []membership.Action) []membership.Changed {
-	var found []membership.Changed
+func changes(actions []swim.Action) []swim.Changed {
+	var found []swim.Changed
 	for _, action := range actions {
-		if change, changed := action.(membership.Changed); changed {
+		if change, changed := action.(swim.Changed); changed {
 			found = append(found, change)
 		}
 	}
@@ -98,11 +98,11 @@
 func TestSuspicionOutlastsPause(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
-		From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip,
-		Updates: []membership.Update{{ID: peerID(0), Incarnation: 5, Status: membership.StatusSuspect}},
+	h.step(swim.Received{Address: peerAddress(0), Message: swim.Message{
+		From: peerID(0), FromIncarnation: 5, Kind: swim.Gossip,
+		Updates: []swim.Update{{ID: peerID(0), Incarnation: 5, Status: swim.StatusSuspect}},
 	}})
-	is.Equal(h.core.Members()[0].State, membership.Suspect)
+	is.Equal(h.core.Members()[0].State, swim.Suspect)
 	h.run(time.Second)
 	h.now = h.now.Add(time.Hour)
 	is.Equal(len(changes(h.run(2*time.Second))), 0)
@@ -114,32 +114,32 @@
 	is := is.New(t)
 	h := newHarness(1)
 	h.run(2500 * time.Millisecond)
-	is.Equal(h.core.Members()[0].State, membership.Suspect)
+	is.Equal(h.core.Members()[0].State, swim.Suspect)
 	sent := pings(h.run(2*time.Second), 0)
 	last := sent[len(sent)-1]
-	is.Equal(last.Updates[0], membership.Update{ID: peerID(0), Incarnation: 5, Status: membership.StatusSuspect})
+	is.Equal(last.Updates[0], swim.Update{ID: peerID(0), Incarnation: 5, Status: swim.StatusSuspect})
 }
 
 // If another table contradicts this one about a member, that member is probed immediately.
 func TestContradictedMemberIsProbed(t *testing.T) {
 	const peers, contradicted = 40, 17
-	for _, status := range []membership.Status{membership.StatusAlive, membership.StatusDead} {
+	for _, status := range []swim.Status{swim.StatusAlive, swim.StatusDead} {
 		is := is.New(t)
 		h := newHarness(peers)
-		other := membership.StatusDead
-		if status == membership.StatusDead {
-			other = membership.StatusAlive
+		other := swim.StatusDead
+		if status == swim.StatusDead {
+			other = swim.StatusAlive
 			for index := range peers {
-				update := peerUpdate(index, membership.StatusDead)
+				update := peerUpdate(index, swim.StatusDead)
 				update.Details = nil
 				h.deliverGossip(0)
-				h.step(membership.Received{Address: peerAddress(99), Message: membership.Message{
-					From: "stranger", Kind: membership.Gossip, Updates: []membership.Update{update},
+				h.step(swim.Received{Address: peerAddress(99), Message: swim.Message{
+					From: "stranger", Kind: swim.Gossip, Updates: []swim.Update{update},
 				}})
 			}
 			is.Equal(len(h.core.Members()), 1)
 		}
-		h.step(membership.Synced{Entries: []membership.Update{peerUpdate(contradicted, other)}})
+		h.step(swim.Synced{Entries: []swim.Update{peerUpdate(contradicted, other)}})
 		is.Equal(len(pings(h.run(time.Second), contradicted)), 1)
 	}
 }
@@ -149,11 +149,11 @@
 func TestRepliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	dead := peerUpdate(0, membership.StatusDead)
+	dead := peerUpdate(0, swim.StatusDead)
 	answers := 0
 	for range 100 {
-		actions := h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
-			From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip, Updates: []membership.Update{dead},
+		actions := h.step(swim.Received{Address: peerAddress(0), Message: swim.Message{
+			From: peerID(0), FromIncarnation: 5, Kind: swim.Gossip, Updates: []swim.Update{dead},
 		}})
 		answers += len(actions) - len(changes(actions))
 	}
@@ -164,10 +164,10 @@
 func TestLaterProcessReplacesMember(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	later := peerUpdate(0, membership.StatusAlive)
+	later := peerUpdate(0, swim.StatusAlive)
 	later.ID, later.Incarnation = "later", 6
-	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
-		From: "later", FromIncarnation: 6, Kind: membership.Gossip, Updates: []membership.Update{later},
+	h.step(swim.Received{Address: peerAddress(0), Message: swim.Message{
+		From: "later", FromIncarnation: 6, Kind: swim.Gossip, Updates: []swim.Update{later},
 	}})
 	members := h.core.Members()
 	is.Equal(len(members), 2)
@@ -178,23 +178,23 @@
 func TestUpdatesFromDeadMemberAreIgnored(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
-	suspicion := membership.Update{ID: peerID(1), Incarnation: 5, Status: membership.StatusSuspect}
-	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
-		From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip,
-		Updates: []membership.Update{peerUpdate(0, membership.StatusDead), suspicion},
+	suspicion := swim.Update{ID: peerID(1), Incarnation: 5, Status: swim.StatusSuspect}
+	h.step(swim.Received{Address: peerAddress(0), Message: swim.Message{
+		From: peerID(0), FromIncarnation: 5, Kind: swim.Gossip,
+		Updates: []swim.Update{peerUpdate(0, swim.StatusDead), suspicion},
 	}})
-	is.Equal(h.core.Members()[0].State, membership.Alive)
+	is.Equal(h.core.Members()[0].State, swim.Alive)
 }
 
 // A node that is told that it is considered dead replies to the sender, which gossip may not reach.
 func TestRefutationGoesToSender(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	actions := h.step(membership.Received{Address: peerAddress(9), Message: membership.Message{
-		From: "stranger", Kind: membership.Ack,
-		Updates: []membership.Update{{ID: "self", Incarnation: 7, Status: membership.StatusDead}},
+	actions := h.step(swim.Received{Address: peerAddress(9), Message: swim.Message{
+		From: "stranger", Kind: swim.Ack,
+		Updates: []swim.Update{{ID: "self", Incarnation: 7, Status: swim.StatusDead}},
 	}})
-	answer := actions[0].(membership.Send)
+	answer := actions[0].(swim.Send)
 	is.Equal(answer.Address, peerAddress(9))
 	is.Equal(answer.Message.FromIncarnation, uint64(8))
 }
@@ -204,13 +204,13 @@
 func TestRefutationOfNewProcessHasDetails(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
-	h.step(membership.Received{Address: peerAddress(0), Message: membership.Message{
-		From: peerID(0), FromIncarnation: 5, Kind: membership.Gossip,
-		Updates: []membership.Update{{ID: "self", Incarnation: 3, Status: membership.StatusSuspect}},
+	h.step(swim.Received{Address: peerAddress(0), Message: swim.Message{
+		From: peerID(0), FromIncarnation: 5, Kind: swim.Gossip,
+		Updates: []swim.Update{{ID: "self", Incarnation: 3, Status: swim.StatusSuspect}},
 	}})
 	found := false
 	for _, action := range h.run(time.Second) {
-		send, sent := action.(membership.Send)
+		send, sent := action.(swim.Send)
 		for _, update := range send.Message.Updates {
 			found = found || sent && update.ID == "self" && update.Incarnation == 4 && update.Details != nil
 		}
--- a/internal/wire/message/messages_gen.go
+++ b/internal/wire/message/messages_gen.go
@@ -301,7 +301,7 @@
 type MemberEntry struct {
 	ID          string `avro:"id"`
 	Incarnation int64  `avro:"incarnation"`
-	// A membership.Status.
+	// A swim.Status.
 	Status        int    `avro:"status"`
 	Address       string `avro:"address"`
 	GossipAddress string `avro:"gossipAddress"`
@@ -350,9 +350,9 @@
 	return avro.Marshal(o.Schema(), o)
 }
 
-// One datagram of the membership protocol: a membership.Message and a summary of the sender's configuration.
+// One datagram of the membership protocol: a swim.Message and a summary of the sender's configuration.
 type MemberDatagram struct {
-	// A membership.Kind.
+	// A swim.Kind.
 	Kind              int    `avro:"kind"`
 	Sequence          int64  `avro:"sequence"`
 	From              string `avro:"from"`
