--- a/internal/admission/server.go
+++ b/internal/admission/server.go
@@ -110,7 +110,7 @@
 }
 
 // Cancel cancels an attempt that its sender gave up. A queued one is refused
-// with the guarantee NotRun; a running one keeps its slot until End.
+// with the guarantee NotRun; a running one keeps its slot until Release.
 func (server *Server) Cancel(now time.Time, id ID) []Action {
 	if server.waiting.interactive.remove(id) || server.waiting.batch.remove(id) {
 		server.refuse(id, verdict.New(verdict.NotRun, verdict.CodeCanceled, "given up while queued"))
--- a/internal/catalog/era.go
+++ b/internal/catalog/era.go
@@ -31,13 +31,13 @@
 const (
 	// numberBits are the low bits, which hold the store's counter; the bits above hold the era.
 	numberBits = 40
-	// MaxEra and LargestNumber are the largest values that fit into a Revision.
+	// MaxEra and MaxNumber are the largest values that fit into a Revision.
 	MaxEra    = Era(1<<(64-numberBits) - 1)
 	MaxNumber = uint64(1<<numberBits - 1)
 )
 
 // NewRevision returns the revision of an era and a value of the store's counter. Values above
-// LatestEra and LargestNumber are clamped.
+// MaxEra and MaxNumber are clamped.
 func NewRevision(era Era, number uint64) Revision {
 	return Revision(uint64(min(era, MaxEra))<<numberBits | min(number, MaxNumber))
 }
@@ -104,8 +104,8 @@
 // Latest returns the latest era.
 func (e *EraTracker) Latest() Era { return Era(e.latest.Load()) }
 
-// OnRestore adds a function that is called, before Hear returns, with each era that is later than a
-// known one. It must not block or call methods of Eras.
+// OnRestore adds a function that is called, before Observe returns, with each era that is later than a
+// known one. It must not block or call methods of the EraTracker.
 func (e *EraTracker) OnRestore(restored func(Era)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -50,7 +50,7 @@
 	// StoreCalled is called at the end of each call for the feed.
 	StoreCalled(feed string, err error)
 	// ObjectUnreadable is called for each object of the feed that cannot be decoded.
-	ObjectUnreadable(feed string, flaw DecodeFailure)
+	ObjectUnreadable(feed string, failure DecodeFailure)
 }
 
 // Follower keeps a sink current from a feed. It lists once, then watches. After a failed call it
@@ -221,9 +221,9 @@
 }
 
 // reportUnreadable reports objects that cannot be decoded to the observer.
-func (f *Follower[T]) reportUnreadable(flaws []DecodeFailure) {
-	for _, flaw := range flaws {
-		f.observer.ObjectUnreadable(f.name, flaw)
+func (f *Follower[T]) reportUnreadable(failures []DecodeFailure) {
+	for _, failure := range failures {
+		f.observer.ObjectUnreadable(f.name, failure)
 	}
 }
 
--- a/internal/catalog/unreadable.go
+++ b/internal/catalog/unreadable.go
@@ -41,11 +41,11 @@
 
 // Record records an object. It reports whether the object or its cause is new, so that it should be
 // logged.
-func (u *UnreadableObjects) Record(feed string, flaw DecodeFailure, now time.Time) bool {
+func (u *UnreadableObjects) Record(feed string, failure DecodeFailure, now time.Time) bool {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	cause := flaw.Cause[:min(len(flaw.Cause), maxCauseBytes)]
-	key := unreadableKey{feed: feed, name: flaw.Name}
+	cause := failure.Cause[:min(len(failure.Cause), maxCauseBytes)]
+	key := unreadableKey{feed: feed, name: failure.Name}
 	known, found := u.objects[key]
 	if !found && len(u.objects) >= maxUnreadable {
 		return false
--- a/internal/crashguard/crashguard.go
+++ b/internal/crashguard/crashguard.go
@@ -17,19 +17,19 @@
 
 // RecordLoss records that an attempt was sent and ended without an answer, other than by its deadline. An attempt
 // is serial if it was the only one that could be in flight.
-func (s *Guard) RecordLoss(serial bool) {
-	s.losses++
-	s.serialLost = s.serialLost || serial
+func (g *Guard) RecordLoss(serial bool) {
+	g.losses++
+	g.serialLost = g.serialLost || serial
 }
 
 // RecordAnswer records that a server has answered: the request does not crash every server.
-func (s *Guard) RecordAnswer() { s.answered = true }
+func (g *Guard) RecordAnswer() { g.answered = true }
 
 // Answered reports whether a server has answered.
-func (s *Guard) Answered() bool { return s.answered }
+func (g *Guard) Answered() bool { return g.answered }
 
 // Sequential reports whether only one attempt of the request may be in flight.
-func (s *Guard) Sequential() bool { return !s.answered && s.losses >= serialThreshold }
+func (g *Guard) Sequential() bool { return !g.answered && g.losses >= serialThreshold }
 
 // Stopped reports whether no further attempt may be sent because a serial attempt was lost.
-func (s *Guard) Stopped() bool { return s.serialLost && !s.answered }
+func (g *Guard) Stopped() bool { return g.serialLost && !g.answered }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -57,12 +57,12 @@
 
 // Dispatcher carries out requests. It is safe for concurrent use.
 type Dispatcher struct {
-	directory *endpoints.Directory
-	client    *upstream.Client
-	recorder  *trace.Recorder
-	observer  Observer
-	load      LoadMeter
-	keeper    *quarantine.Manager
+	directory  *endpoints.Directory
+	client     *upstream.Client
+	recorder   *trace.Recorder
+	observer   Observer
+	load       LoadMeter
+	quarantine *quarantine.Manager
 	// suspended returns the total time for which the machine has been suspended.
 	suspended func() time.Duration
 
@@ -77,9 +77,9 @@
 	Delay() time.Duration
 }
 
-// SetQuarantine sets the keeper that learns during which requests servers terminate. It has
+// SetQuarantine sets the quarantine manager, which learns during which requests servers terminate. It has
 // to be called before the dispatcher is used.
-func (d *Dispatcher) SetQuarantine(keeper *quarantine.Manager) { d.keeper = keeper }
+func (d *Dispatcher) SetQuarantine(manager *quarantine.Manager) { d.quarantine = manager }
 
 // New returns a dispatcher over the directory and the client. A nil recorder
 // writes no traces.
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -14,23 +14,23 @@
 // a server that terminates may not reply at all.
 const minSilence = time.Second
 
-// reportToKeeper reports the end of an attempt to the keeper: whether its server is alive, and
+// reportAttemptEnd reports the end of an attempt to the quarantine manager: whether its server is alive, and
 // whether the server was lost during the request.
-func (r *run) reportToKeeper(ctx context.Context, send exchange.Send, reply upstream.Reply, now time.Time) {
-	keeper, server := r.dispatcher.keeper, quarantine.ServerID(send.Choice.Incarnation)
+func (r *run) reportAttemptEnd(ctx context.Context, send exchange.Send, reply upstream.Reply, now time.Time) {
+	manager, server := r.dispatcher.quarantine, quarantine.ServerID(send.Choice.Incarnation)
 	switch {
 	case reply.Kind == upstream.Foreign, reply.NobodyListens():
-		keeper.ServerCrashed(server)
+		manager.ServerCrashed(server)
 	case reply.Kind == upstream.Answered:
-		keeper.ServerAlive(server, send.Choice.ReservedAt)
-		keeper.RequestAnswered(r.request.Identity, r.plan.Services[send.ID.Shard])
+		manager.ServerAlive(server, send.Choice.ReservedAt)
+		manager.RequestAnswered(r.request.Identity, r.plan.Services[send.ID.Shard])
 	case reply.Kind == upstream.Refused:
-		keeper.ServerAlive(server, send.Choice.ReservedAt)
+		manager.ServerAlive(server, send.Choice.ReservedAt)
 	case reply.Unsent:
 	case reply.Kind == upstream.Expired && !r.silent(ctx, send, now):
 	case r.request.Identity == nil:
 	default:
-		keeper.AttemptLost(quarantine.Loss{
+		manager.AttemptLost(quarantine.Loss{
 			Digest:  r.request.Identity.Digest(),
 			Variant: r.request.Identity.Variant(),
 			Service: r.plan.Services[send.ID.Shard],
@@ -48,10 +48,10 @@
 	return !superseded && now.Sub(send.Choice.ReservedAt) >= minSilence
 }
 
-// admit asks the keeper whether the request may be sent. It returns an outcome if the
+// admit asks the quarantine manager whether the request may be sent. It returns an outcome if the
 // request is refused, and otherwise nil.
 func (r *run) admit(ctx context.Context) *exchange.Outcome {
-	r.admission = r.dispatcher.keeper.Admit(ctx, r.request.Identity, r.plan.HoldUntil, r.usable)
+	r.admission = r.dispatcher.quarantine.Admit(ctx, r.request.Identity, r.plan.HoldUntil, r.usable)
 	switch {
 	case r.admission.NoServer:
 		return r.refuse(exchange.CauseNoServers)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -217,7 +217,7 @@
 			return awake && r.dispatcher.directory.Serving(choice.Endpoint) && r.admission.MaySend()
 		},
 	})
-	r.reportToKeeper(ctx, send, reply, time.Now())
+	r.reportAttemptEnd(ctx, send, reply, time.Now())
 	choice.SchedulingDelay = max(choice.SchedulingDelay, r.dispatcher.delay())
 	r.dispatcher.directory.RecordLoad(choice, reply.Load, time.Now())
 	r.dispatcher.directory.Finish(choice, r.estimate, result(reply), time.Now())
--- a/internal/edge/assemble.go
+++ b/internal/edge/assemble.go
@@ -36,12 +36,12 @@
 		newMeter,
 		newState,
 		newSelector,
-		newTableLink,
-		newServerLink,
-		newEvacuationLink,
+		newTableRelay,
+		newServerRelay,
+		newEvacuationRelay,
 		newTracker,
-		newRolloutLink,
-		newQuarantineLink,
+		newRolloutRelay,
+		newQuarantineRelay,
 		newNode,
 	} {
 		must(container.Provide(constructor))
@@ -90,88 +90,88 @@
 	return peers.NewSelector(own, topology.SameRegion)
 }
 
-func newTableLink(selector *peers.Selector, state *state) *peers.Relay[*routing.Table] {
-	link := peers.NewRelay(feedTables, peers.TableCodec{}, selector)
-	link.ServeState(state.tables)
-	return link
+func newTableRelay(selector *peers.Selector, state *state) *peers.Relay[*routing.Table] {
+	relay := peers.NewRelay(feedTables, peers.TableCodec{}, selector)
+	relay.ServeState(state.tables)
+	return relay
 }
 
-func newServerLink(selector *peers.Selector, directory *endpoints.Directory) *peers.Relay[endpoints.Server] {
-	link := peers.NewRelay(feedServers, peers.PlainCodec[endpoints.Server]{}, selector)
-	link.ServeState(directory.ListedServers)
-	return link
+func newServerRelay(selector *peers.Selector, directory *endpoints.Directory) *peers.Relay[endpoints.Server] {
+	relay := peers.NewRelay(feedServers, peers.PlainCodec[endpoints.Server]{}, selector)
+	relay.ServeState(directory.ListedServers)
+	return relay
 }
 
-func newEvacuationLink(selector *peers.Selector, state *state) *peers.Relay[endpoints.Evacuation] {
-	link := peers.NewRelay(feedEvacuations, peers.PlainCodec[endpoints.Evacuation]{}, selector)
-	link.ServeState(state.evacuations)
-	return link
+func newEvacuationRelay(selector *peers.Selector, state *state) *peers.Relay[endpoints.Evacuation] {
+	relay := peers.NewRelay(feedEvacuations, peers.PlainCodec[endpoints.Evacuation]{}, selector)
+	relay.ServeState(state.evacuations)
+	return relay
 }
 
 // parts are what a node consists of.
 type parts struct {
 	dig.In
 
-	Settings       settings.Router
-	Names          ingress.Names
-	Store          Store
-	Logs           Logs
-	Topology       endpoints.Topology
-	Member         members.Member
-	Client         *upstream.Client
-	Directory      *endpoints.Directory
-	Meter          *overload.Meter
-	State          *state
-	Selector       *peers.Selector
-	TableLink      *peers.Relay[*routing.Table]
-	ServerLink     *peers.Relay[endpoints.Server]
-	EvacuationLink *peers.Relay[endpoints.Evacuation]
-	Versions       *rollout.Tracker
-	RolloutLink    *peers.Relay[rollout.Order]
-	QuarantineLink *peers.Relay[quarantine.Record]
+	Settings        settings.Router
+	Names           ingress.Names
+	Store           Store
+	Logs            Logs
+	Topology        endpoints.Topology
+	Member          members.Member
+	Client          *upstream.Client
+	Directory       *endpoints.Directory
+	Meter           *overload.Meter
+	State           *state
+	Selector        *peers.Selector
+	TableRelay      *peers.Relay[*routing.Table]
+	ServerRelay     *peers.Relay[endpoints.Server]
+	EvacuationRelay *peers.Relay[endpoints.Evacuation]
+	Versions        *rollout.Tracker
+	RolloutRelay    *peers.Relay[rollout.Order]
+	QuarantineRelay *peers.Relay[quarantine.Record]
 }
 
 func newNode(parts parts) *Node {
 	node := &Node{
-		settings:       parts.Settings,
-		topology:       parts.Topology,
-		member:         parts.Member,
-		started:        time.Now(),
-		store:          parts.Store,
-		state:          parts.State,
-		directory:      parts.Directory,
-		client:         parts.Client,
-		load:           parts.Meter,
-		selector:       parts.Selector,
-		tableLink:      parts.TableLink,
-		serverLink:     parts.ServerLink,
-		evacuationLink: parts.EvacuationLink,
-		versions:       parts.Versions,
-		rolloutLink:    parts.RolloutLink,
-		quarantineLink: parts.QuarantineLink,
-		poolChanged:    make(chan struct{}, 1),
-		reads:          make(chan struct{}),
-		restored:       make(chan struct{}, 1),
-		startHold:      startHold + rand.N(startHoldSpread),
+		settings:        parts.Settings,
+		topology:        parts.Topology,
+		member:          parts.Member,
+		started:         time.Now(),
+		store:           parts.Store,
+		state:           parts.State,
+		directory:       parts.Directory,
+		client:          parts.Client,
+		load:            parts.Meter,
+		selector:        parts.Selector,
+		tableRelay:      parts.TableRelay,
+		serverRelay:     parts.ServerRelay,
+		evacuationRelay: parts.EvacuationRelay,
+		versions:        parts.Versions,
+		rolloutRelay:    parts.RolloutRelay,
+		quarantineRelay: parts.QuarantineRelay,
+		poolChanged:     make(chan struct{}, 1),
+		reads:           make(chan struct{}),
+		restored:        make(chan struct{}, 1),
+		startHold:       startHold + rand.N(startHoldSpread),
 	}
 	node.live.Store(&node.settings.Reloadable)
-	for _, link := range []interface {
+	for _, relay := range []interface {
 		SetSuspensionClock(func() time.Duration)
 		UseEraTracker(*catalog.EraTracker)
 	}{
-		node.tableLink, node.serverLink, node.evacuationLink, node.rolloutLink, node.quarantineLink,
+		node.tableRelay, node.serverRelay, node.evacuationRelay, node.rolloutRelay, node.quarantineRelay,
 	} {
-		link.SetSuspensionClock(boottime.Suspended)
-		link.UseEraTracker(node.store.Eras())
+		relay.SetSuspensionClock(boottime.Suspended)
+		relay.UseEraTracker(node.store.Eras())
 	}
 	node.announcer = node.newAnnouncer()
 	node.metrics = newMetrics(node, parts.Logs)
 	node.agent = newAgent(node)
 	node.shareAmong(presumedCount)
-	node.keeper = newKeeper(node)
-	node.state.keeper = node.keeper
+	node.quarantine = newQuarantineManager(node)
+	node.state.quarantine = node.quarantine
 	dispatcher := dispatch.New(node.directory, node.client, parts.Logs.Recorder, node.metrics, node.load)
-	dispatcher.SetQuarantine(node.keeper)
+	dispatcher.SetQuarantine(node.quarantine)
 	node.server = ingress.New(ingress.Options{
 		Names:      parts.Names,
 		Table:      node.state.Table,
--- a/internal/edge/compare.go
+++ b/internal/edge/compare.go
@@ -80,7 +80,7 @@
 // noteRestored ends what rests on an earlier era of the store, and lets everything be read anew.
 func (n *Node) noteRestored(era catalog.Era) {
 	n.versions.StoreRestored(era, boottime.Time())
-	n.keeper.StoreRestored()
+	n.quarantine.StoreRestored()
 	n.announcer.StoreRestored()
 	n.storeBackoff.StoreRestored()
 	select {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -100,19 +100,19 @@
 	readiness *readiness
 	metrics   *metrics
 	// selector picks the node to follow in place of the store.
-	selector       *peers.Selector
-	tableLink      *peers.Relay[*routing.Table]
-	serverLink     *peers.Relay[endpoints.Server]
-	evacuationLink *peers.Relay[endpoints.Evacuation]
-	rolloutLink    *peers.Relay[rollout.Order]
-	quarantineLink *peers.Relay[quarantine.Record]
+	selector        *peers.Selector
+	tableRelay      *peers.Relay[*routing.Table]
+	serverRelay     *peers.Relay[endpoints.Server]
+	evacuationRelay *peers.Relay[endpoints.Evacuation]
+	rolloutRelay    *peers.Relay[rollout.Order]
+	quarantineRelay *peers.Relay[quarantine.Record]
 	// versions tells which versions get sends, agent carries out the orders of that; nil
 	// where the deployment has no roll-outs.
 	versions *rollout.Tracker
 	agent    *rollout.Agent
-	// keeper finds the requests under which servers end.
-	keeper  *quarantine.Manager
-	notices peers.Client
+	// quarantine finds the requests under which servers end.
+	quarantine *quarantine.Manager
+	notices    peers.Client
 	// retryPool is shared by the nodes that follow this one, if it keeps one. pooling is set
 	// while retries are pooled, poolChanged has an element when that or its size has changed.
 	retryPool   retrybudget.Pool
@@ -201,7 +201,7 @@
 		return errors.Wrap(err, "listen for peers")
 	}
 	contact := peers.StoreStatusServer{UpToDate: func() bool { return n.storeBackoff.UpToDate(time.Now()) }}
-	server := peers.NewServer(n.asker(), n.state.snapshot, n.tableLink, n.serverLink, n.evacuationLink, n.rolloutLink, n.quarantineLink, n.reportServer(), peers.NoticeServer{Handle: n.keeper.ReceiveNotice}, contact,
+	server := peers.NewServer(n.requester(), n.state.snapshot, n.tableRelay, n.serverRelay, n.evacuationRelay, n.rolloutRelay, n.quarantineRelay, n.reportServer(), peers.NoticeServer{Handle: n.quarantine.ReceiveNotice}, contact,
 		&peers.MemberServer{Latest: n.announcer.Latest}, peers.ConfigurationServer{Table: n.state.Table}, peers.RetryServer{Pool: &n.retryPool, Now: boottime.Time})
 	go func() { failed <- server.Serve(listener) }()
 	return nil
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -15,8 +15,8 @@
 
 // follow keeps the configuration and the servers current.
 func (n *Node) follow(ctx context.Context, tasks *sync.WaitGroup) {
-	tables := newFollower(n, feedTables, n.store.Tables(), tableSink{n.state}, n.tableLink)
-	servers := newFollower(n, feedServers, n.store.Servers(), serverSink{n.state}, n.serverLink)
+	tables := newFollower(n, feedTables, n.store.Tables(), tableSink{n.state}, n.tableRelay)
+	servers := newFollower(n, feedServers, n.store.Servers(), serverSink{n.state}, n.serverRelay)
 	servers.SetBatchDelay(n.serversPause, n.reads)
 	if n.mayBeHanded() {
 		servers.UseHandover(&n.state.handed)
@@ -24,34 +24,34 @@
 	tasks.Go(func() { tables.Run(ctx) })
 	tasks.Go(func() { servers.Run(ctx) })
 	if n.settings.Evacuations {
-		evacuations := newFollower(n, feedEvacuations, n.store.Evacuations(), evacuationSink{n.state}, n.evacuationLink)
+		evacuations := newFollower(n, feedEvacuations, n.store.Evacuations(), evacuationSink{n.state}, n.evacuationRelay)
 		tasks.Go(func() { evacuations.Run(ctx) })
 	}
 	if n.agent != nil {
-		rollouts := newFollower(n, feedRollouts, n.store.Rollouts(), rolloutSink{n.state, n.agent}, n.rolloutLink)
+		rollouts := newFollower(n, feedRollouts, n.store.Rollouts(), rolloutSink{n.state, n.agent}, n.rolloutRelay)
 		tasks.Go(func() { rollouts.Run(ctx) })
 		tasks.Go(func() { n.agent.Run(ctx) })
 	}
 	if n.settings.QuarantineTerm > 0 {
-		records := newFollower(n, feedQuarantine, n.store.Quarantine(), n.keeper, n.quarantineLink)
+		records := newFollower(n, feedQuarantine, n.store.Quarantine(), n.quarantine, n.quarantineRelay)
 		tasks.Go(func() { records.Run(ctx) })
 	}
 	tasks.Go(func() { n.announcer.Run(ctx) })
-	starter := peers.Bootstrapper{
-		Self:       n.asker(),
+	bootstrapper := peers.Bootstrapper{
+		Self:       n.requester(),
 		Addresses:  func() []string { return n.live.Load().Seeds },
 		Complete:   n.state.complete,
 		Adopt:      n.state.adoptSnapshot,
 		OnNoAnswer: n.state.handed.Abandon,
 	}
-	tasks.Go(func() { starter.Run(ctx) })
+	tasks.Go(func() { bootstrapper.Run(ctx) })
 	search := peers.RecoveryProber{Selector: n.selector, Disconnected: n.storeBackoff.Disconnected, OnRecovery: n.storeBackoff.RetryNow}
 	tasks.Go(func() { search.Run(ctx) })
 	tasks.Go(func() { n.compareConfigurations(ctx) })
 	tasks.Go(func() { n.sweep(ctx) })
 	tasks.Go(func() { n.askForRetries(ctx) })
 	tasks.Go(func() { n.probe(ctx) })
-	tasks.Go(func() { n.keeper.Run(ctx) })
+	tasks.Go(func() { n.quarantine.Run(ctx) })
 	tasks.Go(func() { n.load.Run(ctx) })
 }
 
@@ -99,15 +99,15 @@
 	return announcer
 }
 
-// asker is the node as it shows itself to others.
-func (n *Node) asker() peers.Requester {
+// requester is the node as it shows itself to others.
+func (n *Node) requester() peers.Requester {
 	return peers.Requester{Address: n.settings.PeerAddress, Zone: n.settings.Zone, Region: n.settings.Region}
 }
 
 // newFollower returns a follower that spares the store together with the node's others.
-func newFollower[T any](n *Node, name string, feed catalog.Feed[T], sink catalog.Sink[T], link *peers.Relay[T]) *catalog.Follower[T] {
+func newFollower[T any](n *Node, name string, feed catalog.Feed[T], sink catalog.Sink[T], relay *peers.Relay[T]) *catalog.Follower[T] {
 	follower := catalog.NewFollower(name, feed, sink, storeObserver{n.metrics, &n.state.unreadable})
-	follower.UseRelay(link)
+	follower.UseRelay(relay)
 	follower.UseBackoff(&n.storeBackoff)
 	follower.UseEraTracker(n.store.Eras())
 	return follower
@@ -120,9 +120,9 @@
 }
 
 // ObjectUnreadable implements catalog.Observer.
-func (o storeObserver) ObjectUnreadable(feed string, flaw catalog.DecodeFailure) {
-	o.metrics.ObjectUnreadable(feed, flaw)
-	if o.unreadable.Record(feed, flaw, time.Now()) {
-		klog.InfoS("object of the store can't be understood", "feed", feed, "name", flaw.Name, "cause", flaw.Cause)
+func (o storeObserver) ObjectUnreadable(feed string, failure catalog.DecodeFailure) {
+	o.metrics.ObjectUnreadable(feed, failure)
+	if o.unreadable.Record(feed, failure, time.Now()) {
+		klog.InfoS("object of the store can't be understood", "feed", feed, "name", failure.Name, "cause", failure.Cause)
 	}
 }
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -92,7 +92,7 @@
 		{"store", "tables_age_seconds", "Time since the configuration was last read.", func() float64 { return m.age(feedTables) }},
 		{"server", "evacuated_zones_count", "Zones whose servers get nothing new.", func() float64 { return float64(len(node.directory.Evacuated())) }},
 		{"server", "silent_zones_count", "Zones that are out of reach.", func() float64 { return float64(len(node.directory.UnreachableZones())) }},
-		{"quarantine", "records_count", "Requests under which servers ended that this node knows.", func() float64 { return float64(len(node.keeper.Describe())) }},
+		{"quarantine", "records_count", "Requests under which servers ended that this node knows.", func() float64 { return float64(len(node.quarantine.Describe())) }},
 		{"store", "era_number", "Era of the store; it rises each time that the store comes back from a copy.", func() float64 { return float64(node.store.Eras().Latest()) }},
 		{"server", "doubted_entries_count", "Entries of a restored store that contradict what is known and don't count yet.", func() float64 {
 			doubted, _ := node.directory.UnconfirmedCounts()
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -14,8 +14,8 @@
 	"github.com/driftstage/driftstage/internal/quarantine"
 )
 
-func newKeeper(node *Node) *quarantine.Manager {
-	keeper := quarantine.NewManager(quarantine.Options{
+func newQuarantineManager(node *Node) *quarantine.Manager {
+	manager := quarantine.NewManager(quarantine.Options{
 		Node:              node.settings.Name,
 		Term:              node.settings.QuarantineTerm,
 		Store:             node.store,
@@ -24,11 +24,11 @@
 		Observer:          node.metrics,
 		Now:               boottime.Now,
 	})
-	node.quarantineLink.ServeState(keeper.StoredRecords)
-	return keeper
+	node.quarantineRelay.ServeState(manager.StoredRecords)
+	return manager
 }
 
-func newQuarantineLink(selector *peers.Selector) *peers.Relay[quarantine.Record] {
+func newQuarantineRelay(selector *peers.Selector) *peers.Relay[quarantine.Record] {
 	return peers.NewRelay(feedQuarantine, peers.PlainCodec[quarantine.Record]{}, selector)
 }
 
@@ -79,7 +79,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	known, err := n.keeper.Release(ctx, digest)
+	known, err := n.quarantine.Release(ctx, digest)
 	if err != nil {
 		return errors.Wrap(err, "released on this node; the store does not answer, so that others may not know")
 	}
--- a/internal/edge/retries.go
+++ b/internal/edge/retries.go
@@ -65,10 +65,10 @@
 		return
 	}
 	began := boottime.Time()
-	wants := n.directory.TakeGrantRequests(time.Now())
-	granted, err := n.grantOf(ctx, wants)
+	wanted := n.directory.TakeGrantRequests(time.Now())
+	granted, err := n.grantOf(ctx, wanted)
 	if err != nil {
-		klog.V(1).InfoS("no answer of the pool of retries", "services", len(wants), "cause", err.Error())
+		klog.V(1).InfoS("no answer of the pool of retries", "services", len(wanted), "cause", err.Error())
 		return
 	}
 	asked := time.Now().Add(-boottime.Time().Sub(began))
@@ -76,12 +76,12 @@
 }
 
 // grantOf returns what the pool grants, this node's own or another one's.
-func (n *Node) grantOf(ctx context.Context, wants retrybudget.SendCounts) (retrybudget.SendCounts, error) {
+func (n *Node) grantOf(ctx context.Context, wanted retrybudget.SendCounts) (retrybudget.SendCounts, error) {
 	holder, other := n.selector.RetryPoolNode(time.Now())
 	if !other {
-		return n.retryPool.Grant(wants, boottime.Time()), nil
+		return n.retryPool.Grant(wanted, boottime.Time()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	return n.notices.AcquireRetries(ctx, holder.Address, wants)
+	return n.notices.AcquireRetries(ctx, holder.Address, wanted)
 }
--- a/internal/edge/rollout.go
+++ b/internal/edge/rollout.go
@@ -18,10 +18,10 @@
 
 func newTracker(loaded settings.Router) *rollout.Tracker { return rollout.NewTracker(loaded.Rollouts) }
 
-func newRolloutLink(selector *peers.Selector, versions *rollout.Tracker) *peers.Relay[rollout.Order] {
-	link := peers.NewRelay(feedRollouts, peers.PlainCodec[rollout.Order]{}, selector)
-	link.ServeState(versions.StoredOrders)
-	return link
+func newRolloutRelay(selector *peers.Selector, versions *rollout.Tracker) *peers.Relay[rollout.Order] {
+	relay := peers.NewRelay(feedRollouts, peers.PlainCodec[rollout.Order]{}, selector)
+	relay.ServeState(versions.StoredOrders)
+	return relay
 }
 
 // newAgent returns the agent that carries out orders; nil where the deployment has none.
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -31,9 +31,9 @@
 	eras      *catalog.EraTracker
 	// versions is nil where the deployment has no roll-outs.
 	versions *rollout.Tracker
-	// keeper is told which servers have ended.
-	keeper *quarantine.Manager
-	table  atomic.Pointer[routing.Table]
+	// quarantine is told which servers have ended.
+	quarantine *quarantine.Manager
+	table      atomic.Pointer[routing.Table]
 	// adopting keeps two sources from going back on each other's versions.
 	adopting sync.Mutex
 	// serversKnown is set once the servers have been listed.
@@ -135,7 +135,7 @@
 		Servers:     s.directory.Count(),
 		NotReadyFor: s.reason(),
 		Rollouts:    describeRollouts(s.versions, s.directory),
-		Quarantine:  s.keeper.Describe(),
+		Quarantine:  s.quarantine.Describe(),
 		Unreadable:  s.unreadable.List(time.Now()),
 		Era:         s.eras.Latest(),
 		Restored:    s.eras.RestoredFeeds(time.Now()),
@@ -290,7 +290,7 @@
 func (s *state) forget(removed []string) {
 	for _, incarnation := range removed {
 		s.client.Forget(incarnation)
-		s.keeper.ServerCrashed(quarantine.ServerID(incarnation))
+		s.quarantine.ServerCrashed(quarantine.ServerID(incarnation))
 	}
 }
 
--- a/internal/endpoints/cold.go
+++ b/internal/endpoints/cold.go
@@ -36,7 +36,7 @@
 	if svc.coldRate <= 0 || !endpoint.cold(now) {
 		return true
 	}
-	if !d.sharers.Known {
+	if !d.nodes.Known {
 		return false
 	}
 	turn, elapsed := d.turn(endpoint, svc.coldRate, now)
@@ -53,8 +53,8 @@
 // turn returns the number of the node's present turn at a cold server, from 1, and how
 // long ago it began.
 func (d *Directory) turn(endpoint *Endpoint, rate float64, now time.Time) (int64, time.Duration) {
-	nodes := max(d.sharers.Local+d.sharers.Remote, 1)
-	seconds := float64(nodes) / (coldShare * rate)
+	count := max(d.nodes.Local+d.nodes.Remote, 1)
+	seconds := float64(count) / (coldShare * rate)
 	period := time.Duration(min(max(seconds, minTurnPeriod.Seconds()), maxTurnPeriod.Seconds()) * float64(time.Second))
 	offset := time.Duration(fraction(d.rank(endpoint.Server)) * float64(period))
 	since := now.Sub(d.firstServerAt) + offset
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -12,7 +12,7 @@
 
 // NodeCounts are the numbers of nodes that share the connections of a server.
 type NodeCounts struct {
-	// Local is the number of nodes in the server's own region, Far that of all others.
+	// Local is the number of nodes in the server's own region, Remote that of all others.
 	Local  int
 	Remote int
 	// Known is set once both have been counted.
@@ -46,10 +46,10 @@
 	budget    retrybudget.Limits
 	// pooled is set while there are too many nodes to divide the retry budget among them;
 	// grants are then the requests for extra sends from the pool.
-	pooled  bool
-	grants  grantRequests
-	sharers NodeCounts
-	byID    map[string]*Endpoint
+	pooled bool
+	grants grantRequests
+	nodes  NodeCounts
+	byID   map[string]*Endpoint
 	// retired are recently ended servers by incarnation; unconfirmed are entries of a
 	// restored list, by ID, that have no effect yet.
 	retired     map[string]retiredServer
@@ -84,7 +84,7 @@
 	return &Directory{
 		topology:    topology,
 		connections: connections,
-		sharers:     NodeCounts{Local: 1, Remote: 1},
+		nodes:       NodeCounts{Local: 1, Remote: 1},
 		byID:        make(map[string]*Endpoint),
 		retired:     make(map[string]retiredServer),
 		unconfirmed: make(map[string]unconfirmedEntry),
@@ -257,11 +257,11 @@
 
 // SetShares sets the retry budget of each service, whether a pool grants extra sends beyond it,
 // and the numbers of nodes that share the connections of a server.
-func (d *Directory) SetShares(budget retrybudget.Limits, pooled bool, sharers NodeCounts, now time.Time) {
+func (d *Directory) SetShares(budget retrybudget.Limits, pooled bool, nodes NodeCounts, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.budget, d.pooled = budget, pooled
-	d.sharers = sharers
+	d.nodes = nodes
 	for _, svc := range d.services {
 		d.updateMaxLimits(svc, now)
 	}
--- a/internal/endpoints/growth.go
+++ b/internal/endpoints/growth.go
@@ -42,7 +42,7 @@
 // ListGrowing reports whether the lists of the services taken together are incomplete, so that
 // the few known servers would get all requests. Servers added to other services, such as
 // those of the next version of an index, do not count, and a node that knew servers before
-// the outage still has them (see Withdraw).
+// the outage still has them (see Deregister).
 func (d *Directory) ListGrowing(services []string, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/endpoints/server.go
+++ b/internal/endpoints/server.go
@@ -17,7 +17,7 @@
 // Server is one process of a server as described by its registry entry.
 type Server struct {
 	// ID is unique among the servers that run at one time. A restarted server may keep its ID
-	// and then has another Birth.
+	// and then has another StartTime.
 	ID      string
 	Born    StartTime `json:",omitempty"`
 	Service string
--- a/internal/endpoints/service_health.go
+++ b/internal/endpoints/service_health.go
@@ -21,11 +21,11 @@
 func (d *Directory) ServiceHealth(name string, route *routing.Route, now time.Time) ServiceHealth {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	prospect := ServiceHealth{FailureRate: 1, RetryBudget: d.service(name).extra.Remaining(d.budget, now)}
+	health := ServiceHealth{FailureRate: 1, RetryBudget: d.service(name).extra.Remaining(d.budget, now)}
 	for _, endpoint := range d.currentlyAdmitted(name) {
 		if endpoint.serving() && d.allowed(endpoint, route) {
-			prospect.FailureRate = min(prospect.FailureRate, endpoint.failures.recent(now))
+			health.FailureRate = min(health.FailureRate, endpoint.failures.recent(now))
 		}
 	}
-	return prospect
+	return health
 }
--- a/internal/endpoints/service_health_test.go
+++ b/internal/endpoints/service_health_test.go
@@ -9,7 +9,7 @@
 
 // The expected failure share of a service is that of its most reliable server and decays;
 // extra sends reduce its retry budget.
-func TestProspectIsThatOfTheMostReliableServer(t *testing.T) {
+func TestServiceHealthIsThatOfTheMostReliableServer(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	work := established(20 * time.Millisecond)
@@ -25,6 +25,6 @@
 }
 
 // A service without servers is expected to fail all requests.
-func TestProspectWithoutServers(t *testing.T) {
+func TestServiceHealthWithoutServers(t *testing.T) {
 	is.New(t).Equal(directoryOf().ServiceHealth("s", nil, epoch).FailureRate, 1.0)
 }
--- a/internal/endpoints/share.go
+++ b/internal/endpoints/share.go
@@ -67,7 +67,7 @@
 	if slots == 0 {
 		return 0
 	}
-	share := math.Ceil(slotFactor * float64(slots) / float64(max(d.sharers.Local, 1)))
+	share := math.Ceil(slotFactor * float64(slots) / float64(max(d.nodes.Local, 1)))
 	return max(float64(slots-1), share)
 }
 
@@ -98,9 +98,9 @@
 	case maximum == 0:
 		return NoLimit
 	case d.topology.SameRegion(server.Zone):
-		return localIdleShare * maximum / float64(max(d.sharers.Local, 1))
+		return localIdleShare * maximum / float64(max(d.nodes.Local, 1))
 	default:
-		return remoteIdleShare * maximum / float64(max(d.sharers.Remote, 1))
+		return remoteIdleShare * maximum / float64(max(d.nodes.Remote, 1))
 	}
 }
 
--- a/internal/endpoints/share_test.go
+++ b/internal/endpoints/share_test.go
@@ -18,7 +18,7 @@
 
 // sharedDirectory returns the directory of one of many nodes, with servers that
 // accept the given number of connections.
-func sharedDirectory(t *testing.T, node string, connections int, sharers NodeCounts, servers []Server) *Directory {
+func sharedDirectory(t *testing.T, node string, connections int, nodes NodeCounts, servers []Server) *Directory {
 	t.Helper()
 	topology := testTopology()
 	topology.Node = node
@@ -26,7 +26,7 @@
 	table, err := routing.NewTable(1, routing.Limits{}, []routing.Service{{Name: "s", MaximumConnections: connections}}, nil)
 	is.New(t).NoErr(err)
 	directory.Configure(table, epoch)
-	directory.SetShares(retrybudget.Limits{}, false, sharers, epoch)
+	directory.SetShares(retrybudget.Limits{}, false, nodes, epoch)
 	for _, server := range servers {
 		directory.Put(server, epoch)
 	}
--- a/internal/exchange/admit_test.go
+++ b/internal/exchange/admit_test.go
@@ -80,7 +80,7 @@
 // while servers shed load; one that can still meet its target is not held.
 func TestLateRequestYieldsOnANewNode(t *testing.T) {
 	is := is.New(t)
-	servers := &fakeServers{servers: map[string]int{"a": 1}, fresh: true, pressed: true}
+	servers := &fakeServers{servers: map[string]int{"a": 1}, justStarted: true, shedding: true}
 	plan := gatherPlan("a")
 	plan.YieldUntil, plan.Jitter = time.Second, 0.5
 	is.Equal(len(New(plan, servers).Start(0).Sends), 1) // in time
@@ -93,7 +93,7 @@
 	is.Equal(len(core.Tick(100*ms).Sends), 0)
 	batch = core.Tick(520 * ms) // servers still refuse
 	is.Equal(len(batch.Sends), 0)
-	servers.pressed = false
+	servers.shedding = false
 	is.Equal(len(core.Tick(batch.Wake-ms).Sends), 0)
 	is.Equal(len(core.Tick(batch.Wake).Sends), 1)
 }
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	plan := gatherPlan("a")
 	plan.ArrivedLate, plan.YieldUntil, plan.Jitter = true, time.Second, 0.9
-	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, fresh: true, pressed: true})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, justStarted: true, shedding: true})
 	batch := core.Start(0)
 	for len(batch.Sends) == 0 {
 		is.True(batch.Wake <= plan.YieldUntil)
@@ -116,7 +116,7 @@
 	is := is.New(t)
 	plan := gatherPlan("a")
 	plan.ArrivedLate, plan.YieldUntil = true, time.Second
-	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, pressed: true})
+	core := New(plan, &fakeServers{servers: map[string]int{"a": 1}, shedding: true})
 	is.Equal(len(core.Start(0).Sends), 1)
 }
 
--- a/internal/exchange/budget.go
+++ b/internal/exchange/budget.go
@@ -30,9 +30,9 @@
 
 // answerProbability returns the probability that a shard answers at least one of the sends
 // that its budget allows.
-func answerProbability(prospect endpoints.ServiceHealth) float64 {
-	extra := min(max(math.Floor(prospect.RetryBudget), 0), maxRefused)
-	return 1 - math.Pow(prospect.FailureRate, 1+extra)
+func answerProbability(health endpoints.ServiceHealth) float64 {
+	extra := min(max(math.Floor(health.RetryBudget), 0), maxRefused)
+	return 1 - math.Pow(health.FailureRate, 1+extra)
 }
 
 // probabilityAtLeast returns the probability that at least the given number of independent
--- a/internal/exchange/budget_test.go
+++ b/internal/exchange/budget_test.go
@@ -37,10 +37,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			services := []string{"a", "b", "c", "d"}
-			servers := &fakeServers{servers: make(map[string]int), prospects: make(map[string]endpoints.ServiceHealth), pressed: true}
+			servers := &fakeServers{servers: make(map[string]int), health: make(map[string]endpoints.ServiceHealth), shedding: true}
 			for _, service := range services {
 				servers.servers[service] = 3
-				servers.prospects[service] = test.shard
+				servers.health[service] = test.shard
 			}
 			plan := gatherPlan(services...)
 			plan.LeastShards = test.least
@@ -61,14 +61,14 @@
 // Without recent refusals, requests are started whatever the recorded failure rates.
 func TestRequestIsStartedOnceServersRefuseNothing(t *testing.T) {
 	is := is.New(t)
-	servers := &fakeServers{servers: map[string]int{"a": 2}, prospects: map[string]endpoints.ServiceHealth{"a": {FailureRate: 1}}}
+	servers := &fakeServers{servers: map[string]int{"a": 2}, health: map[string]endpoints.ServiceHealth{"a": {FailureRate: 1}}}
 	is.Equal(len(New(gatherPlan("a"), servers).Start(0).Sends), 1)
 }
 
 // A request for one server wastes no budget of other shards: it is always sent.
 func TestSingleServerRequestIsSentWhateverTheBudget(t *testing.T) {
 	is := is.New(t)
-	servers := &fakeServers{servers: map[string]int{"a": 2}, prospects: map[string]endpoints.ServiceHealth{"a": {FailureRate: 1}}, pressed: true}
+	servers := &fakeServers{servers: map[string]int{"a": 2}, health: map[string]endpoints.ServiceHealth{"a": {FailureRate: 1}}, shedding: true}
 	is.Equal(len(New(singlePlan(false), servers).Start(0).Sends), 1)
 }
 
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -63,7 +63,7 @@
 	return c.step(now)
 }
 
-// maxShortenedShare is the largest share of the target that Shorten subtracts.
+// maxShortenedShare is the largest share of the target that ShortenTarget subtracts.
 const maxShortenedShare = 0.1
 
 // ShortenTarget moves the target to an earlier time by what this node needs to return the answer,
@@ -270,7 +270,7 @@
 	unreachable := true
 	for index := range shard.attempts {
 		attempt := &shard.attempts[index]
-		// The loop does not stop at the first reachable server: each call of OutOfReach
+		// The loop does not stop at the first reachable server: each call of ZoneUnreachable
 		// also records the silence of that server for the reachability of its zone.
 		if !attempt.finished && !c.servers.ZoneUnreachable(attempt.choice.Endpoint) {
 			unreachable = false
--- a/internal/exchange/fake_test.go
+++ b/internal/exchange/fake_test.go
@@ -38,10 +38,10 @@
 	unreachable bool
 	// growing is set while servers are being added to the list.
 	growing bool
-	// pressed is set while servers shed load, fresh while the node has just started.
-	pressed, fresh bool
-	// prospects are the failure rates and retry budgets of the services.
-	prospects map[string]endpoints.ServiceHealth
+	// shedding is set while servers shed load, justStarted while the node has just started.
+	shedding, justStarted bool
+	// health are the failure rates and retry budgets of the services.
+	health map[string]endpoints.ServiceHealth
 	// created are the servers that have been created, in order.
 	created map[string][]*endpoints.Endpoint
 }
@@ -52,12 +52,12 @@
 
 func (f *fakeServers) ListGrowing() bool { return f.growing }
 
-func (f *fakeServers) Shedding() bool { return f.pressed }
+func (f *fakeServers) Shedding() bool { return f.shedding }
 
-func (f *fakeServers) JustStarted() bool { return f.fresh }
+func (f *fakeServers) JustStarted() bool { return f.justStarted }
 
 func (f *fakeServers) ServiceHealth(service string) endpoints.ServiceHealth {
-	return f.prospects[service]
+	return f.health[service]
 }
 
 func (f *fakeServers) Choose(service string, tried, only []*endpoints.Endpoint, extra bool) (endpoints.Choice, endpoints.Availability) {
--- a/internal/exchange/property_test.go
+++ b/internal/exchange/property_test.go
@@ -27,17 +27,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		plan := drawPlan(t)
 		servers := &fakeServers{
-			servers:   make(map[string]int),
-			prospects: make(map[string]endpoints.ServiceHealth),
-			budget:    rapid.IntRange(0, 6).Draw(t, "budget"),
-			busy:      make(map[string]bool),
-			settling:  rapid.Bool().Draw(t, "settling"),
-			fresh:     rapid.Bool().Draw(t, "fresh"),
-			pressed:   rapid.Bool().Draw(t, "pressed"),
+			servers:     make(map[string]int),
+			health:      make(map[string]endpoints.ServiceHealth),
+			budget:      rapid.IntRange(0, 6).Draw(t, "budget"),
+			busy:        make(map[string]bool),
+			settling:    rapid.Bool().Draw(t, "settling"),
+			justStarted: rapid.Bool().Draw(t, "fresh"),
+			shedding:    rapid.Bool().Draw(t, "pressed"),
 		}
 		for _, service := range plan.Services {
 			servers.servers[service] = rapid.IntRange(0, 3).Draw(t, "servers")
-			servers.prospects[service] = endpoints.ServiceHealth{
+			servers.health[service] = endpoints.ServiceHealth{
 				FailureRate: rapid.Float64Range(0, 1).Draw(t, "failing"),
 				RetryBudget: float64(rapid.IntRange(-1, 6).Draw(t, "extra")),
 			}
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -42,7 +42,7 @@
 	// that has just started.
 	YieldUntil time.Duration
 	// Trial is set for a request during which servers have terminated before: it starts
-	// with a single attempt, at one of the services in Suspects if that has a server.
+	// with a single attempt, at one of the services in SuspectedServices if that has a server.
 	Trial             bool
 	SuspectedServices []string
 	// Jitter is a random number from 0 to 1. It adds jitter to the release of requests
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -28,39 +28,39 @@
 }
 
 // Observe processes a delay and reports whether the node is overloaded.
-func (s *Detector) Observe(delay time.Duration, now time.Time) bool {
-	if s.busy {
-		s.observeBusy(delay, now)
+func (d *Detector) Observe(delay time.Duration, now time.Time) bool {
+	if d.busy {
+		d.observeBusy(delay, now)
 	} else {
-		s.observeCalm(delay, now)
+		d.observeCalm(delay, now)
 	}
-	return s.busy
+	return d.busy
 }
 
-func (s *Detector) observeBusy(delay time.Duration, now time.Time) {
-	calm := s.heldFor(delay <= calmDelay, calmAfter, now)
-	if expired := now.Sub(s.changedAt) >= maxBusy; calm || expired {
-		*s = Detector{changedAt: now, coolingDown: !calm}
+func (d *Detector) observeBusy(delay time.Duration, now time.Time) {
+	calm := d.heldFor(delay <= calmDelay, calmAfter, now)
+	if expired := now.Sub(d.changedAt) >= maxBusy; calm || expired {
+		*d = Detector{changedAt: now, coolingDown: !calm}
 	}
 }
 
-func (s *Detector) observeCalm(delay time.Duration, now time.Time) {
-	if s.coolingDown && now.Sub(s.changedAt) < cooldown {
+func (d *Detector) observeCalm(delay time.Duration, now time.Time) {
+	if d.coolingDown && now.Sub(d.changedAt) < cooldown {
 		return
 	}
-	if s.heldFor(delay >= busyDelay, busyAfter, now) {
-		*s = Detector{busy: true, changedAt: now}
+	if d.heldFor(delay >= busyDelay, busyAfter, now) {
+		*d = Detector{busy: true, changedAt: now}
 	}
 }
 
 // heldFor reports whether a condition has held for the given duration.
-func (s *Detector) heldFor(holds bool, length time.Duration, now time.Time) bool {
+func (d *Detector) heldFor(holds bool, length time.Duration, now time.Time) bool {
 	switch {
 	case !holds:
-		s.crossedAt = time.Time{}
+		d.crossedAt = time.Time{}
 		return false
-	case s.crossedAt.IsZero():
-		s.crossedAt = now
+	case d.crossedAt.IsZero():
+		d.crossedAt = now
 	}
-	return now.Sub(s.crossedAt) >= length
+	return now.Sub(d.crossedAt) >= length
 }
--- a/internal/peers/bootstrap.go
+++ b/internal/peers/bootstrap.go
@@ -109,7 +109,7 @@
 }
 
 // Run returns when the state of the node is complete or ctx is done.
-func (s Bootstrapper) Run(ctx context.Context) {
+func (b Bootstrapper) Run(ctx context.Context) {
 	delay := bootstrapDelay + rand.N(bootstrapJitter)
 	interval := initialRoundInterval
 	for {
@@ -118,13 +118,13 @@
 			return
 		case <-time.After(delay):
 		}
-		if s.Complete() {
+		if b.Complete() {
 			return
 		}
-		if !s.askAll() {
-			s.OnNoAnswer()
+		if !b.askAll() {
+			b.OnNoAnswer()
 		}
-		s.Self.Retry = true
+		b.Self.Retry = true
 		// Jitter: nodes that start together must not overload the peers that have a snapshot.
 		delay = interval/2 + rand.N(interval)
 		interval = min(2*interval, maxRoundInterval)
@@ -133,21 +133,21 @@
 
 // askAll asks the peers in random order, and the nodes to which they refer, until the state of the
 // node is complete. It reports whether any of them has responded.
-func (s Bootstrapper) askAll() (answered bool) {
-	queue := slices.Clone(s.Addresses())
+func (b Bootstrapper) askAll() (answered bool) {
+	queue := slices.Clone(b.Addresses())
 	rand.Shuffle(len(queue), func(i, j int) { queue[i], queue[j] = queue[j], queue[i] })
 	for asked := 0; asked < len(queue) && asked < maxPeersPerRound; asked++ {
-		if s.Complete() {
+		if b.Complete() {
 			return true
 		}
 		address := queue[asked]
-		if address == s.Self.Address {
+		if address == b.Self.Address {
 			continue
 		}
-		snapshot, referrals, err := FetchSnapshot(address, s.Self)
+		snapshot, referrals, err := FetchSnapshot(address, b.Self)
 		answered = answered || !errors.Is(err, errNoResponse)
 		if err == nil {
-			err = s.Adopt(snapshot)
+			err = b.Adopt(snapshot)
 		}
 		if err != nil {
 			klog.V(1).InfoS("peer knows nothing", "peer", address, "cause", err.Error())
--- a/internal/peers/configuration.go
+++ b/internal/peers/configuration.go
@@ -22,7 +22,7 @@
 	Table func() *routing.Table
 }
 
-// Register implements Routed.
+// Register implements RouteRegistrar.
 func (s ConfigurationServer) Register(routes *router.Router) { routes.GET(configurationPath, s.serve) }
 
 func (s ConfigurationServer) serve(ctx *fasthttp.RequestCtx) {
--- a/internal/peers/contact.go
+++ b/internal/peers/contact.go
@@ -15,7 +15,7 @@
 	UpToDate func() bool
 }
 
-// Register implements Routed.
+// Register implements RouteRegistrar.
 func (c StoreStatusServer) Register(routes *router.Router) {
 	routes.GET(contactPath, func(ctx *fasthttp.RequestCtx) {
 		if !c.UpToDate() {
--- a/internal/peers/handover.go
+++ b/internal/peers/handover.go
@@ -48,12 +48,12 @@
 	Retry bool
 }
 
-func (a Requester) query() string {
+func (r Requester) query() string {
 	query := url.Values{}
-	query.Set(paramAddress, a.Address)
-	query.Set(paramZone, a.Zone)
-	query.Set(paramRegion, a.Region)
-	query.Set(paramAgain, strconv.FormatBool(a.Retry))
+	query.Set(paramAddress, r.Address)
+	query.Set(paramZone, r.Zone)
+	query.Set(paramRegion, r.Region)
+	query.Set(paramAgain, strconv.FormatBool(r.Retry))
 	return query.Encode()
 }
 
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -27,7 +27,7 @@
 	encodedAt time.Time
 }
 
-// Register implements Routed.
+// Register implements RouteRegistrar.
 func (s *MemberServer) Register(routes *router.Router) { routes.GET(membersPath, s.serve) }
 
 func (s *MemberServer) serve(ctx *fasthttp.RequestCtx) {
--- a/internal/peers/notices.go
+++ b/internal/peers/notices.go
@@ -18,7 +18,7 @@
 	Handle func(quarantine.Notice)
 }
 
-// Register implements Routed.
+// Register implements RouteRegistrar.
 func (s NoticeServer) Register(routes *router.Router) { routes.POST(quarantinePath, s.serve) }
 
 func (s NoticeServer) serve(ctx *fasthttp.RequestCtx) {
--- a/internal/peers/recovery_probe.go
+++ b/internal/peers/recovery_probe.go
@@ -66,9 +66,9 @@
 }
 
 // Run probes other nodes while the store is lost, until ctx is done.
-func (s *RecoveryProber) Run(ctx context.Context) {
-	if s.ask == nil {
-		s.ask = askConnected
+func (p *RecoveryProber) Run(ctx context.Context) {
+	if p.ask == nil {
+		p.ask = askConnected
 	}
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -77,63 +77,63 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.probe(now)
+			p.probe(now)
 		}
 	}
 }
 
 // probe probes one node if that is due.
-func (s *RecoveryProber) probe(now time.Time) {
-	if !s.Disconnected(now) {
-		s.reset()
+func (p *RecoveryProber) probe(now time.Time) {
+	if !p.Disconnected(now) {
+		p.reset()
 		return
 	}
-	if s.backingOff(now) {
+	if p.backingOff(now) {
 		return
 	}
-	member, found := s.Selector.RandomRemote()
+	member, found := p.Selector.RandomRemote()
 	if !found {
 		return
 	}
 	go func() {
-		connected, err := s.ask(member.Address)
+		connected, err := p.ask(member.Address)
 		if connected {
-			s.Selector.Prefer(member.Name)
+			p.Selector.Prefer(member.Name)
 		}
-		if s.isSignal(connected, err, time.Now()) {
+		if p.isSignal(connected, err, time.Now()) {
 			klog.InfoS("way to the store may be back", "peer", member.Name, "in_touch", connected)
-			s.Selector.ResetAvoided()
-			s.OnRecovery(time.Now())
+			p.Selector.ResetAvoided()
+			p.OnRecovery(time.Now())
 		}
 	}()
 }
 
-func (s *RecoveryProber) reset() {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.unanswered, s.backoffUntil = 0, time.Time{}
-	s.responses, s.connections = signalLimiter{}, signalLimiter{}
+func (p *RecoveryProber) reset() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.unanswered, p.backoffUntil = 0, time.Time{}
+	p.responses, p.connections = signalLimiter{}, signalLimiter{}
 }
 
-func (s *RecoveryProber) backingOff(now time.Time) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return now.Before(s.backoffUntil)
+func (p *RecoveryProber) backingOff(now time.Time) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return now.Before(p.backoffUntil)
 }
 
 // isSignal reports whether the result of a probe indicates that the store can be reached again.
-func (s *RecoveryProber) isSignal(connected bool, err error, now time.Time) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (p *RecoveryProber) isSignal(connected bool, err error, now time.Time) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	if err != nil {
-		s.unanswered++
+		p.unanswered++
 		return false
 	}
-	wasCutOff := s.unanswered >= minUnanswered
-	s.unanswered = 0
+	wasCutOff := p.unanswered >= minUnanswered
+	p.unanswered = 0
 	if connected {
-		return s.connections.allow(now)
+		return p.connections.allow(now)
 	}
-	s.backoffUntil = now.Add(probeBackoff)
-	return wasCutOff && s.responses.allow(now)
+	p.backoffUntil = now.Add(probeBackoff)
+	return wasCutOff && p.responses.allow(now)
 }
--- a/internal/peers/recovery_probe_test.go
+++ b/internal/peers/recovery_probe_test.go
@@ -171,7 +171,7 @@
 	is := is.New(t)
 	var mutex sync.Mutex
 	connected := false
-	link := NewRelay("kind", PlainCodec[endpoints.Server]{}, NewSelector(members.Member{}, inRegion))
+	relay := NewRelay("kind", PlainCodec[endpoints.Server]{}, NewSelector(members.Member{}, inRegion))
 	contact := StoreStatusServer{UpToDate: func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -180,7 +180,7 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, link, contact)
+	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, relay, contact)
 	go func() { _ = server.Serve(listener) }()
 	got, err := askConnected(listener.Addr().String())
 	is.NoErr(err)
@@ -191,7 +191,7 @@
 	got, err = askConnected(listener.Addr().String())
 	is.NoErr(err)
 	is.True(got)
-	is.True(!link.HasFollowers())
+	is.True(!relay.HasFollowers())
 	listener.Close()
 	_, err = askConnected(listener.Addr().String())
 	is.True(err != nil)
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -76,80 +76,80 @@
 	latest cachedBody
 }
 
-// NewRelay returns a link for a kind of objects. The kind is part of the HTTP path.
+// NewRelay returns a relay for a kind of objects. The kind is part of the HTTP path.
 func NewRelay[T any](kind string, codec Codec[T], selector *Selector) *Relay[T] {
 	return &Relay[T]{kind: kind, codec: codec, selector: selector, eras: &catalog.EraTracker{}}
 }
 
-// UseEraTracker makes the link exchange the store's era with other nodes, so that they notice a restored store.
-func (l *Relay[T]) UseEraTracker(eras *catalog.EraTracker) { l.eras = eras }
+// UseEraTracker makes the relay exchange the store's era with other nodes, so that they notice a restored store.
+func (r *Relay[T]) UseEraTracker(eras *catalog.EraTracker) { r.eras = eras }
 
-// ServeState makes the link send the whole state to followers whose revision is older than
+// ServeState makes the relay send the whole state to followers whose revision is older than
 // the changes that this node keeps. The state must include everything that was published.
-func (l *Relay[T]) ServeState(state func() []T) { l.publisher.state = state }
+func (r *Relay[T]) ServeState(state func() []T) { r.publisher.state = state }
 
 // SetSuspensionClock makes the published data age while the machine of this node is suspended.
-func (l *Relay[T]) SetSuspensionClock(suspended func() time.Duration) {
-	l.publisher.suspended = suspended
+func (r *Relay[T]) SetSuspensionClock(suspended func() time.Duration) {
+	r.publisher.suspended = suspended
 }
 
 // Publish implements catalog.Relay.
-func (l *Relay[T]) Publish(after catalog.Revision, changes catalog.Changes[T], fresh bool) {
-	l.publisher.Publish(after, changes, fresh)
+func (r *Relay[T]) Publish(after catalog.Revision, changes catalog.Changes[T], fresh bool) {
+	r.publisher.Publish(after, changes, fresh)
 }
 
 // StoreFailed implements catalog.Relay.
-func (l *Relay[T]) StoreFailed() { l.selector.StoreFailed(time.Now()) }
+func (r *Relay[T]) StoreFailed() { r.selector.StoreFailed(time.Now()) }
 
 // HasFollowers implements catalog.Relay. It also reports true for a reader that is not followed yet: it must
 // have the data that its followers will request.
-func (l *Relay[T]) HasFollowers() bool { return l.publisher.HasFollowers() || l.selector.IsReader() }
+func (r *Relay[T]) HasFollowers() bool { return r.publisher.HasFollowers() || r.selector.IsReader() }
 
 // IsReader implements catalog.Relay.
-func (l *Relay[T]) IsReader() bool { return !l.selector.Follows(time.Now()) }
+func (r *Relay[T]) IsReader() bool { return !r.selector.Follows(time.Now()) }
 
 // Source implements catalog.Relay.
-func (l *Relay[T]) Source() catalog.Watcher[T] {
-	member, found := l.selector.Next(l.lastFollowed(), time.Now())
+func (r *Relay[T]) Source() catalog.Watcher[T] {
+	member, found := r.selector.Next(r.lastFollowed(), time.Now())
 	if !found {
-		l.setFollowed("")
+		r.setFollowed("")
 		return nil
 	}
-	return source[T]{link: l, member: member}
+	return source[T]{relay: r, member: member}
 }
 
 // lastFollowed returns the name of the node that answered last; empty for the store.
-func (l *Relay[T]) lastFollowed() string {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.followed
+func (r *Relay[T]) lastFollowed() string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.followed
 }
 
 // setFollowed records and logs the node that answered, if it has changed; empty for the
 // store. Nodes that do not answer are not logged: while the store is down for all nodes,
 // every node tries many others.
-func (l *Relay[T]) setFollowed(name string) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.followed != name {
-		klog.InfoS("node followed", "feed", l.kind, "peer", name, "before", l.followed)
-		l.followed = name
+func (r *Relay[T]) setFollowed(name string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.followed != name {
+		klog.InfoS("node followed", "feed", r.kind, "peer", name, "before", r.followed)
+		r.followed = name
 	}
 }
 
-// Register implements Routed.
-func (l *Relay[T]) Register(routes *router.Router) {
-	routes.GET(changesPath+l.kind, l.serve)
+// Register implements RouteRegistrar.
+func (r *Relay[T]) Register(routes *router.Router) {
+	routes.GET(changesPath+r.kind, r.serve)
 }
 
-func (l *Relay[T]) serve(ctx *fasthttp.RequestCtx) {
+func (r *Relay[T]) serve(ctx *fasthttp.RequestCtx) {
 	query, err := parseWatchQuery(ctx.QueryArgs())
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	l.eras.Observe(query.era)
-	changes, err := l.publisher.answer(ctx, query)
+	r.eras.Observe(query.era)
+	changes, err := r.publisher.answer(ctx, query)
 	switch {
 	case errors.Is(err, catalog.ErrHistoryGone):
 		ctx.Error(err.Error(), fasthttp.StatusGone)
@@ -158,7 +158,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
-	body, err := l.body(query.after, changes)
+	body, err := r.body(query.after, changes)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -173,32 +173,32 @@
 }
 
 // body returns the encoded changes after a revision; nil if there are none.
-func (l *Relay[T]) body(after catalog.Revision, changes catalog.Changes[T]) ([]byte, error) {
+func (r *Relay[T]) body(after catalog.Revision, changes catalog.Changes[T]) ([]byte, error) {
 	if len(changes.Changes) == 0 {
 		return nil, nil
 	}
 	if changes.Full {
 		after = 0 // the body does not depend on the requested revision
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.latest.after == after && l.latest.revision == changes.Revision {
-		return l.latest.body, nil
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.latest.after == after && r.latest.revision == changes.Revision {
+		return r.latest.body, nil
 	}
-	plain, err := l.encode(changes)
+	plain, err := r.encode(changes)
 	if err != nil {
 		return nil, err
 	}
-	l.latest = cachedBody{after: after, revision: changes.Revision, body: compress(plain)}
-	return l.latest.body, nil
+	r.latest = cachedBody{after: after, revision: changes.Revision, body: compress(plain)}
+	return r.latest.body, nil
 }
 
-func (l *Relay[T]) encode(changes catalog.Changes[T]) ([]byte, error) {
+func (r *Relay[T]) encode(changes catalog.Changes[T]) ([]byte, error) {
 	entries := make([]change, 0, len(changes.Changes))
 	for _, item := range changes.Changes {
 		entry := change{Name: item.Name, Removed: item.Removed, Unreadable: item.Unreadable}
 		if !item.Removed {
-			value, err := l.codec.Encode(item.Value)
+			value, err := r.codec.Encode(item.Value)
 			if err != nil {
 				return nil, err
 			}
@@ -209,7 +209,7 @@
 	return json.Marshal(entries)
 }
 
-func (l *Relay[T]) decode(response *fasthttp.Response) (catalog.Changes[T], error) {
+func (r *Relay[T]) decode(response *fasthttp.Response) (catalog.Changes[T], error) {
 	changes, err := decodeHeaders[T](&response.Header)
 	if err != nil || len(response.Body()) == 0 {
 		return changes, err
@@ -223,16 +223,16 @@
 		return catalog.Changes[T]{}, err
 	}
 	for _, entry := range entries {
-		l.add(&changes, entry)
+		r.add(&changes, entry)
 	}
 	return changes, nil
 }
 
 // add adds a change. An entry that cannot be decoded does not prevent the others from being read.
-func (l *Relay[T]) add(changes *catalog.Changes[T], entry change) {
+func (r *Relay[T]) add(changes *catalog.Changes[T], entry change) {
 	item := catalog.Change[T]{Name: entry.Name, Removed: entry.Removed, Unreadable: entry.Unreadable}
 	if !entry.Removed {
-		value, err := l.codec.Decode(entry.Value)
+		value, err := r.codec.Decode(entry.Value)
 		if err != nil {
 			changes.DecodeFailures = append(changes.DecodeFailures, catalog.DecodeFailure{Name: entry.Name, Cause: err.Error()})
 			if changes.Full {
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -71,7 +71,7 @@
 	is.New(t).True(errors.Is(err, errStale))
 }
 
-// linked returns the link of a reader, and the source and selector by which another node follows it.
+// linked returns the relay of a reader, and the source and selector by which another node follows it.
 func linked[T any](t *testing.T, codec Codec[T]) (reader *Relay[T], source catalog.Watcher[T], selector *Selector) {
 	t.Helper()
 	reader = NewRelay("kind", codec, NewSelector(members.Member{Name: "reader"}, inRegion))
@@ -149,24 +149,24 @@
 func TestUnresponsiveNodeIsNotRecordedAsFollowed(t *testing.T) {
 	is := is.New(t)
 	reader, source, selector := linked(t, PlainCodec[endpoints.Server]{})
-	link := source.(interface {
+	relay := source.(interface {
 		owner() *Relay[endpoints.Server]
 	}).owner()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	_, err := source.Watch(ctx, catalog.WatchRequest{After: 5, Wait: time.Millisecond})
 	is.True(err != nil) // the reader has read nothing yet
-	is.Equal(link.followed, "")
+	is.Equal(relay.followed, "")
 	reader.Publish(5, changesAt(7), true)
 	_, err = source.Watch(ctx, catalog.WatchRequest{After: 5, Wait: time.Millisecond})
 	is.NoErr(err)
-	is.Equal(link.followed, "reader")
+	is.Equal(relay.followed, "reader")
 	selector.SetMembers(nil)
-	is.True(link.Source() == nil)
-	is.Equal(link.followed, "")
+	is.True(relay.Source() == nil)
+	is.Equal(relay.followed, "")
 }
 
-func (s source[T]) owner() *Relay[T] { return s.link }
+func (s source[T]) owner() *Relay[T] { return s.relay }
 
 func TestInvalidQueriesAreRejected(t *testing.T) {
 	for _, query := range []string{"", "after=x&wait=1s&age=1s", "after=1&wait=1&age=1s", "after=1&wait=1s", "after=-1&wait=1s&age=1s"} {
--- a/internal/peers/reports.go
+++ b/internal/peers/reports.go
@@ -30,7 +30,7 @@
 	Handle func(rollout.Report) ([]rollout.OrderReply, error)
 }
 
-// Register implements Routed.
+// Register implements RouteRegistrar.
 func (s ReportServer) Register(routes *router.Router) {
 	if s.Handle != nil {
 		routes.POST(rolloutsPath, s.serve)
@@ -43,12 +43,12 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	rulings, err := s.Handle(report)
+	replies, err := s.Handle(report)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
-	encoded, err := json.Marshal(rulings)
+	encoded, err := json.Marshal(replies)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -80,9 +80,9 @@
 
 // Send implements rollout.Transport.
 func (c *Client) Send(ctx context.Context, address string, report rollout.Report) ([]rollout.OrderReply, error) {
-	var rulings []rollout.OrderReply
-	err := c.post(ctx, address, rolloutsPath, report, &rulings)
-	return rulings, err
+	var replies []rollout.OrderReply
+	err := c.post(ctx, address, rolloutsPath, report, &replies)
+	return replies, err
 }
 
 // post sends a message to the node at the address and decodes the response.
--- a/internal/peers/reports_test.go
+++ b/internal/peers/reports_test.go
@@ -56,20 +56,20 @@
 			var taken rollout.Report
 			address := serveReports(t, func(report rollout.Report) ([]rollout.OrderReply, error) {
 				taken = report
-				var rulings []rollout.OrderReply
+				var replies []rollout.OrderReply
 				for _, order := range report.Orders {
-					rulings = append(rulings, rollout.OrderReply{Service: order.Service, Target: order.Target, Created: order.Created, Halt: order.Halted})
+					replies = append(replies, rollout.OrderReply{Service: order.Service, Target: order.Target, Created: order.Created, Halt: order.Halted})
 				}
-				return rulings, nil
+				return replies, nil
 			})
 			var client Client
-			rulings, err := sendReport(t, &client, address, sent)
+			replies, err := sendReport(t, &client, address, sent)
 			is.NoErr(err)
 			is.Equal(taken, sent)
-			is.Equal(len(rulings), orders)
-			for index, ruling := range rulings {
-				is.Equal(ruling.Key(), sent.Orders[index].Key())
-				is.Equal(ruling.Halt, index == 1)
+			is.Equal(len(replies), orders)
+			for index, reply := range replies {
+				is.Equal(reply.Key(), sent.Orders[index].Key())
+				is.Equal(reply.Halt, index == 1)
 			}
 		})
 	}
--- a/internal/peers/retries.go
+++ b/internal/peers/retries.go
@@ -20,16 +20,16 @@
 	Now func() time.Time
 }
 
-// Register implements Routed.
+// Register implements RouteRegistrar.
 func (s RetryServer) Register(routes *router.Router) { routes.POST(retriesPath, s.serve) }
 
 func (s RetryServer) serve(ctx *fasthttp.RequestCtx) {
-	var wants retrybudget.SendCounts
-	if err := decodeMessage(&ctx.Request, &wants); err != nil {
+	var wanted retrybudget.SendCounts
+	if err := decodeMessage(&ctx.Request, &wanted); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	encoded, err := json.Marshal(s.Pool.Grant(wants, s.Now()))
+	encoded, err := json.Marshal(s.Pool.Grant(wanted, s.Now()))
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -38,8 +38,8 @@
 }
 
 // AcquireRetries requests retries from the budget of the node at the address (IP:port).
-func (c *Client) AcquireRetries(ctx context.Context, address string, wants retrybudget.SendCounts) (retrybudget.SendCounts, error) {
+func (c *Client) AcquireRetries(ctx context.Context, address string, wanted retrybudget.SendCounts) (retrybudget.SendCounts, error) {
 	var granted retrybudget.SendCounts
-	err := c.post(ctx, address, retriesPath, wants, &granted)
+	err := c.post(ctx, address, retriesPath, wanted, &granted)
 	return granted, err
 }
--- a/internal/peers/selector_test.go
+++ b/internal/peers/selector_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// Reads is true for exactly those nodes that the others follow.
+// IsReader is true for exactly those nodes that the others follow.
 func TestReadsIsTrueForReadersOnly(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{minRelayNodes - 1, minRelayNodes, 200, 985} {
--- a/internal/peers/source.go
+++ b/internal/peers/source.go
@@ -17,18 +17,18 @@
 
 // source is the watcher of a followed node.
 type source[T any] struct {
-	link   *Relay[T]
+	relay  *Relay[T]
 	member members.Member
 }
 
 // Watch implements catalog.Watcher.
 func (s source[T]) Watch(ctx context.Context, request catalog.WatchRequest) (catalog.Changes[T], error) {
 	changes, err := s.ask(ctx, request)
-	s.link.selector.ReportResult(ctx, s.member.Name, err, time.Now())
+	s.relay.selector.ReportResult(ctx, s.member.Name, err, time.Now())
 	if err != nil {
 		return changes, errors.Wrapf(err, "node %s", s.member.Name)
 	}
-	s.link.setFollowed(s.member.Name)
+	s.relay.setFollowed(s.member.Name)
 	return changes, nil
 }
 
@@ -43,17 +43,17 @@
 	query.Set(paramFreshTimeout, request.CatchUpWait.String())
 	query.Set(paramAge, maxDataAge.String())
 	query.Set(paramWhole, strconv.FormatBool(true))
-	query.Set(paramEra, strconv.FormatUint(uint64(s.link.eras.Latest()), 10))
+	query.Set(paramEra, strconv.FormatUint(uint64(s.relay.eras.Latest()), 10))
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + s.member.Address + changesPath + s.link.kind + "?" + query.Encode())
-	if err := s.link.clientOf(s.member.Address).DoDeadline(req, resp, deadline); err != nil {
+	req.SetRequestURI("http://" + s.member.Address + changesPath + s.relay.kind + "?" + query.Encode())
+	if err := s.relay.clientOf(s.member.Address).DoDeadline(req, resp, deadline); err != nil {
 		return catalog.Changes[T]{}, err
 	}
 	switch status := resp.StatusCode(); status {
 	case fasthttp.StatusOK:
-		return s.link.decode(resp)
+		return s.relay.decode(resp)
 	case fasthttp.StatusGone:
 		return catalog.Changes[T]{}, catalog.ErrHistoryGone
 	case fasthttp.StatusServiceUnavailable:
@@ -65,18 +65,18 @@
 
 // clientOf returns the client for an address. Idle connections to the node that was
 // followed before are closed.
-func (l *Relay[T]) clientOf(address string) *fasthttp.HostClient {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.client != nil && l.client.Addr == address {
-		return l.client
+func (r *Relay[T]) clientOf(address string) *fasthttp.HostClient {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.client != nil && r.client.Addr == address {
+		return r.client
 	}
-	if l.client != nil {
-		l.client.CloseIdleConnections()
+	if r.client != nil {
+		r.client.CloseIdleConnections()
 	}
-	l.client = newClient(address, followConnections)
-	l.client.MaxIdleConnDuration = connectionIdleTimeout
-	return l.client
+	r.client = newClient(address, followConnections)
+	r.client.MaxIdleConnDuration = connectionIdleTimeout
+	return r.client
 }
 
 // newClient returns a client for another node that never retries a request.
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -24,22 +24,22 @@
 func BenchmarkAdmit(b *testing.B) {
 	for _, test := range []struct{ records, body int }{{0, 0}, {maxRecords, 0}, {maxRecords, 1 << 20}} {
 		b.Run(fmt.Sprintf("%d records, body of %d", test.records, test.body), func(b *testing.B) {
-			keeper := NewManager(Options{Term: testTerm, Store: noop{}, Observer: noop{}, Now: boottime.Now})
+			manager := NewManager(Options{Term: testTerm, Store: noop{}, Observer: noop{}, Now: boottime.Now})
 			for number := range test.records {
 				loss := Loss{Digest: request(fmt.Sprint("bad-", number)).Digest(), Service: "s", Server: "i", At: time.Now()}
-				keeper.AttemptLost(loss)
+				manager.AttemptLost(loss)
 			}
-			keeper.ServerCrashed("i")
+			manager.ServerCrashed("i")
 			for number := range test.records {
-				keeper.locked(func(now boottime.Instant) {
-					keeper.register.AddLoss(Loss{Digest: request(fmt.Sprint("bad-", number)).Digest(), Service: "s", Server: "i"}, now)
+				manager.locked(func(now boottime.Instant) {
+					manager.records.AddLoss(Loss{Digest: request(fmt.Sprint("bad-", number)).Digest(), Service: "s", Server: "i"}, now)
 				})
 			}
 			body := make([]byte, test.body)
 			b.ReportAllocs()
 			for b.Loop() {
 				identity := &Identity{Line: []byte("GET /sound HTTP/1.1"), Host: "h", Body: body}
-				admission := keeper.Admit(b.Context(), identity, time.Second, anyServer)
+				admission := manager.Admit(b.Context(), identity, time.Second, anyServer)
 				admission.MaySend()
 			}
 		})
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -25,7 +25,7 @@
 	serviceTime = 20 * time.Millisecond
 )
 
-// cluster simulates the keepers of several nodes and their store, in a synctest bubble.
+// cluster simulates the managers of several nodes and their store, in a synctest bubble.
 type cluster struct {
 	t     *testing.T
 	nodes []*node
@@ -109,7 +109,7 @@
 // RecordWritten implements Observer.
 func (n *node) RecordWritten(error) {}
 
-// Write implements Registry.
+// Write implements RecordStore.
 func (n *node) Write(ctx context.Context, record Record) (Record, error) {
 	time.Sleep(callLatency)
 	c := n.cluster
@@ -145,7 +145,7 @@
 	}
 }
 
-// Remove implements Registry.
+// Remove implements RecordStore.
 func (n *node) Remove(_ context.Context, digest Digest) error {
 	time.Sleep(callLatency)
 	c := n.cluster
--- a/internal/quarantine/decide.go
+++ b/internal/quarantine/decide.go
@@ -104,8 +104,8 @@
 	return e.record.clone(), true
 }
 
-// EndTrial removes this node's trial. Failed is the number of failed trials of the variant including
-// this one; zero if this one did not crash a server. End is idempotent. It returns the record to
+// EndTrial removes this node's trial. failed is the number of failed trials of the variant including
+// this one; zero if this one did not crash a server. EndTrial is idempotent. It returns the record to
 // be written.
 func (r *recordTable) EndTrial(digest Digest, trial Trial, failed int, now boottime.Instant) (Record, bool) {
 	e := r.entries[digest]
--- a/internal/quarantine/describe.go
+++ b/internal/quarantine/describe.go
@@ -37,16 +37,16 @@
 }
 
 // Describe returns all records known to this node, sorted by digest.
-func (k *Manager) Describe() []Description {
+func (m *Manager) Describe() []Description {
 	described := []Description{}
-	if k == nil {
+	if m == nil {
 		return described
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	now := k.Now()
-	for _, e := range k.register.entries {
-		described = append(described, e.describe(k.Term, now))
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	now := m.Now()
+	for _, e := range m.records.entries {
+		described = append(described, e.describe(m.Term, now))
 	}
 	slices.SortFunc(described, func(a, b Description) int { return cmp.Compare(a.Digest.String(), b.Digest.String()) })
 	return described
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -54,14 +54,14 @@
 // RecordStore stores the records of all nodes.
 type RecordStore interface {
 	// Write creates the record if its revision is zero, or else replaces the stored one, which
-	// must have this revision. It returns the record as stored. With ErrChanged that is the
+	// must have this revision. It returns the record as stored. With ErrConflict that is the
 	// version of another node; without a revision if the record is gone.
 	Write(ctx context.Context, record Record) (Record, error)
 	// Remove removes the record whatever its revision. A missing record is not an error.
 	Remove(ctx context.Context, digest Digest) error
 }
 
-// Observer receives the findings and decisions of a keeper, for metrics. Its methods do not
+// Observer receives the findings and decisions of a manager, for metrics. Its methods do not
 // block.
 type Observer interface {
 	// AttemptsLost reports how many attempts were lost because a server of the service crashed.
@@ -74,7 +74,7 @@
 	RecordWritten(err error)
 }
 
-// Options are the settings and dependencies of a keeper.
+// Options are the settings and dependencies of a manager.
 type Options struct {
 	// Node is the name of this node.
 	Node string
@@ -91,8 +91,8 @@
 	Now func() boottime.Instant
 }
 
-// Manager detects requests that crash servers and, together with the keepers of all other
-// nodes, quarantines them. It is safe for concurrent use. A nil keeper admits every request.
+// Manager detects requests that crash servers and, together with the managers of all other
+// nodes, quarantines them. It is safe for concurrent use. A nil manager admits every request.
 type Manager struct {
 	Options
 	// confirming is a semaphore for concurrent checks of servers.
@@ -105,121 +105,121 @@
 	// hasLosses and hasRecords let requests skip the lock while there is nothing to decide.
 	hasLosses, hasRecords atomic.Bool
 	mutex                 sync.Mutex
-	ledger                lossTracker
-	register              recordTable
+	losses                lossTracker
+	records               recordTable
 	// trials are the active trials of this node.
 	trials map[trialKey]*trial
 	// storeFailedAt is when a write to the store last failed; zero after a successful one.
 	storeFailedAt boottime.Instant
 }
 
-// NewManager returns a keeper. It checks servers and writes records only while Run runs.
+// NewManager returns a manager. It checks servers and writes records only while Run runs.
 func NewManager(options Options) *Manager {
-	keeper := &Manager{
+	manager := &Manager{
 		Options:    options,
 		confirming: make(chan struct{}, maxConfirming),
 		writes:     rate.NewLimiter(writesPerSecond, writeBurst),
-		register:   newRegister(options.Term),
+		records:    newRecordTable(options.Term),
 		trials:     make(map[trialKey]*trial),
 	}
-	keeper.context, keeper.cancel = context.WithCancel(context.Background())
-	return keeper
+	manager.context, manager.cancel = context.WithCancel(context.Background())
+	return manager
 }
 
 // Run checks servers that lost attempts, and writes and expires records, until ctx is done.
-func (k *Manager) Run(ctx context.Context) {
-	defer k.cancel()
+func (m *Manager) Run(ctx context.Context) {
+	defer m.cancel()
 	ticker := time.NewTicker(confirmInterval)
 	defer ticker.Stop()
-	expireAt := k.Now().Add(expiryInterval)
+	expireAt := m.Now().Add(expiryInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			k.confirm(now)
-			k.publish()
-			if k.Now() >= expireAt {
-				expireAt = k.Now().Add(expiryInterval)
-				k.expire()
+			m.confirm(now)
+			m.publish()
+			if m.Now() >= expireAt {
+				expireAt = m.Now().Add(expiryInterval)
+				m.expire()
 			}
 		}
 	}
 }
 
 // locked runs the change under the lock and updates the flags that let requests skip it.
-func (k *Manager) locked(change func(now boottime.Instant)) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	change(k.Now())
-	k.hasLosses.Store(!k.ledger.Empty())
-	k.hasRecords.Store(k.register.Count() > 0)
+func (m *Manager) locked(change func(now boottime.Instant)) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	change(m.Now())
+	m.hasLosses.Store(!m.losses.Empty())
+	m.hasRecords.Store(m.records.Count() > 0)
 }
 
 // AttemptLost records that an attempt was sent and has ended without an answer.
-func (k *Manager) AttemptLost(loss Loss) {
-	if k == nil {
+func (m *Manager) AttemptLost(loss Loss) {
+	if m == nil {
 		return
 	}
-	k.locked(func(now boottime.Instant) {
-		if k.ledger.Add(loss) {
-			k.recordCrash([]Loss{loss}, now)
+	m.locked(func(now boottime.Instant) {
+		if m.losses.Add(loss) {
+			m.recordCrash([]Loss{loss}, now)
 			return
 		}
-		if t := k.trials[trialKey{loss.Digest, loss.Variant}]; t.concerns(loss.Service) {
+		if t := m.trials[trialKey{loss.Digest, loss.Variant}]; t.concerns(loss.Service) {
 			t.loss = &loss
 		}
 	})
 }
 
 // ServerAlive records that the server has answered a request sent at the given time.
-func (k *Manager) ServerAlive(server ServerID, sent time.Time) {
-	if k == nil || !k.hasLosses.Load() {
+func (m *Manager) ServerAlive(server ServerID, sent time.Time) {
+	if m == nil || !m.hasLosses.Load() {
 		return
 	}
-	k.locked(func(boottime.Instant) { k.ledger.ServerAlive(server, sent) })
+	m.locked(func(boottime.Instant) { m.losses.ServerAlive(server, sent) })
 }
 
 // RequestAnswered records that a service has answered the request: it does not crash that service's servers.
-func (k *Manager) RequestAnswered(identity *Identity, service string) {
-	if k == nil || identity == nil || !k.hasLosses.Load() && !k.hasRecords.Load() {
+func (m *Manager) RequestAnswered(identity *Identity, service string) {
+	if m == nil || identity == nil || !m.hasLosses.Load() && !m.hasRecords.Load() {
 		return
 	}
 	digest, variant := identity.Digest(), identity.Variant()
-	k.locked(func(now boottime.Instant) {
-		k.ledger.RequestAnswered(digest, variant, service)
-		if t := k.trials[trialKey{digest, variant}]; t.concerns(service) {
-			k.finish(digest, t, TrialAnswered)
+	m.locked(func(now boottime.Instant) {
+		m.losses.RequestAnswered(digest, variant, service)
+		if t := m.trials[trialKey{digest, variant}]; t.concerns(service) {
+			m.finish(digest, t, TrialAnswered)
 			return
 		}
-		if k.register.RequestAnswered(digest, variant, service, now) {
-			k.spawn(func(ctx context.Context) { k.publishAnswer(ctx, digest, variant, service) })
+		if m.records.RequestAnswered(digest, variant, service, now) {
+			m.spawn(func(ctx context.Context) { m.publishAnswer(ctx, digest, variant, service) })
 		}
 	})
 }
 
 // ServerCrashed records that the server is gone other than by a planned shutdown.
-func (k *Manager) ServerCrashed(server ServerID) {
-	if k == nil {
+func (m *Manager) ServerCrashed(server ServerID) {
+	if m == nil {
 		return
 	}
-	k.locked(func(now boottime.Instant) { k.recordCrash(k.ledger.ServerCrashed(server, time.Now()), now) })
+	m.locked(func(now boottime.Instant) { m.recordCrash(m.losses.ServerCrashed(server, time.Now()), now) })
 }
 
 // recordCrash records the attempts that were lost in the crash of one server. The lock is held.
-func (k *Manager) recordCrash(losses []Loss, now boottime.Instant) {
+func (m *Manager) recordCrash(losses []Loss, now boottime.Instant) {
 	if len(losses) == 0 {
 		return
 	}
 	for _, loss := range losses {
-		if k.Term > 0 {
-			k.register.AddLoss(loss, now)
+		if m.Term > 0 {
+			m.records.AddLoss(loss, now)
 		}
-		if t := k.trials[trialKey{loss.Digest, loss.Variant}]; t.concerns(loss.Service) {
-			k.finish(loss.Digest, t, TrialFailed)
+		if t := m.trials[trialKey{loss.Digest, loss.Variant}]; t.concerns(loss.Service) {
+			m.finish(loss.Digest, t, TrialFailed)
 		}
 	}
-	k.Observer.AttemptsLost(losses[0].Service, len(losses))
+	m.Observer.AttemptsLost(losses[0].Service, len(losses))
 	klog.InfoS("server ended under requests", "server", losses[0].Server, "service", losses[0].Service,
 		"count", len(losses), "digests", digestsOf(losses))
 }
@@ -234,15 +234,15 @@
 }
 
 // confirm checks the servers that have not answered anything since an attempt was lost there.
-func (k *Manager) confirm(now time.Time) {
+func (m *Manager) confirm(now time.Time) {
 	var unconfirmed []Loss
-	k.locked(func(boottime.Instant) { unconfirmed = k.ledger.TakeUnconfirmed(now) })
+	m.locked(func(boottime.Instant) { unconfirmed = m.losses.TakeUnconfirmed(now) })
 	for _, loss := range unconfirmed {
 		select {
-		case k.confirming <- struct{}{}:
-			k.spawn(func(ctx context.Context) {
-				defer func() { <-k.confirming }()
-				k.checkServer(ctx, loss)
+		case m.confirming <- struct{}{}:
+			m.spawn(func(ctx context.Context) {
+				defer func() { <-m.confirming }()
+				m.checkServer(ctx, loss)
 			})
 		default:
 			klog.V(1).InfoS("server not asked whether it lives", "server", loss.Server)
@@ -251,22 +251,22 @@
 }
 
 // checkServer checks whether the server of a loss still accepts connections.
-func (k *Manager) checkServer(ctx context.Context, loss Loss) {
+func (m *Manager) checkServer(ctx context.Context, loss Loss) {
 	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	if k.ConnectionRefused(ctx, loss.Address) {
-		k.ServerCrashed(loss.Server)
+	if m.ConnectionRefused(ctx, loss.Address) {
+		m.ServerCrashed(loss.Server)
 	}
 }
 
 // StoredRecords returns the records that are in the store, for nodes that follow this one.
-func (k *Manager) StoredRecords() []Record {
-	if k == nil {
+func (m *Manager) StoredRecords() []Record {
+	if m == nil {
 		return nil
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return slices.DeleteFunc(k.register.Records(), func(record Record) bool { return record.Revision == 0 })
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return slices.DeleteFunc(m.records.Records(), func(record Record) bool { return record.Revision == 0 })
 }
 
 // ReleasePath is the path on a node's metrics address for releasing a request, ReleaseDigest its
@@ -278,12 +278,12 @@
 
 // Release ends the quarantine of a request on all nodes, on behalf of an operator. It reports
 // whether this node had a record of it.
-func (k *Manager) Release(ctx context.Context, digest Digest) (bool, error) {
-	if k == nil {
+func (m *Manager) Release(ctx context.Context, digest Digest) (bool, error) {
+	if m == nil {
 		return false, nil
 	}
 	known := false
-	k.locked(func(now boottime.Instant) { _, known = k.register.Release(digest, now) })
+	m.locked(func(now boottime.Instant) { _, known = m.records.Release(digest, now) })
 	klog.InfoS("request released", "digest", digest, "known", known)
-	return known, k.remove(ctx, digest)
+	return known, m.remove(ctx, digest)
 }
--- a/internal/quarantine/manager_test.go
+++ b/internal/quarantine/manager_test.go
@@ -150,7 +150,7 @@
 		group.Wait()
 		time.Sleep(time.Second)
 		is.Equal(len(c.records), 0)
-		is.Equal(c.nodes[0].register.Count(), 0)
+		is.Equal(c.nodes[0].records.Count(), 0)
 	})
 }
 
--- a/internal/quarantine/notice.go
+++ b/internal/quarantine/notice.go
@@ -25,25 +25,25 @@
 const clearedRetention = 2 * publishRetryDelay
 
 // broadcast sends a notice to other nodes.
-func (k *Manager) broadcast(notice Notice) {
-	if k.Broadcast == nil {
+func (m *Manager) broadcast(notice Notice) {
+	if m.Broadcast == nil {
 		return
 	}
-	notice.Node = k.Node
-	k.Broadcast(notice)
+	notice.Node = m.Node
+	m.Broadcast(notice)
 }
 
 // ReceiveNotice applies a notice of another node.
-func (k *Manager) ReceiveNotice(notice Notice) {
-	if k == nil || k.Term == 0 {
+func (m *Manager) ReceiveNotice(notice Notice) {
+	if m == nil || m.Term == 0 {
 		return
 	}
-	k.locked(func(now boottime.Instant) {
+	m.locked(func(now boottime.Instant) {
 		if notice.Cleared {
-			k.register.Release(notice.Record.Digest, now)
+			m.records.Release(notice.Record.Digest, now)
 			return
 		}
-		k.register.ApplyNotice(notice, now, rand.N(forwardJitter))
+		m.records.ApplyNotice(notice, now, rand.N(forwardJitter))
 	})
 }
 
--- a/internal/quarantine/notice_test.go
+++ b/internal/quarantine/notice_test.go
@@ -11,40 +11,40 @@
 // know yet that it was answered: while the store is down they repeat their notices.
 func TestLateNoticesDoNotRestoreClearedRecord(t *testing.T) {
 	is := is.New(t)
-	register := suspected("a", "b")
-	record, _ := register.Record(bad)
+	table := suspected("a", "b")
+	record, _ := table.Record(bad)
 	notice := Notice{Node: "other", Record: record}
-	is.Equal(register.Decide(bad, 1, at(time.Second)).Action, Try)
-	register.Release(bad, at(time.Second))
-	register.ApplyNotice(notice, at(time.Second+publishRetryDelay), 0)
-	is.Equal(register.Decide(bad, 1, at(time.Second+publishRetryDelay)).Action, Proceed)
-	register.AddLoss(lossOf(bad, 1, "a", "later"), at(time.Second+publishRetryDelay)) // findings of this node count
-	is.Equal(register.Decide(bad, 1, at(time.Second+publishRetryDelay)).Action, Try)
-	register.Release(bad, at(2*time.Second))
-	register.ApplyNotice(notice, at(2*time.Second+clearedRetention), 0)
-	is.Equal(register.Decide(bad, 1, at(2*time.Second+clearedRetention)).Action, Try)
+	is.Equal(table.Decide(bad, 1, at(time.Second)).Action, Try)
+	table.Release(bad, at(time.Second))
+	table.ApplyNotice(notice, at(time.Second+publishRetryDelay), 0)
+	is.Equal(table.Decide(bad, 1, at(time.Second+publishRetryDelay)).Action, Proceed)
+	table.AddLoss(lossOf(bad, 1, "a", "later"), at(time.Second+publishRetryDelay)) // findings of this node count
+	is.Equal(table.Decide(bad, 1, at(time.Second+publishRetryDelay)).Action, Try)
+	table.Release(bad, at(2*time.Second))
+	table.ApplyNotice(notice, at(2*time.Second+clearedRetention), 0)
+	is.Equal(table.Decide(bad, 1, at(2*time.Second+clearedRetention)).Action, Try)
 }
 
 // Guards against requests that wait for a trial that has ended, because other nodes keep repeating it in
 // their notices.
 func TestTrialIsOnlyUpdatedByItsNode(t *testing.T) {
 	is := is.New(t)
-	register := suspected("a", "b")
-	record, _ := register.Record(bad)
+	table := suspected("a", "b")
+	record, _ := table.Record(bad)
 	record.Trials = []Trial{testTrial}
-	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(time.Second), 0)
-	is.Equal(register.Decide(bad, 1, at(time.Second)).Action, Await)
-	register.ApplyNotice(Notice{Node: "third", Record: record}, at(2*time.Second), 0)
-	is.Equal(register.Decide(bad, 1, at(time.Second+trialLease)).Action, Try)
-	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(4*time.Second), 0)
+	table.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(time.Second), 0)
+	is.Equal(table.Decide(bad, 1, at(time.Second)).Action, Await)
+	table.ApplyNotice(Notice{Node: "third", Record: record}, at(2*time.Second), 0)
+	is.Equal(table.Decide(bad, 1, at(time.Second+trialLease)).Action, Try)
+	table.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(4*time.Second), 0)
 	ended := record
 	ended.Trials = nil
-	register.ApplyNotice(Notice{Node: "third", Record: ended}, at(4*time.Second), 0)
-	is.Equal(register.Decide(bad, 1, at(4*time.Second)).Action, Await) // a notice of a third node does not count
-	register.ApplyNotice(Notice{Node: testTrial.Node, Record: ended}, at(4*time.Second), 0)
-	is.Equal(register.Decide(bad, 1, at(4*time.Second)).Action, Try)
-	register.ApplyNotice(Notice{Node: "third", Record: record}, at(4*time.Second), 0)
-	is.Equal(register.Decide(bad, 1, at(4*time.Second)).Action, Try)
+	table.ApplyNotice(Notice{Node: "third", Record: ended}, at(4*time.Second), 0)
+	is.Equal(table.Decide(bad, 1, at(4*time.Second)).Action, Await) // a notice of a third node does not count
+	table.ApplyNotice(Notice{Node: testTrial.Node, Record: ended}, at(4*time.Second), 0)
+	is.Equal(table.Decide(bad, 1, at(4*time.Second)).Action, Try)
+	table.ApplyNotice(Notice{Node: "third", Record: record}, at(4*time.Second), 0)
+	is.Equal(table.Decide(bad, 1, at(4*time.Second)).Action, Try)
 }
 
 // Guards against requests that wait for a trial known only from a notice, whose record is removed from the
@@ -54,14 +54,14 @@
 	source := suspected("a", "b")
 	record, _ := source.Record(bad)
 	record.Trials = []Trial{testTrial}
-	register := newRegister(testTerm)
-	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
-	is.Equal(register.Decide(bad, 1, at(0)).Action, Await)
-	register.StoreRemoved(bad, at(time.Second))
-	is.Equal(register.Decide(bad, 1, at(time.Second)).Action, Proceed)
+	table := newRecordTable(testTerm)
+	table.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
+	is.Equal(table.Decide(bad, 1, at(0)).Action, Await)
+	table.StoreRemoved(bad, at(time.Second))
+	is.Equal(table.Decide(bad, 1, at(time.Second)).Action, Proceed)
 
-	register = suspected("a", "b") // has recent findings of its own
-	register.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
-	register.StoreRemoved(bad, at(publishRetryDelay-1))
-	is.Equal(register.Decide(bad, 1, at(publishRetryDelay-1)).Action, Try)
+	table = suspected("a", "b") // has recent findings of its own
+	table.ApplyNotice(Notice{Node: testTrial.Node, Record: record}, at(0), 0)
+	table.StoreRemoved(bad, at(publishRetryDelay-1))
+	is.Equal(table.Decide(bad, 1, at(publishRetryDelay-1)).Action, Try)
 }
--- a/internal/quarantine/publish.go
+++ b/internal/quarantine/publish.go
@@ -12,52 +12,52 @@
 )
 
 // spawn runs a task in the background; its context is canceled when Run returns.
-func (k *Manager) spawn(task func(ctx context.Context)) {
-	go task(k.context)
+func (m *Manager) spawn(task func(ctx context.Context)) {
+	go task(m.context)
 }
 
 // write writes the record to the store once.
-func (k *Manager) write(ctx context.Context, record Record) (Record, error) {
-	if !k.writes.Allow() {
+func (m *Manager) write(ctx context.Context, record Record) (Record, error) {
+	if !m.writes.Allow() {
 		return record, errRateLimited
 	}
 	if record.Revision == 0 {
 		// Trials of other nodes are left to these nodes to write: they may have ended.
-		record.dropTrials(func(t Trial) bool { return t.Node != k.Node })
+		record.dropTrials(func(t Trial) bool { return t.Node != m.Node })
 	}
 	written := record
-	err := k.callStore(ctx, Notice{Record: record}, func(ctx context.Context) (err error) {
-		written, err = k.Store.Write(ctx, record)
+	err := m.callStore(ctx, Notice{Record: record}, func(ctx context.Context) (err error) {
+		written, err = m.Store.Write(ctx, record)
 		return err
 	})
 	return written, err
 }
 
 // remove removes a record from the store.
-func (k *Manager) remove(ctx context.Context, digest Digest) error {
-	return k.callStore(ctx, Notice{Record: Record{Digest: digest}, Cleared: true}, func(ctx context.Context) error {
-		return k.Store.Remove(ctx, digest)
+func (m *Manager) remove(ctx context.Context, digest Digest) error {
+	return m.callStore(ctx, Notice{Record: Record{Digest: digest}, Cleared: true}, func(ctx context.Context) error {
+		return m.Store.Remove(ctx, digest)
 	})
 }
 
 // callStore makes one call to the store, and broadcasts the notice if the call fails or the store
 // does not answer within broadcastDelay.
-func (k *Manager) callStore(ctx context.Context, notice Notice, call func(ctx context.Context) error) error {
+func (m *Manager) callStore(ctx context.Context, notice Notice, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	timer := time.AfterFunc(broadcastDelay, func() { k.broadcast(notice) })
+	timer := time.AfterFunc(broadcastDelay, func() { m.broadcast(notice) })
 	err := call(ctx)
 	pending := timer.Stop()
-	k.Observer.RecordWritten(err)
+	m.Observer.RecordWritten(err)
 	failed := err != nil && !errors.Is(err, ErrConflict)
-	k.locked(func(now boottime.Instant) {
-		k.storeFailedAt = 0
+	m.locked(func(now boottime.Instant) {
+		m.storeFailedAt = 0
 		if failed {
-			k.storeFailedAt = now
+			m.storeFailedAt = now
 		}
 	})
 	if failed && pending {
-		k.broadcast(notice)
+		m.broadcast(notice)
 	}
 	return err
 }
@@ -66,74 +66,74 @@
 var errStoreDown = errors.New("the store does not answer")
 
 // writeUnlessDown is like write, but if a write has failed recently it only notifies other nodes.
-func (k *Manager) writeUnlessDown(ctx context.Context, record Record) (Record, error) {
-	k.mutex.Lock()
-	down := k.storeFailedAt > 0 && k.Now().Sub(k.storeFailedAt) < storeBackoff
-	k.mutex.Unlock()
+func (m *Manager) writeUnlessDown(ctx context.Context, record Record) (Record, error) {
+	m.mutex.Lock()
+	down := m.storeFailedAt > 0 && m.Now().Sub(m.storeFailedAt) < storeBackoff
+	m.mutex.Unlock()
 	if down {
-		k.broadcast(Notice{Record: record})
+		m.broadcast(Notice{Record: record})
 		return record, errStoreDown
 	}
-	return k.write(ctx, record)
+	return m.write(ctx, record)
 }
 
 // logWriteError logs a failed write; the record is written later or expires.
-func (k *Manager) logWriteError(digest Digest, err error) {
+func (m *Manager) logWriteError(digest Digest, err error) {
 	if err != nil {
 		klog.InfoS("record not written", "digest", digest, "cause", err.Error())
 	}
 }
 
 // publish writes the records that are due.
-func (k *Manager) publish() {
+func (m *Manager) publish() {
 	var due []Record
-	k.locked(func(now boottime.Instant) {
-		due = k.register.Due(now)
+	m.locked(func(now boottime.Instant) {
+		due = m.records.Due(now)
 		for _, record := range due {
-			k.register.Postpone(record.Digest, now.Add(publishRetryDelay))
+			m.records.Postpone(record.Digest, now.Add(publishRetryDelay))
 		}
 	})
 	for _, record := range due {
-		k.spawn(func(ctx context.Context) {
-			k.update(ctx, record.Digest, func(boottime.Instant) (Record, bool) { return k.register.Record(record.Digest) })
+		m.spawn(func(ctx context.Context) {
+			m.update(ctx, record.Digest, func(boottime.Instant) (Record, bool) { return m.records.Record(record.Digest) })
 		})
 	}
 }
 
 // publishAnswer writes to the store that a service has answered a request.
-func (k *Manager) publishAnswer(ctx context.Context, digest Digest, variant Variant, service string) {
+func (m *Manager) publishAnswer(ctx context.Context, digest Digest, variant Variant, service string) {
 	found := false
-	k.locked(func(boottime.Instant) { _, found = k.register.Record(digest) })
+	m.locked(func(boottime.Instant) { _, found = m.records.Record(digest) })
 	if !found {
-		k.logWriteError(digest, k.remove(ctx, digest))
+		m.logWriteError(digest, m.remove(ctx, digest))
 		return
 	}
-	k.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
-		k.register.RequestAnswered(digest, variant, service, now)
-		return k.register.Record(digest)
+	m.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
+		m.records.RequestAnswered(digest, variant, service, now)
+		return m.records.Record(digest)
 	})
 }
 
 // update applies a change to a record and writes the result. If another node has written the
 // record meanwhile, it applies that version and the change again.
-func (k *Manager) update(ctx context.Context, digest Digest, change func(now boottime.Instant) (Record, bool)) {
+func (m *Manager) update(ctx context.Context, digest Digest, change func(now boottime.Instant) (Record, bool)) {
 	for range maxWriteAttempts {
 		var record Record
 		var found bool
-		k.locked(func(now boottime.Instant) { record, found = change(now) })
+		m.locked(func(now boottime.Instant) { record, found = change(now) })
 		if !found {
 			return
 		}
-		written, err := k.write(ctx, record)
+		written, err := m.write(ctx, record)
 		if err != nil && !errors.Is(err, ErrConflict) {
-			k.logWriteError(digest, err)
+			m.logWriteError(digest, err)
 			return
 		}
-		k.locked(func(now boottime.Instant) {
+		m.locked(func(now boottime.Instant) {
 			if err == nil {
-				k.register.Written(written, now)
+				m.records.Written(written, now)
 			} else {
-				k.applyConflict(digest, written, now)
+				m.applyConflict(digest, written, now)
 			}
 		})
 		if err == nil {
@@ -141,16 +141,16 @@
 			return
 		}
 	}
-	k.logWriteError(digest, ErrConflict)
+	m.logWriteError(digest, ErrConflict)
 }
 
 // applyConflict applies the version of a record that another node has written.
-func (k *Manager) applyConflict(digest Digest, record Record, now boottime.Instant) {
+func (m *Manager) applyConflict(digest Digest, record Record, now boottime.Instant) {
 	if record.Revision == 0 {
-		k.register.Release(digest, now)
+		m.records.Release(digest, now)
 		return
 	}
-	k.register.ApplyStored(record, now)
+	m.records.ApplyStored(record, now)
 }
 
 // logQuarantined logs that a request is refused from now on.
@@ -162,47 +162,47 @@
 }
 
 // expire removes the records that have not changed for their retention.
-func (k *Manager) expire() {
+func (m *Manager) expire() {
 	var outdated []Record
-	k.locked(func(now boottime.Instant) { outdated = k.register.Expire(now) })
+	m.locked(func(now boottime.Instant) { outdated = m.records.Expire(now) })
 	for _, record := range outdated {
-		k.spawn(func(ctx context.Context) { k.logWriteError(record.Digest, k.remove(ctx, record.Digest)) })
+		m.spawn(func(ctx context.Context) { m.logWriteError(record.Digest, m.remove(ctx, record.Digest)) })
 	}
 }
 
 // Replace implements catalog.Sink. The store does not expire records, so a list after an outage lacks none.
-func (k *Manager) Replace(records []Record, _ bool) {
-	k.locked(func(now boottime.Instant) { k.register.Replace(records, now) })
+func (m *Manager) Replace(records []Record, _ bool) {
+	m.locked(func(now boottime.Instant) { m.records.Replace(records, now) })
 }
 
 // StoreRestored notes that the store was restored from a backup.
-func (k *Manager) StoreRestored() {
-	if k != nil {
-		k.locked(func(boottime.Instant) { k.register.StoreRestored() })
+func (m *Manager) StoreRestored() {
+	if m != nil {
+		m.locked(func(boottime.Instant) { m.records.StoreRestored() })
 	}
 }
 
 // ReplaceRestored implements catalog.RestoredSink.
-func (k *Manager) ReplaceRestored(records []Record) {
+func (m *Manager) ReplaceRestored(records []Record) {
 	var returned []Digest
 	var due int
-	k.locked(func(now boottime.Instant) {
-		returned = k.register.ReplaceRestored(records, now)
-		due = k.register.unpublished()
+	m.locked(func(now boottime.Instant) {
+		returned = m.records.ReplaceRestored(records, now)
+		due = m.records.unpublished()
 	})
 	klog.InfoS("records of a restored store", "count", len(records), "unwritten", due, "returned", len(returned))
 	for _, digest := range returned {
-		k.spawn(func(ctx context.Context) { k.logWriteError(digest, k.remove(ctx, digest)) })
+		m.spawn(func(ctx context.Context) { m.logWriteError(digest, m.remove(ctx, digest)) })
 	}
 }
 
 // Resumed implements catalog.Sink.
-func (k *Manager) Resumed() {}
+func (m *Manager) Resumed() {}
 
 // Apply implements catalog.Sink.
-func (k *Manager) Apply(change catalog.Change[Record]) {
+func (m *Manager) Apply(change catalog.Change[Record]) {
 	if !change.Removed {
-		k.locked(func(now boottime.Instant) { k.register.ApplyStored(change.Value, now) })
+		m.locked(func(now boottime.Instant) { m.records.ApplyStored(change.Value, now) })
 		logQuarantined(change.Value)
 		return
 	}
@@ -211,5 +211,5 @@
 		klog.InfoS("record removed that is none", "name", change.Name)
 		return
 	}
-	k.locked(func(now boottime.Instant) { k.register.StoreRemoved(digest, now) })
+	m.locked(func(now boottime.Instant) { m.records.StoreRemoved(digest, now) })
 }
--- a/internal/quarantine/record_table.go
+++ b/internal/quarantine/record_table.go
@@ -49,8 +49,8 @@
 	removed map[Digest]boottime.Instant
 }
 
-// newRegister returns an empty register.
-func newRegister(term time.Duration) recordTable {
+// newRecordTable returns an empty table.
+func newRecordTable(term time.Duration) recordTable {
 	return recordTable{
 		term:     term,
 		entries:  make(map[Digest]*entry),
@@ -91,7 +91,7 @@
 	return true
 }
 
-// makeRoom evicts an entry if the register is full: of those without failed or active trials, the
+// makeRoom evicts an entry if the table is full: of those without failed or active trials, the
 // one that has not changed for the longest time. It reports whether there is room.
 func (r *recordTable) makeRoom() bool {
 	if len(r.entries) < maxRecords {
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -43,7 +43,7 @@
 	variant Variant
 }
 
-// trial is a trial of this node. It is guarded by the keeper's lock.
+// trial is a trial of this node. It is guarded by the manager's lock.
 type trial struct {
 	Trial
 	// services are those that were suspected at the start; only events at these decide the result.
@@ -76,7 +76,7 @@
 	// to try it on.
 	NoServer bool
 
-	keeper   *Manager
+	manager  *Manager
 	identity *Identity
 	trial    Trial
 }
@@ -84,36 +84,36 @@
 // Admit decides on a request before anything of it is sent. If a trial of an identical request
 // is active, it waits for the result, for maxWait at most. Usable reports whether one of the
 // services has a server that can be tried.
-func (k *Manager) Admit(ctx context.Context, identity *Identity, maxWait time.Duration, usable func(services []string) bool) Admission {
-	admission := Admission{keeper: k, identity: identity}
-	if !k.mayBeSuspected(identity) {
+func (m *Manager) Admit(ctx context.Context, identity *Identity, maxWait time.Duration, usable func(services []string) bool) Admission {
+	admission := Admission{manager: m, identity: identity}
+	if !m.mayBeSuspected(identity) {
 		return admission
 	}
 	expired := time.NewTimer(min(maxWait, maxAwait))
 	defer expired.Stop()
 	for {
-		decision, record := k.decide(identity)
+		decision, record := m.decide(identity)
 		admission.Action, admission.RetryAfter = decision.Action, decision.RetryAfter
 		switch decision.Action {
 		case Proceed, Refuse:
-			k.Observer.RequestDecided(admission.Action)
+			m.Observer.RequestDecided(admission.Action)
 			return admission
 		case Try:
 			if !usable(record.ServiceNames()) {
 				admission.Action, admission.NoServer = Refuse, true
 				return admission
 			}
-			err := k.begin(ctx, &admission)
+			err := m.begin(ctx, &admission)
 			if err == nil {
-				k.Observer.RequestDecided(Try)
+				m.Observer.RequestDecided(Try)
 				return admission
 			}
 			if errors.Is(err, errRateLimited) {
-				return k.refuseWaiting(admission)
+				return m.refuseWaiting(admission)
 			}
 		}
 		if !await(ctx, decision, expired.C) {
-			return k.refuseWaiting(admission)
+			return m.refuseWaiting(admission)
 		}
 	}
 }
@@ -136,63 +136,63 @@
 }
 
 // refuseWaiting refuses a request whose wait for a trial was unsuccessful.
-func (k *Manager) refuseWaiting(admission Admission) Admission {
-	k.Observer.RequestDecided(Await)
+func (m *Manager) refuseWaiting(admission Admission) Admission {
+	m.Observer.RequestDecided(Await)
 	admission.Action, admission.RetryAfter = Refuse, trialPause
 	return admission
 }
 
 // mayBeSuspected reports whether there may be a record of the request.
-func (k *Manager) mayBeSuspected(identity *Identity) bool {
-	if k == nil || identity == nil || !k.hasRecords.Load() {
+func (m *Manager) mayBeSuspected(identity *Identity) bool {
+	if m == nil || identity == nil || !m.hasRecords.Load() {
 		return false
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.register.MayContain(identity)
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.records.MayContain(identity)
 }
 
-func (k *Manager) decide(identity *Identity) (Decision, Record) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	record, _ := k.register.Record(identity.Digest())
-	return k.register.Decide(identity.Digest(), identity.Variant(), k.Now()), record
+func (m *Manager) decide(identity *Identity) (Decision, Record) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	record, _ := m.records.Record(identity.Digest())
+	return m.records.Decide(identity.Digest(), identity.Variant(), m.Now()), record
 }
 
 // begin requests the permission for a trial from the store, which grants it to one node at a
-// time. A node that cannot reach the store makes one trial at a time on its own. ErrChanged
+// time. A node that cannot reach the store makes one trial at a time on its own. ErrConflict
 // means that another node was first and its version of the record was applied.
-func (k *Manager) begin(ctx context.Context, admission *Admission) error {
+func (m *Manager) begin(ctx context.Context, admission *Admission) error {
 	digest := admission.identity.Digest()
-	t := &trial{Trial: Trial{Node: k.Node, Number: rand.Uint64() >> 12, Variant: admission.identity.Variant()}}
-	record, free := k.reserve(digest, t)
+	t := &trial{Trial: Trial{Node: m.Node, Number: rand.Uint64() >> 12, Variant: admission.identity.Variant()}}
+	record, free := m.reserve(digest, t)
 	if !free {
 		return ErrConflict
 	}
-	begun := k.Now()
-	written, err := k.writeUnlessDown(ctx, record)
-	k.locked(func(now boottime.Instant) { t.announced = err != nil || now.Sub(begun) >= broadcastDelay })
+	begun := m.Now()
+	written, err := m.writeUnlessDown(ctx, record)
+	m.locked(func(now boottime.Instant) { t.announced = err != nil || now.Sub(begun) >= broadcastDelay })
 	if errors.Is(err, ErrConflict) || errors.Is(err, errRateLimited) {
-		k.locked(func(now boottime.Instant) {
-			delete(k.trials, trialKey{digest, t.Variant})
-			k.register.EndTrial(digest, t.Trial, 0, now)
+		m.locked(func(now boottime.Instant) {
+			delete(m.trials, trialKey{digest, t.Variant})
+			m.records.EndTrial(digest, t.Trial, 0, now)
 			if errors.Is(err, ErrConflict) {
-				k.applyConflict(digest, written, now)
+				m.applyConflict(digest, written, now)
 			}
 		})
 		return err
 	}
 	if err == nil {
-		k.locked(func(now boottime.Instant) { k.register.Written(written, now) })
+		m.locked(func(now boottime.Instant) { m.records.Written(written, now) })
 	}
 	admission.trial, admission.SuspectedServices = t.Trial, t.services
-	k.spawn(func(ctx context.Context) { k.renew(ctx, digest, t.Trial) })
+	m.spawn(func(ctx context.Context) { m.renew(ctx, digest, t.Trial) })
 	klog.InfoS("request trial", "digest", digest, "variant", t.Variant, "services", record.ServiceNames(), "failed", record.FailedTrials(), "asked_store", err == nil)
 	return nil
 }
 
 // renew renews the lease of a trial until the trial ends.
-func (k *Manager) renew(ctx context.Context, digest Digest, t Trial) {
+func (m *Manager) renew(ctx context.Context, digest Digest, t Trial) {
 	ticker := time.NewTicker(trialRenewInterval)
 	defer ticker.Stop()
 	for {
@@ -201,32 +201,32 @@
 			return
 		case <-ticker.C:
 		}
-		if !k.isActive(digest, t) {
+		if !m.isActive(digest, t) {
 			return
 		}
-		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) { return k.register.RenewTrial(digest, t, now) })
+		m.update(ctx, digest, func(now boottime.Instant) (Record, bool) { return m.records.RenewTrial(digest, t, now) })
 	}
 }
 
 // isActive reports whether this node's trial has not ended yet.
-func (k *Manager) isActive(digest Digest, t Trial) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	current := k.trials[trialKey{digest, t.Variant}]
+func (m *Manager) isActive(digest Digest, t Trial) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	current := m.trials[trialKey{digest, t.Variant}]
 	return current != nil && current.Trial == t
 }
 
 // reserve registers a trial of this node, which excludes further trials of the same request. It
 // returns the record to be written.
-func (k *Manager) reserve(digest Digest, t *trial) (record Record, free bool) {
-	k.locked(func(now boottime.Instant) {
+func (m *Manager) reserve(digest Digest, t *trial) (record Record, free bool) {
+	m.locked(func(now boottime.Instant) {
 		key := trialKey{digest, t.Variant}
-		if k.trials[key] != nil || !k.register.BeginTrial(digest, t.Trial, now) {
+		if m.trials[key] != nil || !m.records.BeginTrial(digest, t.Trial, now) {
 			return
 		}
-		record, free = k.register.Record(digest)
+		record, free = m.records.Record(digest)
 		t.failed, t.services = record.failedTrials(t.Variant), record.ServiceNames()
-		k.trials[key] = t
+		m.trials[key] = t
 	})
 	return record, free
 }
@@ -234,13 +234,13 @@
 // MaySend reports whether the request may still be sent. It is called right before each send:
 // the record may have changed while the request waited or the machine was suspended.
 func (a *Admission) MaySend() bool {
-	k := a.keeper
-	if !k.mayBeSuspected(a.identity) {
+	m := a.manager
+	if !m.mayBeSuspected(a.identity) {
 		return true
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.register.MaySend(a.identity.Digest(), a.identity.Variant(), a.trial, k.Now())
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.records.MaySend(a.identity.Digest(), a.identity.Variant(), a.trial, m.Now())
 }
 
 // IsTrial reports whether the request is a trial.
@@ -252,23 +252,23 @@
 	if !a.IsTrial() {
 		return
 	}
-	a.keeper.spawn(func(ctx context.Context) { a.keeper.resolve(ctx, a.identity.Digest(), a.trial) })
+	a.manager.spawn(func(ctx context.Context) { a.manager.resolve(ctx, a.identity.Digest(), a.trial) })
 }
 
 // resolve ends a trial as soon as its result is known.
-func (k *Manager) resolve(ctx context.Context, digest Digest, t Trial) {
-	began, pause := k.Now(), resolveBackoff
+func (m *Manager) resolve(ctx context.Context, digest Digest, t Trial) {
+	began, pause := m.Now(), resolveBackoff
 	for {
-		loss, open := k.pendingLoss(digest, t)
-		if !open || k.Now().Sub(began) > resolveTimeout {
-			k.locked(func(boottime.Instant) {
-				if current := k.trials[trialKey{digest, t.Variant}]; current != nil && current.Trial == t {
-					k.finish(digest, current, TrialUnknown)
+		loss, open := m.pendingLoss(digest, t)
+		if !open || m.Now().Sub(began) > resolveTimeout {
+			m.locked(func(boottime.Instant) {
+				if current := m.trials[trialKey{digest, t.Variant}]; current != nil && current.Trial == t {
+					m.finish(digest, current, TrialUnknown)
 				}
 			})
 			return
 		}
-		k.checkServer(ctx, loss)
+		m.checkServer(ctx, loss)
 		select {
 		case <-ctx.Done():
 			return
@@ -280,50 +280,50 @@
 
 // pendingLoss returns the lost attempt of a trial, and whether it is still unknown whether the
 // server has crashed.
-func (k *Manager) pendingLoss(digest Digest, t Trial) (Loss, bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	current := k.trials[trialKey{digest, t.Variant}]
+func (m *Manager) pendingLoss(digest Digest, t Trial) (Loss, bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	current := m.trials[trialKey{digest, t.Variant}]
 	if current == nil || current.Trial != t || current.loss == nil {
 		return Loss{}, false
 	}
-	return *current.loss, k.ledger.Pending(*current.loss)
+	return *current.loss, m.losses.Pending(*current.loss)
 }
 
 // finish ends a trial and publishes its result to all nodes. The lock is held.
-func (k *Manager) finish(digest Digest, t *trial, result TrialResult) {
-	delete(k.trials, trialKey{digest, t.Variant})
-	k.Observer.TrialEnded(result)
+func (m *Manager) finish(digest Digest, t *trial, result TrialResult) {
+	delete(m.trials, trialKey{digest, t.Variant})
+	m.Observer.TrialEnded(result)
 	klog.InfoS("request trial ended", "digest", digest, "variant", t.Variant, "result", result.String())
 	if result == TrialAnswered {
-		k.register.TrialAnswered(digest, t.Variant, k.Now())
+		m.records.TrialAnswered(digest, t.Variant, m.Now())
 	}
-	if _, suspected := k.register.Record(digest); !suspected {
-		k.broadcastEnd(t, Notice{Record: Record{Digest: digest}, Cleared: true})
-		k.spawn(func(ctx context.Context) { k.logWriteError(digest, k.remove(ctx, digest)) })
+	if _, suspected := m.records.Record(digest); !suspected {
+		m.broadcastEnd(t, Notice{Record: Record{Digest: digest}, Cleared: true})
+		m.spawn(func(ctx context.Context) { m.logWriteError(digest, m.remove(ctx, digest)) })
 		return
 	}
 	failed := 0
 	if result == TrialFailed {
 		failed = t.failed + 1
 	}
-	if record, found := k.register.EndTrial(digest, t.Trial, failed, k.Now()); found {
-		k.broadcastEnd(t, Notice{Record: record})
+	if record, found := m.records.EndTrial(digest, t.Trial, failed, m.Now()); found {
+		m.broadcastEnd(t, Notice{Record: record})
 	}
-	k.spawn(func(ctx context.Context) {
-		k.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
+	m.spawn(func(ctx context.Context) {
+		m.update(ctx, digest, func(now boottime.Instant) (Record, bool) {
 			if result == TrialAnswered {
-				k.register.TrialAnswered(digest, t.Variant, now)
+				m.records.TrialAnswered(digest, t.Variant, now)
 			}
-			return k.register.EndTrial(digest, t.Trial, failed, now)
+			return m.records.EndTrial(digest, t.Trial, failed, now)
 		})
 	})
 }
 
 // broadcastEnd notifies the nodes that were notified of a trial of its end: they would otherwise wait until
 // its lease is over.
-func (k *Manager) broadcastEnd(t *trial, notice Notice) {
+func (m *Manager) broadcastEnd(t *trial, notice Notice) {
 	if t.announced {
-		k.broadcast(notice)
+		m.broadcast(notice)
 	}
 }
--- a/internal/retrybudget/pool.go
+++ b/internal/retrybudget/pool.go
@@ -9,8 +9,8 @@
 type SendCounts map[string]int
 
 // Pool grants extra sends to the nodes that share it. It grants at most the capacity for
-// each service in any window that is longer by GrantLife than that of the limits, because
-// grants may be used up to GrantLife later. The zero value grants nothing. It is safe for
+// each service in any window that is longer by GrantTTL than that of the limits, because
+// grants may be used up to GrantTTL later. The zero value grants nothing. It is safe for
 // concurrent use.
 //
 // A pool starts without its capacity: the pool that it replaces may just have granted all
@@ -31,7 +31,7 @@
 
 // Grant returns the extra sends granted of those wanted. The first call, even one that wants
 // nothing, opens the pool.
-func (p *Pool) Grant(wants SendCounts, now time.Time) SendCounts {
+func (p *Pool) Grant(wanted SendCounts, now time.Time) SendCounts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.openedAt.IsZero() {
@@ -39,8 +39,8 @@
 		p.limits.Started = now
 		p.budgets = make(map[string]*Budget)
 	}
-	granted := make(SendCounts, len(wants))
-	for service, count := range wants {
+	granted := make(SendCounts, len(wanted))
+	for service, count := range wanted {
 		if taken := p.take(service, count, now); taken > 0 {
 			granted[service] = taken
 		}
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -86,7 +86,7 @@
 // GrantTTL is how long a grant of a pool is valid.
 const GrantTTL = 2 * time.Second
 
-// Grant adds sends that a pool granted. They expire GrantLife after they were requested.
+// Grant adds sends that a pool granted. They expire GrantTTL after they were requested.
 func (b *Budget) Grant(count int, asked time.Time) {
 	until := asked.Add(GrantTTL)
 	if asked.After(b.grantedUntil) {
--- a/internal/rollout/agent_test.go
+++ b/internal/rollout/agent_test.go
@@ -195,7 +195,7 @@
 	return nil, errors.New("no such node")
 }
 
-// WriteStatus implements Registry.
+// WriteStatus implements StatusStore.
 func (n *agentNode) WriteStatus(ctx context.Context, order Order, status Status) (Order, error) {
 	c := n.cluster
 	c.mutex.Lock()
--- a/internal/rollout/restored.go
+++ b/internal/rollout/restored.go
@@ -94,7 +94,7 @@
 	return orders
 }
 
-// DropMissing removes the orders that a restored store has lacked for catalog.RewriteTime.
+// DropMissing removes the orders that a restored store has lacked for catalog.OperatorRewriteTime.
 func (t *Tracker) DropMissing(now time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
