--- a/internal/crashguard/crashguard_test.go
+++ b/internal/crashguard/crashguard_test.go
@@ -6,30 +6,30 @@
 	"github.com/matryer/is"
 )
 
-func TestState(t *testing.T) {
-	loss, serialLoss := func(s *Guard) { s.RecordLoss(false) }, func(s *Guard) { s.RecordLoss(true) }
+func TestGuard(t *testing.T) {
+	loss, serialLoss := func(g *Guard) { g.RecordLoss(false) }, func(g *Guard) { g.RecordLoss(true) }
 	for _, test := range []struct {
 		name            string
-		events          []func(s *Guard)
+		events          []func(g *Guard)
 		serial, stopped bool
 	}{
 		{"nothing", nil, false, false},
-		{"two losses", []func(s *Guard){loss, loss}, false, false},
-		{"three losses", []func(s *Guard){loss, loss, loss}, true, false},
-		{"a serial attempt is lost", []func(s *Guard){loss, loss, loss, serialLoss}, true, true},
-		{"an answer after losses", []func(s *Guard){loss, loss, loss, (*Guard).RecordAnswer}, false, false},
-		{"an answer before losses", []func(s *Guard){(*Guard).RecordAnswer, loss, loss, loss, loss}, false, false},
-		{"an answer after a serial loss", []func(s *Guard){loss, loss, loss, serialLoss, (*Guard).RecordAnswer}, false, false},
-		{"a trial is lost", []func(s *Guard){serialLoss}, false, true},
+		{"two losses", []func(g *Guard){loss, loss}, false, false},
+		{"three losses", []func(g *Guard){loss, loss, loss}, true, false},
+		{"a serial attempt is lost", []func(g *Guard){loss, loss, loss, serialLoss}, true, true},
+		{"an answer after losses", []func(g *Guard){loss, loss, loss, (*Guard).RecordAnswer}, false, false},
+		{"an answer before losses", []func(g *Guard){(*Guard).RecordAnswer, loss, loss, loss, loss}, false, false},
+		{"an answer after a serial loss", []func(g *Guard){loss, loss, loss, serialLoss, (*Guard).RecordAnswer}, false, false},
+		{"a trial is lost", []func(g *Guard){serialLoss}, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			var state Guard
+			var guard Guard
 			for _, event := range test.events {
-				event(&state)
+				event(&guard)
 			}
-			is.Equal(state.Sequential(), test.serial)
-			is.Equal(state.Stopped(), test.stopped)
+			is.Equal(guard.Sequential(), test.serial)
+			is.Equal(guard.Stopped(), test.stopped)
 		})
 	}
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -78,8 +78,8 @@
 // CrashedServers returns the number of crashed servers listed.
 func (r Record) CrashedServers() int {
 	count := 0
-	for _, suspicion := range r.SuspectedServices {
-		count += len(suspicion.Servers)
+	for _, suspected := range r.SuspectedServices {
+		count += len(suspected.Servers)
 	}
 	return count
 }
@@ -177,8 +177,8 @@
 // ServiceNames returns the names of the suspected services.
 func (r Record) ServiceNames() []string {
 	services := make([]string, len(r.SuspectedServices))
-	for index, suspicion := range r.SuspectedServices {
-		services[index] = suspicion.Service
+	for index, suspected := range r.SuspectedServices {
+		services[index] = suspected.Service
 	}
 	return services
 }
@@ -202,11 +202,11 @@
 	if !found {
 		r.SuspectedServices = slices.Insert(r.SuspectedServices, index, SuspectedService{Service: service})
 	}
-	suspicion := &r.SuspectedServices[index]
-	if slices.Contains(suspicion.Servers, server) || len(suspicion.Servers) >= maxServers {
+	suspected := &r.SuspectedServices[index]
+	if slices.Contains(suspected.Servers, server) || len(suspected.Servers) >= maxServers {
 		return false
 	}
-	suspicion.Servers = append(suspicion.Servers, server)
+	suspected.Servers = append(suspected.Servers, server)
 	return true
 }
 
@@ -230,9 +230,9 @@
 // merge adds what another version of the record lists; it reports whether the record changed.
 func (r *Record) merge(other Record) bool {
 	changed := false
-	for _, suspicion := range other.SuspectedServices {
-		for _, server := range suspicion.Servers {
-			changed = r.addServer(suspicion.Service, server) || changed
+	for _, suspected := range other.SuspectedServices {
+		for _, server := range suspected.Servers {
+			changed = r.addServer(suspected.Service, server) || changed
 		}
 	}
 	for _, suspect := range other.SuspectedVariants {
