--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -228,7 +228,7 @@
 }
 
 // A process that was frozen discards its reports, which may be outdated.
-func TestFrozenDeciderDiscardsReports(t *testing.T) {
+func TestEvidenceIsCurrent(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
 	view := View{Order: orderAt(StateRunning, StageCanary, 0), Bounds: deciderBounds, Elapsed: 9 * time.Second, Live: 1}
--- a/spec/followers.pml
+++ b/spec/followers.pml
@@ -53,7 +53,7 @@
 #endif
 
 inline take(node, newer, since) {
-	INVARIANT(OlderListIsNotTaken, newer >= known[node]);
+	INVARIANT(OutdatedListIsRejected, newer >= known[node]);
 	known[node] = newer;
 	age[node] = since
 }
@@ -155,7 +155,7 @@
 
 /* The end of a round. */
 inline tick() {
-	INVARIANT(NodesRecoverSoonAfterACut, calm < RECOVERY || known[0] == revision && known[1] == revision && known[2] == revision);
+	INVARIANT(NodesRecoverSoonAfterPartition, calm < RECOVERY || known[0] == revision && known[1] == revision && known[2] == revision);
 	INVARIANT(FewNodesReadTheStore, calm < CALM || CUT > 0 || calls <= 1);
 	pass(0); pass(1); pass(2);
 	calls = 0;
--- a/spec/restored.pml
+++ b/spec/restored.pml
@@ -43,7 +43,7 @@
 inline adopt(node, newer) {
 	if
 	:: ADOPTS(node, newer) ->
-		INVARIANT(NodesAgreeWithARestoredStore, newer >= inForce[node]);
+		INVARIANT(NodesAgreeWithRestoredStore, newer >= inForce[node]);
 		inForce[node] = newer
 	:: else -> skip
 	fi
@@ -101,5 +101,5 @@
 	:: else -> skip
 	fi;
 	timeout;
-	INVARIANT(NodesAgreeWithARestoredStore, inForce[0] == said && inForce[1] == said)
+	INVARIANT(NodesAgreeWithRestoredStore, inForce[0] == said && inForce[1] == said)
 }
--- a/spec/rollout.pml
+++ b/spec/rollout.pml
@@ -79,7 +79,7 @@
 			fi }
 	:: d_step { RUNS(node) && !writing[node] && pooled[node] -> write(node, ROLLED_BACK, knownStage[node]) }
 	:: d_step { writing[node] && HOLDS(node) && revision < 6 ->
-			INVARIANT(EndedStays, state == RUNNING);
+			INVARIANT(EndedOrderStaysEnded, state == RUNNING);
 			revision++;
 			state = newState[node];
 			stage = newStage[node];
