--- a/internal/catalog/follower_test.go
+++ b/internal/catalog/follower_test.go
@@ -44,6 +44,11 @@
 func (m *memoryFeed) set(name, value string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
+	m.setLocked(name, value)
+}
+
+// setLocked is set for a caller that holds the mutex.
+func (m *memoryFeed) setLocked(name, value string) {
 	m.revision++
 	m.items[name] = value
 	m.changes = append(m.changes, Change[string]{Name: name, Value: value})
@@ -54,10 +59,26 @@
 func (m *memoryFeed) discardHistory() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
+	m.discardHistoryLocked()
+}
+
+// discardHistoryLocked is discardHistory for a caller that holds the mutex.
+func (m *memoryFeed) discardHistoryLocked() {
 	m.changes = nil
 	m.first = m.revision + 1
 }
 
+// setAndDiscardHistory sets an object to each value in turn and discards the history, all in one
+// critical section: a watch that is woken by a change finds the history gone.
+func (m *memoryFeed) setAndDiscardHistory(name string, values ...string) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	for _, value := range values {
+		m.setLocked(name, value)
+	}
+	m.discardHistoryLocked()
+}
+
 func (m *memoryFeed) configure(change func()) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -299,9 +320,7 @@
 			is.Equal(lists, 1)
 			is.True(!outage) // the first list, without any fault
 			test.fault(feed)
-			feed.set("main", "two")
-			feed.set("main", "three")
-			feed.discardHistory()
+			feed.setAndDiscardHistory("main", "two", "three")
 			time.Sleep(3 * watchWait)
 			lists, outage = sink.lists()
 			is.Equal(lists, 2)
--- a/internal/catalog/relay_test.go
+++ b/internal/catalog/relay_test.go
@@ -213,8 +213,7 @@
 		relay.published = nil
 		relay.mutex.Unlock()
 		store.configure(func() { store.delay = 10 * time.Millisecond })
-		store.set("b", "two")
-		store.discardHistory()
+		store.setAndDiscardHistory("b", "two")
 		time.Sleep(10 * time.Second)
 		relay.mutex.Lock()
 		defer relay.mutex.Unlock()
@@ -262,8 +261,7 @@
 				relay.mutex.Lock()
 				relay.source = other
 				relay.mutex.Unlock()
-				store.set("b", "two")
-				store.discardHistory()
+				store.setAndDiscardHistory("b", "two")
 				time.Sleep(relistDelay / 2)
 				is.Equal(store.listed(), 1)
 				if !test.silent {
