--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// dialTimeout bounds the time for a connection to come up.
+	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = time.Second
 	readerBytes = 4096
-	// largeBodyBytes is the size from which a body is written while the answer
-	// is awaited: a server may answer before it has read a long body.
+	// largeBodyBytes is the size from which a body is written while the client
+	// already reads: a server may answer before it has read a large body.
 	largeBodyBytes = 4096
 )
 
@@ -31,7 +31,7 @@
 	readers sync.Pool
 }
 
-// NewClient returns a client that speaks the given headers.
+// NewClient returns a client that uses the given header names.
 func NewClient(headers Headers) *Client {
 	return &Client{
 		headers: headers,
@@ -41,24 +41,24 @@
 	}
 }
 
-// Forget closes the idle connections to the server's process.
-func (c *Client) Forget(incarnation string) { c.pool.forget(incarnation) }
+// Forget closes the idle connections to one incarnation of a server.
+func (c *Client) Forget(incarnation string) { c.pool.closeIdle(incarnation) }
 
-// Idle returns the number of idle connections to servers.
+// Idle returns the number of idle connections to all servers.
 func (c *Client) Idle() int { return c.pool.count() }
 
-// HasIdle reports whether there is an idle connection to the server's process.
+// HasIdle reports whether there is an idle connection to this incarnation of a server.
 func (c *Client) HasIdle(incarnation string) bool { return c.pool.has(incarnation) }
 
-// Sweep closes connections that have rested too long.
-func (c *Client) Sweep(now time.Time) { c.pool.sweep(now) }
+// Sweep closes connections whose idle time has expired.
+func (c *Client) Sweep(now time.Time) { c.pool.closeExpired(now) }
 
-// Do makes one attempt. It returns at the deadline, or soon after ctx ends, at
-// the latest; the connection is then closed, so that the server can stop.
+// Do makes one attempt. It returns no later than the deadline, or soon after ctx
+// is canceled; it then closes the connection, so that the server can stop working.
 func (c *Client) Do(ctx context.Context, call Call) Reply {
 	conn, err := c.connect(ctx, call)
 	if err != nil {
-		return unsent(failure(ctx, call, unconnectedKind(err), verdict.NotRun, err))
+		return markUnsent(failedReply(ctx, call, dialErrorKind(err), verdict.NotRun, err))
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	reply, reusable := c.exchange(ctx, conn, call)
@@ -66,12 +66,12 @@
 		_ = conn.Close()
 		return reply
 	}
-	c.pool.put(call.process(), conn, call.IdleLimit)
+	c.pool.put(call.poolKey(), conn, call.IdleLimit)
 	return reply
 }
 
-// Reaches reports whether there is a way to the address; that nobody listens there
-// shows one, too.
+// Reaches reports whether the host of the address can be reached. A refused or
+// reset connection counts as reachable: the host has responded.
 func (c *Client) Reaches(ctx context.Context, address string) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// Refuses reports whether nobody listens at the address.
+// Refuses reports whether the address refuses connections, as it does without a listener.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -93,7 +93,7 @@
 
 func (c *Client) connect(ctx context.Context, call Call) (*connection, error) {
 	now := time.Now()
-	if conn := c.pool.take(call.process(), now); conn != nil {
+	if conn := c.pool.get(call.poolKey(), now); conn != nil {
 		return conn, conn.SetDeadline(call.Deadline)
 	}
 	dialer := c.dialer
@@ -105,77 +105,78 @@
 	return &connection{Conn: opened}, opened.SetDeadline(call.Deadline)
 }
 
-// exchange sends the request and reads its answer. The second result tells
-// whether the connection may carry another request.
+// exchange sends the request and reads its answer. The second result reports
+// whether the connection can be reused.
 func (c *Client) exchange(ctx context.Context, conn *connection, call Call) (Reply, bool) {
-	left := time.Until(call.Deadline)
-	if left < time.Millisecond {
-		return unsent(failure(ctx, call, Expired, verdict.NotRun, errors.New("no time left to send"))), false
+	remaining := time.Until(call.Deadline)
+	if remaining < time.Millisecond {
+		return markUnsent(failedReply(ctx, call, Expired, verdict.NotRun, errors.New("no time left to send the request"))), false
 	}
 	if call.Permitted != nil && !call.Permitted() {
-		return unsent(Reply{Kind: Withheld, Verdict: verdict.NotRun, Err: errWithheld}), conn.used
+		return markUnsent(Reply{Kind: Withheld, Verdict: verdict.NotRun, Err: errWithheld}), conn.used
 	}
-	sent := c.send(conn, call, left)
-	if err := sent.failed(); err != nil {
-		return failure(ctx, call, lostKind(conn, err), verdict.MayHaveRun, err), false
+	sent := c.send(conn, call, remaining)
+	if err := sent.syncError(); err != nil {
+		return failedReply(ctx, call, ioErrorKind(conn, err), verdict.MayHaveRun, err), false
 	}
 	reader := c.readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
-	defer c.release(reader)
-	reply, framing := c.receive(reader, call, conn.used)
+	defer c.putReader(reader)
+	reply, persistence := c.receive(reader, call, conn.used)
 	if reply.Err != nil {
 		if reply.Kind == Lost {
-			reply.Kind = lostKind(conn, reply.Err)
+			reply.Kind = ioErrorKind(conn, reply.Err)
 		}
-		return failure(ctx, call, reply.Kind, reply.Verdict, reply.Err), false
+		return failedReply(ctx, call, reply.Kind, reply.Verdict, reply.Err), false
 	}
-	reusable := framing.keep && reader.Buffered() == 0 && sent.complete()
+	reusable := persistence.reusable && reader.Buffered() == 0 && sent.complete()
 	conn.used = true
-	conn.expires = time.Now().Add(framing.idle - idleMargin)
+	conn.expires = time.Now().Add(persistence.idleTimeout - idleMargin)
 	return reply, reusable
 }
 
-var errWithheld = errors.New("the server takes no more requests")
+var errWithheld = errors.New("the server accepts no more requests")
 
-// unconnectedKind tells a connection that the server reset while it came up, as it
-// does beyond its limit of connections, from an address where nobody answers.
-func unconnectedKind(err error) Kind {
+// dialErrorKind classifies a dial error. A reset while connecting means that the
+// server is at its connection limit; any other error means that it is unreachable.
+func dialErrorKind(err error) Kind {
 	if errors.Is(err, unix.ECONNRESET) {
 		return Reset
 	}
 	return Unreachable
 }
 
-// unsent marks the reply of an attempt that wrote nothing.
-func unsent(reply Reply) Reply {
+// markUnsent marks the reply of an attempt that has written nothing.
+func markUnsent(reply Reply) Reply {
 	reply.Unsent = true
 	return reply
 }
 
-// lostKind tells a reset of a new connection from other losses.
-func lostKind(conn *connection, err error) Kind {
+// ioErrorKind distinguishes a reset of a new connection from other lost connections.
+func ioErrorKind(conn *connection, err error) Kind {
 	if !conn.used && (errors.Is(err, unix.ECONNRESET) || errors.Is(err, unix.EPIPE)) {
 		return Reset
 	}
 	return Lost
 }
 
-func (c *Client) release(reader *bufio.Reader) {
+func (c *Client) putReader(reader *bufio.Reader) {
 	reader.Reset(nil)
 	c.readers.Put(reader)
 }
 
-// sending is a request that is being written.
-type sending struct {
+// requestWrite is the write of one request: finished, or still running in the
+// background if done is not nil.
+type requestWrite struct {
 	done chan error
 	err  error
 }
 
-// failed returns the error of a write that has ended already.
-func (s *sending) failed() error { return s.err }
+// syncError returns the error of a write that did not run in the background.
+func (s *requestWrite) syncError() error { return s.err }
 
 // complete reports whether the whole request was written.
-func (s *sending) complete() bool {
+func (s *requestWrite) complete() bool {
 	if s.done == nil {
 		return s.err == nil
 	}
@@ -187,13 +188,13 @@
 	}
 }
 
-func (c *Client) send(conn *connection, call Call, left time.Duration) *sending {
-	message := c.serialize(call, left)
+func (c *Client) send(conn *connection, call Call, remaining time.Duration) *requestWrite {
+	message := c.serialize(call, remaining)
 	if len(call.Request.Body) < largeBodyBytes {
 		_, err := conn.Write(append(message, call.Request.Body...))
-		return &sending{err: err}
+		return &requestWrite{err: err}
 	}
-	sent := &sending{done: make(chan error, 1)}
+	sent := &requestWrite{done: make(chan error, 1)}
 	go func() {
 		buffers := net.Buffers{message, call.Request.Body}
 		_, err := buffers.WriteTo(conn.Conn)
@@ -202,12 +203,12 @@
 	return sent
 }
 
-func (c *Client) serialize(call Call, left time.Duration) []byte {
+func (c *Client) serialize(call Call, remaining time.Duration) []byte {
 	message := make([]byte, 0, len(call.Request.Head)+len(call.Request.Body)+128)
 	message = append(message, call.Request.Head...)
 	message = append(message, c.headers.Deadline...)
 	message = append(message, ": "...)
-	message = strconv.AppendInt(message, left.Milliseconds(), 10)
+	message = strconv.AppendInt(message, remaining.Milliseconds(), 10)
 	message = append(message, "\r\n"...)
 	message = append(message, c.headers.ExpectedInstance...)
 	message = append(message, ": "...)
@@ -215,9 +216,9 @@
 	return append(message, "\r\n\r\n"...)
 }
 
-// failure classifies an error: one that came from the end of ctx or of the time
-// is no fault of the server.
-func failure(ctx context.Context, call Call, kind Kind, ran verdict.Verdict, err error) Reply {
+// failedReply returns the reply of a failed attempt. An error after ctx was canceled
+// or the deadline passed does not count against the server.
+func failedReply(ctx context.Context, call Call, kind Kind, ran verdict.Verdict, err error) Reply {
 	if ctx.Err() != nil || !time.Now().Before(call.Deadline) {
 		kind = Expired
 	}
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -29,7 +29,7 @@
 	return server
 }
 
-// firstThen behaves once and answers after that.
+// firstThen uses the behavior for the first request and answers all others.
 func firstThen(behavior standin.Behavior) func(int) standin.Behavior {
 	return func(n int) standin.Behavior {
 		if n == 0 {
@@ -57,30 +57,30 @@
 
 func lengthOf(body string) string { return strconv.Itoa(len(body)) }
 
-func TestResults(t *testing.T) {
+func TestReplyKinds(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		behavior standin.Behavior
 		kind     upstream.Kind
 		verdict  verdict.Verdict
-		// reused tells whether the connection carries the next request.
+		// reused is set if the next request uses the same connection.
 		reused bool
 	}{
 		{"answer", standin.Answer, upstream.Answered, verdict.Ran, true},
 		{"shed", standin.Shed, upstream.Refused, verdict.NotRun, true},
-		{"own failure", standin.Fail, upstream.Answered, verdict.Ran, true},
+		{"server error", standin.Fail, upstream.Answered, verdict.Ran, true},
 		{"lost answer", standin.LoseAnswer, upstream.Expired, verdict.MayHaveRun, false},
 		{"reset of a new connection", standin.ResetAfterRun, upstream.Reset, verdict.MayHaveRun, false},
-		{"broken off", standin.BreakOff, upstream.Lost, verdict.MayHaveRun, false},
-		{"garbled", standin.Garble, upstream.Malformed, verdict.MayHaveRun, false},
-		{"doubled", standin.AnswerTwice, upstream.Answered, verdict.Ran, false},
+		{"truncated", standin.BreakOff, upstream.Lost, verdict.MayHaveRun, false},
+		{"not HTTP", standin.Garble, upstream.Malformed, verdict.MayHaveRun, false},
+		{"duplicated", standin.AnswerTwice, upstream.Answered, verdict.Ran, false},
 		{"without length", standin.Unframed, upstream.Answered, verdict.Ran, false},
 		{"without length, reset", standin.UnframedReset, upstream.Reset, verdict.MayHaveRun, false},
-		{"after a foreign answer", standin.ForeignFirst, upstream.Answered, verdict.Ran, true},
-		{"encoded", standin.Encoded, upstream.Malformed, verdict.Ran, false},
-		{"unsealed", standin.Unsealed, upstream.Malformed, verdict.Ran, false},
-		{"closing", standin.CloseAfter, upstream.Answered, verdict.Ran, false},
-		// Only the mark says that a request did not run, whatever the status promises.
+		{"after an answer to another request", standin.ForeignFirst, upstream.Answered, verdict.Ran, true},
+		{"content encoding", standin.Encoded, upstream.Malformed, verdict.Ran, false},
+		{"without seal", standin.Unsealed, upstream.Malformed, verdict.Ran, false},
+		{"closed after the answer", standin.CloseAfter, upstream.Answered, verdict.Ran, false},
+		// Only the header says that a request has not run, whatever the status implies.
 		{"refused after it ran", standin.RefuseAfterRun, upstream.Malformed, verdict.MayHaveRun, false},
 		{"misdirected after it ran", standin.MisdirectAfterRun, upstream.Foreign, verdict.MayHaveRun, true},
 	} {
@@ -99,14 +99,14 @@
 				is.Equal(reply.Seal, server.Seal("id-1"))
 			}
 			next := client.Do(t.Context(), call(server, "id-2", ""))
-			is.Equal(next.Kind, upstream.Answered) // nothing of the first is left over
+			is.Equal(next.Kind, upstream.Answered) // no bytes of the first answer remain
 			is.Equal(next.Seal, server.Seal("id-2"))
 			is.Equal(server.Opened() == 1, test.reused)
 		})
 	}
 }
 
-func TestAnotherServerHasTheAddress(t *testing.T) {
+func TestWrongServerAtAddress(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{})
 	wrong := call(server, "id-1", "")
@@ -117,7 +117,7 @@
 	is.Equal(len(server.Runs()), 0)
 }
 
-// An attempt is unsent only if nothing was written.
+// An attempt is marked as unsent only if nothing was written.
 func TestUnsentAttempts(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{})
@@ -138,7 +138,7 @@
 	is.True(!reply.Unsent)
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{})
 	server.Close()
@@ -152,19 +152,19 @@
 	server := startServer(t, standin.ServerOptions{Work: 10 * time.Second})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	begun := time.Now()
+	start := time.Now()
 	reply := newClient().Do(ctx, call(server, "id-1", ""))
 	is.Equal(reply.Kind, upstream.Expired)
 	is.Equal(reply.Verdict, verdict.MayHaveRun)
-	is.True(time.Since(begun) < 400*time.Millisecond)
+	is.True(time.Since(start) < 400*time.Millisecond)
 	for deadline := time.Now().Add(400 * time.Millisecond); len(server.Runs()) == 0; {
-		is.True(time.Now().Before(deadline)) // the server learns that its caller left
+		is.True(time.Now().Before(deadline)) // the server notices that its caller is gone
 		time.Sleep(5 * time.Millisecond)
 	}
 	is.True(server.Runs()[0].Canceled)
 }
 
-func TestRequestArrivesUnaltered(t *testing.T) {
+func TestRequestArrivesUnchanged(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{})
 	reply := newClient().Do(t.Context(), call(server, "id-1", "the body"))
@@ -176,12 +176,12 @@
 	is.Equal(run.Body, "the body")
 	is.Equal(run.ID, "id-1")
 	is.Equal(run.Header.Get("X-Expected-Instance"), "i-1")
-	left, err := strconv.Atoi(run.Header.Get("X-Request-Deadline"))
+	remaining, err := strconv.Atoi(run.Header.Get("X-Request-Deadline"))
 	is.NoErr(err)
-	is.True(left > 500 && left <= 1000) // what is left of one second
+	is.True(remaining > 500 && remaining <= 1000) // of one second
 }
 
-func TestEarlyAnswerToALongBody(t *testing.T) {
+func TestEarlyAnswerToLargeBody(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{Behave: firstThen(standin.AnswerEarly)})
 	client := newClient()
@@ -191,7 +191,7 @@
 	next := client.Do(t.Context(), call(server, "id-2", ""))
 	is.Equal(next.Kind, upstream.Answered)
 	for _, run := range server.Runs() {
-		is.True(run.Body == "" || run.Body == body) // no other bytes where the body is due
+		is.True(run.Body == "" || run.Body == body) // no other bytes in place of the body
 	}
 }
 
@@ -229,14 +229,14 @@
 	address := server.Address()
 	server.Close()
 	time.Sleep(20 * time.Millisecond)
-	again, err := standin.NewServer(standin.ServerOptions{ID: "i-1", Body: []byte(answerBody), Address: address})
+	restarted, err := standin.NewServer(standin.ServerOptions{ID: "i-1", Body: []byte(answerBody), Address: address})
 	is.NoErr(err)
-	defer again.Close()
-	reply = client.Do(t.Context(), call(again, "id-2", ""))
+	defer restarted.Close()
+	reply = client.Do(t.Context(), call(restarted, "id-2", ""))
 	is.Equal(reply.Kind, upstream.Answered)
 }
 
-func TestRefusalWithoutIDOnAUsedConnectionProvesNothing(t *testing.T) {
+func TestRefusalWithoutIDOnReusedConnection(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{Behave: func(n int) standin.Behavior {
 		if n == 1 {
@@ -254,8 +254,8 @@
 	is.True(reply.Kind != upstream.Refused)
 }
 
-// A request that waited for its connection while the server began to drain is not
-// sent any more.
+// Guards against sending a request to a server that started to drain while the
+// connection was being established.
 func TestWithheldRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{})
@@ -267,7 +267,7 @@
 	is.Equal(len(server.Runs()), 0)
 }
 
-func TestBodyOnlyLeavesTheHeadersOut(t *testing.T) {
+func TestBodyOnlyOmitsHeaders(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{})
 	client := newClient()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -8,20 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// unacknowledgedTimeout ends connections whose peer acknowledges nothing: cuts
-// and lost power are silent.
+// unacknowledgedTimeout closes connections whose peer acknowledges no data: a
+// network partition or a power failure sends no reset.
 const unacknowledgedTimeout = 3 * time.Second
 
 // connection is one connection to a server.
 type connection struct {
 	net.Conn
-	// used is set once a request was answered on the connection.
+	// used is set once a request has been answered on the connection.
 	used bool
-	// expires is when the server may close the idle connection.
+	// expires is the time at which the idle connection is no longer used.
 	expires time.Time
 }
 
-// ControlSocket sets the options of sockets between machines.
+// ControlSocket sets the options of TCP sockets that cross the network.
 func ControlSocket(_, _ string, raw syscall.RawConn) error {
 	var failure error
 	err := raw.Control(func(descriptor uintptr) {
@@ -33,8 +33,8 @@
 	return failure
 }
 
-// quiet reports whether the idle connection is open and has nothing to read.
-func (c *connection) quiet() bool {
+// healthy reports whether the idle connection is open and has no unread data.
+func (c *connection) healthy() bool {
 	source, isSource := c.Conn.(syscall.Conn)
 	if !isSource {
 		return true
@@ -43,11 +43,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	healthy := false
 	err = raw.Control(func(descriptor uintptr) {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		healthy = err == unix.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && healthy
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,9 +1,9 @@
-// Package upstream sends one request to one server over HTTP/1.1 and tells what
-// became of it.
+// Package upstream sends one request to one server over HTTP/1.1 and reports the
+// result.
 //
-// It keeps idle connections for each server, makes exactly one attempt a call,
-// and never returns to the pool a connection on which anything is still due:
-// an unanswered request, an unfinished body, or bytes behind an answer.
+// It pools idle connections for each server, makes exactly one attempt per call,
+// and never returns a connection to the pool with an unanswered request, an
+// unfinished body, or unread bytes after an answer.
 package upstream
 
 import (
@@ -15,19 +15,19 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// Headers are the names of the headers that are spoken with servers.
+// Headers holds the names of the headers exchanged with servers.
 type Headers struct {
-	// AttemptID carries the caller's id of the request; answers return it.
+	// AttemptID carries the caller's id of the request; answers echo it.
 	AttemptID string
-	// Deadline carries the milliseconds that are left for the server.
+	// Deadline carries the time left for the server, in milliseconds.
 	Deadline string
-	// ExpectedInstance carries the id of the server that is meant.
+	// ExpectedInstance carries the id of the server the request is addressed to.
 	ExpectedInstance string
-	// NotExecuted marks answers to requests that the server did not run.
+	// NotExecuted marks answers to requests that the server has not run.
 	NotExecuted string
 	// Seal is the server's signature of its answer.
 	Seal string
-	// Load tells how busy the server is.
+	// Load carries the load of the server.
 	Load string
 }
 
@@ -37,66 +37,66 @@
 	Value string
 }
 
-// Request is a caller's request in the form in which it goes to servers.
+// Request is a caller's request as it is sent to servers.
 type Request struct {
 	ID string
-	// Head is the serialized request line and headers, without the empty line at the end.
+	// Head is the serialized request line and headers without the final empty line.
 	Head []byte
 	Body []byte
 	// HeadOnly is set for HEAD requests, whose answers have no body.
 	HeadOnly bool
 }
 
-// Call is one attempt of a request.
+// Call describes one attempt of a request.
 type Call struct {
 	Request *Request
-	// ServerID is the id of the server that is meant, Address its IP:port.
+	// ServerID is the id of the server, Address its IP:port.
 	ServerID string
 	Address  string
-	// Incarnation names the server's process, to which connections are kept; empty if the
-	// id does.
+	// Incarnation identifies the server's process and keys the connection pool; if it
+	// is empty, ServerID does.
 	Incarnation string
 	// Deadline is when the caller of the request stops waiting.
 	Deadline time.Time
-	// BodyOnly leaves out the headers of the answer.
+	// BodyOnly omits the headers of the answer from the reply.
 	BodyOnly bool
-	// Permitted is asked right before the request is written; if it returns false,
+	// Permitted is called right before the request is written; if it returns false,
 	// nothing is sent. It may be nil.
 	Permitted func() bool
-	// IdleLimit bounds the idle connections kept to the server; negative for no bound.
+	// IdleLimit bounds the idle connections to the server; negative means no limit.
 	IdleLimit int
 }
 
-// process names the server's process.
-func (c Call) process() string {
+// poolKey returns the key of the server's process in the connection pool.
+func (c Call) poolKey() string {
 	if c.Incarnation == "" {
 		return c.ServerID
 	}
 	return c.Incarnation
 }
 
-// Kind tells how an attempt ended.
+// Kind is the kind of result of an attempt.
 type Kind uint8
 
 const (
-	// Answered is a whole answer by the server, whatever its status.
+	// Answered is a complete answer by the server, whatever its status.
 	Answered Kind = iota
-	// Refused is the server's word that it did not and will not run the request.
+	// Refused is an answer in which the server says that it did not and will not run the request.
 	Refused
-	// Foreign is a refusal by another server that has the address now.
+	// Foreign is a refusal by another server that now has the address.
 	Foreign
-	// Reset is a new connection that the server reset, as it does beyond its limit
-	// of connections. The request may have left all the same.
+	// Reset is a new connection that the server reset, as it does at its connection
+	// limit. The request may have been sent nevertheless.
 	Reset
-	// Unreachable is a connection that could not be made.
+	// Unreachable is a connection that could not be established.
 	Unreachable
-	// Lost is a connection that failed after the request may have left.
+	// Lost is a connection that failed when the request may already have been sent.
 	Lost
-	// Malformed is an answer that is not whole, not HTTP, or not a server's.
+	// Malformed is an answer that is truncated, not HTTP, or not from a server.
 	Malformed
-	// Withheld is an attempt that was no longer permitted when it could be sent.
+	// Withheld is an attempt that was no longer permitted when its connection was ready.
 	Withheld
-	// Expired is an attempt that ran into its deadline or was canceled.
+	// Expired is an attempt that reached its deadline or was canceled.
 	Expired
 )
 
@@ -105,7 +105,7 @@
 // String returns the name used in logs and metrics.
 func (k Kind) String() string { return kindNames[k] }
 
-// Reply is what became of an attempt.
+// Reply is the result of an attempt.
 type Reply struct {
 	Kind    Kind
 	Verdict verdict.Verdict
@@ -115,21 +115,22 @@
 	Seal   string
 	Fields []Field
 	Body   []byte
-	// Load is what the server has told of itself.
+	// Load is the load that the server has reported.
 	Load Load
-	// RetryAfter is the pause that a refusal names; zero if it names none.
+	// RetryAfter is the delay that a refusal asks for; zero if it has none.
 	RetryAfter time.Duration
 	// Err is the cause of a failure, for logs.
 	Err error
 }
 
-// NobodyListens reports whether the attempt met an address where no process listens: the
-// server has ended. A way that is cut looks like this only where it is cut with refusals.
+// NobodyListens reports whether the connection was refused because no process listens
+// at the address: the server has exited. A network partition looks the same only if it
+// rejects connections instead of dropping packets.
 func (r *Reply) NobodyListens() bool {
 	return r.Kind == Unreachable && errors.Is(r.Err, unix.ECONNREFUSED)
 }
 
-// Success reports whether the reply is a whole answer with a 2xx status.
+// Success reports whether the reply is a complete answer with a 2xx status.
 func (r *Reply) Success() bool {
 	return r.Kind == Answered && r.Status >= 200 && r.Status < 300
 }
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -5,37 +5,38 @@
 	"strings"
 )
 
-// Load is what a server tells of itself with an answer. The zero value tells nothing.
+// Load is the load that a server reports with an answer. The zero value means not reported.
 type Load struct {
-	// Running and Waiting are its requests, Slots how many it works on at a time.
+	// Running and Waiting count the server's requests; Slots is how many it processes at
+	// a time.
 	Running, Waiting, Slots int
-	// Pace is how long work takes there at present, in units of the usual time; zero if
-	// it is not told.
+	// Pace is the current processing time relative to the usual one; zero if it is not
+	// reported.
 	Pace float64
 }
 
-// usualPace is the figure by which servers tell that work takes as long as usual.
-const usualPace = 100
+// paceScale is the value that servers report for the usual processing time.
+const paceScale = 100
 
-// parseLoad reads "running,waiting,slots,pace". What is no such list tells nothing: it
-// is a hint, and the answer counts without it.
+// parseLoad parses "running,waiting,slots,pace"; the pace is optional. It returns zero
+// for anything else: the load is a hint, and the answer is valid without it.
 func parseLoad(text string) Load {
-	var figures [4]int
+	var values [4]int
 	parts := strings.Split(text, ",")
-	if len(parts) < 3 || len(parts) > len(figures) {
+	if len(parts) < 3 || len(parts) > len(values) {
 		return Load{}
 	}
 	for index, part := range parts {
-		figure, err := strconv.Atoi(strings.TrimSpace(part))
-		if err != nil || figure < 0 {
+		value, err := strconv.Atoi(strings.TrimSpace(part))
+		if err != nil || value < 0 {
 			return Load{}
 		}
-		figures[index] = figure
+		values[index] = value
 	}
 	return Load{
-		Running: figures[0],
-		Waiting: figures[1],
-		Slots:   figures[2],
-		Pace:    float64(figures[3]) / usualPace,
+		Running: values[0],
+		Waiting: values[1],
+		Slots:   values[2],
+		Pace:    float64(values[3]) / paceScale,
 	}
 }
--- a/internal/upstream/load_test.go
+++ b/internal/upstream/load_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestLoadOfAServer(t *testing.T) {
+func TestParseLoad(t *testing.T) {
 	for _, test := range []struct {
 		text string
 		want Load
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// presumedIdleTimeout holds for servers that announce none.
-	presumedIdleTimeout = 20 * time.Second
-	// idleMargin is how long before the server's announced time a connection is
-	// no longer used.
+	// defaultIdleTimeout applies to servers that send no Keep-Alive timeout.
+	defaultIdleTimeout = 20 * time.Second
+	// idleMargin is how long before the server's idle timeout a connection is no
+	// longer used.
 	idleMargin = 700 * time.Millisecond
 )
 
-// pool keeps the idle connections of all servers by incarnation, the latest used first.
+// pool holds the idle connections to all servers by incarnation. It reuses the most
+// recently used one first.
 type pool struct {
 	mutex sync.Mutex
 	idle  map[string][]*connection
@@ -23,14 +24,14 @@
 	return &pool{idle: make(map[string][]*connection)}
 }
 
-// take returns an idle connection to the server that still looks sound, or nil.
-func (p *pool) take(incarnation string, now time.Time) *connection {
+// get returns a healthy idle connection to the server, or nil.
+func (p *pool) get(incarnation string, now time.Time) *connection {
 	for {
 		conn := p.pop(incarnation)
 		if conn == nil {
 			return nil
 		}
-		if now.Before(conn.expires) && conn.quiet() {
+		if now.Before(conn.expires) && conn.healthy() {
 			return conn
 		}
 		_ = conn.Close()
@@ -50,15 +51,15 @@
 	return conn
 }
 
-// put keeps an idle connection, or closes it if there are enough; a negative
-// limit is none.
+// put adds an idle connection, or closes it if the limit is reached; a negative
+// limit means none.
 func (p *pool) put(incarnation string, conn *connection, limit int) {
-	if !p.keep(incarnation, conn, limit) {
+	if !p.add(incarnation, conn, limit) {
 		_ = conn.Close()
 	}
 }
 
-func (p *pool) keep(incarnation string, conn *connection, limit int) bool {
+func (p *pool) add(incarnation string, conn *connection, limit int) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	idle := p.idle[incarnation]
@@ -85,8 +86,8 @@
 	return count
 }
 
-// forget closes the idle connections of the server.
-func (p *pool) forget(incarnation string) {
+// closeIdle closes the idle connections of the server.
+func (p *pool) closeIdle(incarnation string) {
 	p.mutex.Lock()
 	idle := p.idle[incarnation]
 	delete(p.idle, incarnation)
@@ -96,8 +97,8 @@
 	}
 }
 
-// sweep closes the connections that have rested too long.
-func (p *pool) sweep(now time.Time) {
+// closeExpired closes the connections whose idle time has expired.
+func (p *pool) closeExpired(now time.Time) {
 	p.mutex.Lock()
 	var expired []*connection
 	for incarnation, idle := range p.idle {
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	// maximumForeignAnswers is how many answers to earlier requests are passed
-	// over before the connection is given up.
-	maximumForeignAnswers = 4
-	maximumAnswerBytes    = 64 << 20
+	// maximumStaleAnswers is how many answers to earlier requests are skipped
+	// before the connection is closed.
+	maximumStaleAnswers = 4
+	maximumAnswerBytes  = 64 << 20
 )
 
-// framing is what an answer tells of its connection.
-type framing struct {
-	keep bool
-	idle time.Duration
+// keepAlive says whether and for how long the connection of an answer can be reused.
+type keepAlive struct {
+	reusable    bool
+	idleTimeout time.Duration
 }
 
-var errForeignAnswer = errors.New("only answers to other requests arrived")
+var errStaleAnswers = errors.New("received only answers to other requests")
 
-// receive reads answers until the one with the request's id.
-func (c *Client) receive(reader *bufio.Reader, call Call, reused bool) (Reply, framing) {
+// receive reads answers until it finds the one with the request's id.
+func (c *Client) receive(reader *bufio.Reader, call Call, reused bool) (Reply, keepAlive) {
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
-	for range maximumForeignAnswers {
-		// fasthttp takes every failure before the first byte for the end of the
-		// stream; the true one tells a reset from a close.
+	for range maximumStaleAnswers {
+		// fasthttp reports every error before the first byte as the end of the
+		// stream; the original error distinguishes a reset from a close.
 		if _, err := reader.Peek(1); err != nil {
-			return Reply{Kind: Lost, Verdict: verdict.MayHaveRun, Err: err}, framing{}
+			return Reply{Kind: Lost, Verdict: verdict.MayHaveRun, Err: err}, keepAlive{}
 		}
 		response.Reset()
 		response.SkipBody = call.Request.HeadOnly
 		if err := response.ReadLimitBody(reader, maximumAnswerBytes); err != nil {
-			return broken(reader, err), framing{}
+			return readErrorReply(reader, err), keepAlive{}
 		}
-		if c.belongs(response, call, reused) {
-			return c.interpret(response, call), framingOf(response)
+		if c.matchesRequest(response, call, reused) {
+			return c.interpret(response, call), parseKeepAlive(response)
 		}
 	}
-	return Reply{Kind: Malformed, Verdict: verdict.MayHaveRun, Err: errForeignAnswer}, framing{}
+	return Reply{Kind: Malformed, Verdict: verdict.MayHaveRun, Err: errStaleAnswers}, keepAlive{}
 }
 
-// broken classifies an error of reading: bytes that form no answer were sent by
-// a live server, silence or a reset may be the network's doing.
-func broken(reader *bufio.Reader, err error) Reply {
+// readErrorReply classifies a read error. Bytes that do not form an answer come from a
+// live server; no bytes or a reset may be caused by the network.
+func readErrorReply(reader *bufio.Reader, err error) Reply {
 	kind := Lost
 	if reader.Buffered() > 0 {
 		kind = Malformed
@@ -59,10 +59,10 @@
 	return Reply{Kind: kind, Verdict: verdict.MayHaveRun, Err: err}
 }
 
-// belongs reports whether the answer is to this request. A refusal may come
-// without an id; on a connection that has carried other requests it could be
-// the late copy of an earlier one and proves nothing.
-func (c *Client) belongs(response *fasthttp.Response, call Call, reused bool) bool {
+// matchesRequest reports whether the answer belongs to this request. A refusal may
+// have no id; on a reused connection it could be a late duplicate of an earlier one
+// and is ignored.
+func (c *Client) matchesRequest(response *fasthttp.Response, call Call, reused bool) bool {
 	id := response.Header.Peek(c.headers.AttemptID)
 	if len(id) == 0 {
 		return !reused || len(response.Header.Peek(c.headers.NotExecuted)) == 0
@@ -88,15 +88,15 @@
 	case notRun:
 		reply.Kind, reply.Verdict = Refused, verdict.NotRun
 		reply.RetryAfter = parseRetryAfter(string(response.Header.Peek(fasthttp.HeaderRetryAfter)))
-	case promisesNotRun(reply.Status):
+	case impliesNotRun(reply.Status):
 		reply.Kind, reply.Verdict = Malformed, verdict.MayHaveRun
-		reply.Err = errors.Newf("status %d without the mark of a request that did not run", reply.Status)
+		reply.Err = errors.Newf("status %d without the header of a request that has not run", reply.Status)
 	case len(response.Header.ContentEncoding()) > 0:
 		reply.Kind = Malformed
-		reply.Err = errors.New("the body is encoded")
+		reply.Err = errors.New("the body has a content encoding")
 	case reply.Success() && reply.Seal == "":
 		reply.Kind = Malformed
-		reply.Err = errors.New("a success without the server's seal")
+		reply.Err = errors.New("a success without a seal")
 	default:
 		reply.Body = append([]byte(nil), response.Body()...)
 		if !call.BodyOnly {
@@ -106,9 +106,9 @@
 	return reply
 }
 
-// promisesNotRun reports whether the status tells callers that the request has not run: it must not be
-// handed on unless that is known.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether the status tells callers that the request has not run.
+// It must not be forwarded unless that is certain.
+func impliesNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest, fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
 		return true
@@ -116,11 +116,11 @@
 	return false
 }
 
-// maximumRetryAfter bounds what is taken for a pause between two attempts.
+// maximumRetryAfter bounds the delay taken from a Retry-After header.
 const maximumRetryAfter = time.Hour
 
-// parseRetryAfter returns the pause of a header in seconds, fractions included; zero for
-// what is none.
+// parseRetryAfter parses the delay of a Retry-After header, in seconds with an optional
+// fraction. It returns zero for anything else.
 func parseRetryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(header, 64)
 	if err != nil || !(seconds > 0) {
@@ -129,7 +129,7 @@
 	return time.Duration(min(seconds, maximumRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// endToEndFields copies the headers that are meant for the caller.
+// endToEndFields copies the headers that are forwarded to the caller.
 func endToEndFields(header *fasthttp.ResponseHeader) []Field {
 	var fields []Field
 	for name, value := range header.All() {
@@ -140,8 +140,8 @@
 	return fields
 }
 
-// ConnectionField reports whether the header pertains to one connection only,
-// message framing included. The name may be in any case.
+// ConnectionField reports whether the header is hop-by-hop or frames the message, and
+// so must not be forwarded. The name is case-insensitive.
 func ConnectionField(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade", "content-length":
@@ -150,12 +150,13 @@
 	return false
 }
 
-func framingOf(response *fasthttp.Response) framing {
-	result := framing{keep: !response.ConnectionClose(), idle: presumedIdleTimeout}
+// parseKeepAlive reads the Connection and Keep-Alive headers.
+func parseKeepAlive(response *fasthttp.Response) keepAlive {
+	result := keepAlive{reusable: !response.ConnectionClose(), idleTimeout: defaultIdleTimeout}
 	for _, part := range strings.Split(string(response.Header.Peek("Keep-Alive")), ",") {
 		seconds, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if count, err := strconv.Atoi(seconds); found && err == nil {
-			result.idle = time.Duration(count) * time.Second
+			result.idleTimeout = time.Duration(count) * time.Second
 		}
 	}
 	return result
--- a/internal/upstream/receive_test.go
+++ b/internal/upstream/receive_test.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A refusal may name a pause, in seconds with fractions; anything else names none.
-func TestRefusalNamesItsPause(t *testing.T) {
+// A refusal may have a Retry-After in seconds with a fraction; anything else is ignored.
+func TestRetryAfter(t *testing.T) {
 	client := NewClient(Headers{NotExecuted: "X-Not-Run"})
 	for _, test := range []struct {
 		header string
--- a/internal/upstream/unsent_test.go
+++ b/internal/upstream/unsent_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// A server that resets a connection while it comes up has too many; nobody listens
-// where it is refused.
+// A reset while connecting means that the server is at its connection limit; a refused
+// connection means that no process listens.
 func TestResetWhileConnecting(t *testing.T) {
 	for _, test := range []struct {
 		cause error
@@ -22,12 +22,12 @@
 		{os.ErrDeadlineExceeded, Unreachable},
 	} {
 		err := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.cause)}
-		is.New(t).Equal(unconnectedKind(err), test.want)
+		is.New(t).Equal(dialErrorKind(err), test.want)
 	}
 }
 
-// An address is in reach if something answers there, be it that nobody listens.
-func TestReach(t *testing.T) {
+// A host that refuses the connection is reachable.
+func TestReachable(t *testing.T) {
 	is := is.New(t)
 	client := NewClient(Headers{})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -35,7 +35,7 @@
 	is.True(client.Reaches(t.Context(), listener.Addr().String()))
 	listener.Close()
 	is.True(client.Reaches(t.Context(), listener.Addr().String()))
-	ended, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(!client.Reaches(ended, listener.Addr().String()))
+	is.True(!client.Reaches(canceled, listener.Addr().String()))
 }
