--- a/internal/ingress/answer.go
+++ b/internal/ingress/answer.go
@@ -29,22 +29,21 @@
 	}
 }
 
-// Times after which refused callers may come back; spread, so that they do not
-// come back together.
+// A refused caller is told to retry after minRetryAfter plus a random part of
+// retryAfterJitter, so that callers do not all retry at the same time.
 const (
-	shortestRetryAfter = 300 * time.Millisecond
-	retryAfterSpread   = 500 * time.Millisecond
+	minRetryAfter    = 300 * time.Millisecond
+	retryAfterJitter = 500 * time.Millisecond
 )
 
-// refuse promises that the request has not run and says when to come back: not before the
-// given time at any rate.
-func refuse(ctx *fasthttp.RequestCtx, reason string, least time.Duration) {
-	after := (max(least, shortestRetryAfter) + rand.N(retryAfterSpread)).Round(time.Millisecond)
+// refuse answers a request that has not run with a Retry-After of at least minDelay.
+func refuse(ctx *fasthttp.RequestCtx, reason string, minDelay time.Duration) {
+	delay := (max(minDelay, minRetryAfter) + rand.N(retryAfterJitter)).Round(time.Millisecond)
 	ctx.Error(reason+"\n", fasthttp.StatusServiceUnavailable)
-	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
+	ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(delay.Seconds(), 'f', -1, 64))
 }
 
-// writeReply hands on a server's answer unchanged.
+// writeReply forwards a server's answer unchanged.
 func writeReply(ctx *fasthttp.RequestCtx, outcome *exchange.Outcome) {
 	reply := &outcome.Replies[0]
 	for _, field := range reply.Fields {
@@ -54,7 +53,7 @@
 	ctx.Response.SetBodyRaw(reply.Body)
 }
 
-// writeMerged writes the greatest records of all parts that are in.
+// writeMerged writes the greatest records of all parts that have been received.
 func (s *Server) writeMerged(ctx *fasthttp.RequestCtx, route *routing.Route, outcome *exchange.Outcome) {
 	seals := make([]string, len(outcome.Replies))
 	parts := make([][]byte, len(outcome.Replies))
--- a/internal/ingress/connection.go
+++ b/internal/ingress/connection.go
@@ -9,7 +9,7 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// listener hands out connections that watch for callers that hang up.
+// listener accepts connections that detect callers that hang up.
 type listener struct {
 	net.Listener
 	limits func() routing.Limits
@@ -33,12 +33,12 @@
 func setSocketOptions(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err == nil {
-		// A socket without the option only notices a silent peer later.
+		// Without the option, an unresponsive peer is only detected later.
 		_ = upstream.ControlSocket("", "", raw)
 	}
 }
 
-// connections are the open connections of callers.
+// connections is the set of open connections of callers.
 type connections struct {
 	mutex sync.Mutex
 	all   map[*connection]struct{}
@@ -60,7 +60,7 @@
 	delete(c.all, conn)
 }
 
-// closeIdle closes the connections on which no request has begun.
+// closeIdle closes the connections without a request.
 func (c *connections) closeIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -75,20 +75,20 @@
 	return len(c.all)
 }
 
-// phase is what a caller's connection is waiting for.
+// phase is the state of a caller's connection.
 type phase uint8
 
 const (
-	// phaseIdle waits for the first byte of a request.
+	// phaseIdle is waiting for the first byte of a request.
 	phaseIdle phase = iota
-	// phaseReading waits for the rest of the request.
+	// phaseReading is waiting for the rest of the request.
 	phaseReading
-	// phaseServing waits for the answer; only the watch reads.
+	// phaseServing is processing the request; only watch reads.
 	phaseServing
 )
 
-// connection is one caller's connection. It sets read deadlines by the limits in
-// force and can be watched while a request is carried out.
+// connection is one caller's connection. It sets read deadlines from the current
+// limits and can be watched for a hang-up while a request is processed.
 type connection struct {
 	net.Conn
 	limits func() routing.Limits
@@ -96,9 +96,9 @@
 
 	mutex sync.Mutex
 	phase phase
-	// ahead holds the byte that the watch has read, if any.
-	ahead    [1]byte
-	hasAhead bool
+	// peeked holds the byte that watch has read, if any.
+	peeked    [1]byte
+	hasPeeked bool
 }
 
 // Read implements net.Conn for fasthttp, which reads only between handlers.
@@ -106,33 +106,33 @@
 	if len(buffer) == 0 {
 		return 0, nil
 	}
-	if c.takeAhead(buffer) {
-		c.beginReading()
+	if c.takePeeked(buffer) {
+		c.markReading()
 		return 1, nil
 	}
-	c.setDeadline()
+	c.setIdleDeadline()
 	count, err := c.Conn.Read(buffer)
 	if count > 0 {
-		c.beginReading()
+		c.markReading()
 	}
 	return count, err
 }
 
-func (c *connection) takeAhead(buffer []byte) bool {
+func (c *connection) takePeeked(buffer []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.hasAhead {
+	if !c.hasPeeked {
 		return false
 	}
-	c.hasAhead = false
+	c.hasPeeked = false
 	c.phase = phaseIdle
-	buffer[0] = c.ahead[0]
+	buffer[0] = c.peeked[0]
 	return true
 }
 
-// setDeadline bounds the wait for the first byte of a request; the deadline for
-// the rest is set when that byte has come.
-func (c *connection) setDeadline() {
+// setIdleDeadline bounds the wait for the first byte of a request; markReading sets
+// the deadline for the rest.
+func (c *connection) setIdleDeadline() {
 	c.mutex.Lock()
 	idle := c.phase == phaseIdle
 	c.mutex.Unlock()
@@ -141,12 +141,13 @@
 	}
 }
 
-func (c *connection) beginReading() {
+// markReading records that a request has started and sets the deadline for its header.
+func (c *connection) markReading() {
 	c.mutex.Lock()
-	begins := c.phase == phaseIdle
+	first := c.phase == phaseIdle
 	c.phase = phaseReading
 	c.mutex.Unlock()
-	if begins {
+	if first {
 		_ = c.Conn.SetReadDeadline(time.Now().Add(c.limits().HeaderTimeout))
 	}
 }
@@ -171,31 +172,31 @@
 	}
 }
 
-// watch reads ahead until stop is called. It calls hungUp if the caller closes
-// the connection meanwhile.
-func (c *connection) watch(hungUp func()) (stop func()) {
+// watch reads from the connection until stop is called. It calls onHangUp if the
+// caller closes the connection before that, and keeps a byte of a pipelined request.
+func (c *connection) watch(onHangUp func()) (stop func()) {
 	c.mutex.Lock()
 	c.phase = phaseServing
-	pipelined := c.hasAhead
+	pipelined := c.hasPeeked
 	c.mutex.Unlock()
 	if pipelined {
 		return func() {}
 	}
 	_ = c.Conn.SetReadDeadline(time.Time{})
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	stopping := false
 	go func() {
-		defer close(ended)
+		defer close(done)
 		var one [1]byte
 		count, err := c.Conn.Read(one[:])
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		if count > 0 {
-			c.ahead, c.hasAhead = one, true
+			c.peeked, c.hasPeeked = one, true
 			return
 		}
 		if err != nil && !stopping {
-			hungUp()
+			onHangUp()
 		}
 	}()
 	return func() {
@@ -203,7 +204,7 @@
 		stopping = true
 		c.mutex.Unlock()
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
-		<-ended
+		<-done
 		c.mutex.Lock()
 		c.phase = phaseIdle
 		c.mutex.Unlock()
--- a/internal/ingress/framing.go
+++ b/internal/ingress/framing.go
@@ -8,17 +8,17 @@
 )
 
 var (
-	errBareLineFeed  = errors.New("a header line ends without a carriage return")
-	errFoldedHeader  = errors.New("a header line is folded")
-	errTwoLengths    = errors.New("the request has a length and chunks")
-	errMissingID     = errors.New("the request has no attempt id")
-	errRepeatedID    = errors.New("the request has more than one attempt id")
-	errWrongDeadline = errors.New("the deadline is no positive whole number of milliseconds")
-	errRepeatedField = errors.New("a header that must be single is repeated")
+	errBareLineFeed      = errors.New("a header line ends with a bare line feed")
+	errFoldedHeader      = errors.New("a header line is folded")
+	errConflictingLength = errors.New("the request has both a content length and a transfer encoding")
+	errMissingID         = errors.New("the request has no attempt id")
+	errRepeatedID        = errors.New("the request has more than one attempt id")
+	errInvalidDeadline   = errors.New("the deadline is not a positive integer of milliseconds")
+	errRepeatedField     = errors.New("the deadline header is repeated")
 )
 
-// checkFraming rejects requests whose end another program could see elsewhere
-// than this one does, beyond what fasthttp itself rejects.
+// checkFraming rejects requests whose end other HTTP parsers could find at a different
+// place (request smuggling), beyond what fasthttp itself rejects.
 func checkFraming(header *fasthttp.RequestHeader) error {
 	return checkRawHeaders(header.RawHeaders())
 }
@@ -33,12 +33,12 @@
 		}
 	}
 	if hasField(raw, "content-length") && hasField(raw, "transfer-encoding") {
-		return errTwoLengths
+		return errConflictingLength
 	}
 	return nil
 }
 
-// hasField reports whether the raw headers have a field of the (lower-case) name.
+// hasField reports whether the raw headers contain the field; case is ignored.
 func hasField(raw []byte, name string) bool {
 	for line := range bytes.Lines(raw) {
 		field, _, found := bytes.Cut(line, []byte(":"))
--- a/internal/ingress/framing_test.go
+++ b/internal/ingress/framing_test.go
@@ -22,7 +22,7 @@
 		{"bare line feed", "Host: a\nX-Other: b\r\n", errBareLineFeed},
 		{"folded", "Host: a\r\n b\r\n", errFoldedHeader},
 		{"folded with a tab", "Host: a\r\n\tb\r\n", errFoldedHeader},
-		{"length and chunks", "Host: a\r\nContent-Length: 3\r\ntransfer-encoding: chunked\r\n", errTwoLengths},
+		{"length and chunks", "Host: a\r\nContent-Length: 3\r\ntransfer-encoding: chunked\r\n", errConflictingLength},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is.New(t).Equal(checkRawHeaders([]byte(test.headers)), test.want)
@@ -30,8 +30,8 @@
 	}
 }
 
-// FuzzFraming: a request that is accepted ends where another reader of HTTP sees
-// its end, so that nothing can be smuggled inside it.
+// FuzzFraming checks that an accepted request ends where net/http finds its end, so
+// that no request can be smuggled inside it.
 func FuzzFraming(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -41,27 +41,27 @@
 	f.Add("POST / HTTP/1.1\r\nHost: a\r\nX: y\r\n Content-Length: 3\r\n\r\nabc")
 	f.Add("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 03\r\n\r\nabcd")
 	f.Fuzz(func(t *testing.T, raw string) {
-		ours, accepted := bytesLeft(raw)
+		rest, accepted := remainingBytes(raw)
 		if !accepted {
 			return
 		}
 		reader := bufio.NewReader(strings.NewReader(raw))
 		request, err := http.ReadRequest(reader)
 		if err != nil {
-			return // stricter than we are; nothing to compare
+			return // net/http is stricter; nothing to compare
 		}
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		rest, _ := io.ReadAll(reader)
-		if string(rest) != ours {
-			t.Fatalf("ends differ: %q and %q", ours, rest)
+		want, _ := io.ReadAll(reader)
+		if string(want) != rest {
+			t.Fatalf("ends differ: %q and %q", rest, want)
 		}
 	})
 }
 
-// bytesLeft reads one request as the server does and returns what follows it.
-func bytesLeft(raw string) (string, bool) {
+// remainingBytes reads one request as the server does and returns the bytes after it.
+func remainingBytes(raw string) (string, bool) {
 	reader := bufio.NewReaderSize(strings.NewReader(raw), headerBufferBytes)
 	var request fasthttp.Request
 	if err := request.ReadLimitBody(reader, 1<<16); err != nil {
--- a/internal/ingress/request.go
+++ b/internal/ingress/request.go
@@ -13,38 +13,38 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// parsed is a caller's request once it has been checked.
-type parsed struct {
+// parsedRequest is a caller's request that has passed all checks.
+type parsedRequest struct {
 	message  *upstream.Request
 	identity *quarantine.Identity
-	allowed  time.Duration
+	timeout  time.Duration
 }
 
-// parse checks the request and copies what the attempts need of it: fasthttp
-// reuses its buffers after the handler.
-func (s *Server) parse(ctx *fasthttp.RequestCtx) (parsed, error) {
+// parse checks the request and copies what the attempts need, because fasthttp
+// reuses its buffers after the handler returns.
+func (s *Server) parse(ctx *fasthttp.RequestCtx) (parsedRequest, error) {
 	header := &ctx.Request.Header
 	if err := checkFraming(header); err != nil {
-		return parsed{}, err
+		return parsedRequest{}, err
 	}
 	id, err := s.attemptID(header)
 	if err != nil {
-		return parsed{}, err
+		return parsedRequest{}, err
 	}
-	allowed, err := s.allowed(header)
+	timeout, err := s.callerTimeout(header)
 	if err != nil {
-		return parsed{}, err
+		return parsedRequest{}, err
 	}
 	message := &upstream.Request{
 		ID:       id,
 		Body:     bytes.Clone(ctx.Request.Body()),
 		HeadOnly: header.IsHead(),
 	}
-	message.Head = s.head(header, len(message.Body))
-	return parsed{message: message, identity: identityOf(ctx, message), allowed: allowed}, nil
+	message.Head = s.serializeHead(header, len(message.Body))
+	return parsedRequest{message: message, identity: identityOf(ctx, message), timeout: timeout}, nil
 }
 
-// identityOf returns what makes the request the same when it comes again.
+// identityOf returns the fields by which a repeated request is recognized.
 func identityOf(ctx *fasthttp.RequestCtx, message *upstream.Request) *quarantine.Identity {
 	line, _, _ := bytes.Cut(message.Head, []byte("\r\n"))
 	identity := &quarantine.Identity{Line: line, Host: string(ctx.Request.Header.Host()), Body: message.Body}
@@ -65,8 +65,8 @@
 	return string(values[0]), nil
 }
 
-// allowed returns how long the caller waits; zero if it does not say.
-func (s *Server) allowed(header *fasthttp.RequestHeader) (time.Duration, error) {
+// callerTimeout returns the timeout that the caller states; zero if it states none.
+func (s *Server) callerTimeout(header *fasthttp.RequestHeader) (time.Duration, error) {
 	values := header.PeekAll(s.names.Deadline)
 	switch {
 	case len(values) == 0:
@@ -76,21 +76,21 @@
 	}
 	milliseconds, err := strconv.ParseInt(string(values[0]), 10, 32)
 	if err != nil || milliseconds <= 0 {
-		return 0, errWrongDeadline
+		return 0, errInvalidDeadline
 	}
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// head serializes the request line and the headers that are handed on.
-func (s *Server) head(header *fasthttp.RequestHeader, bodyBytes int) []byte {
+// serializeHead serializes the request line and the forwarded headers.
+func (s *Server) serializeHead(header *fasthttp.RequestHeader, bodyBytes int) []byte {
 	head := make([]byte, 0, 512)
 	head = append(head, header.Method()...)
 	head = append(head, ' ')
 	head = append(head, header.RequestURI()...)
 	head = append(head, " HTTP/1.1\r\n"...)
-	named := connectionNamed(header)
+	options := connectionOptions(header)
 	for name, value := range header.All() {
-		if !s.handedOn(string(name), named) {
+		if !s.forwarded(string(name), options) {
 			continue
 		}
 		head = appendField(head, name, value)
@@ -110,15 +110,15 @@
 	return append(head, "\r\n"...)
 }
 
-// needsLength reports whether the method usually has a body, so that an empty
-// one is announced.
+// needsLength reports whether the method usually has a body, so that an empty one
+// needs a Content-Length, too.
 func needsLength(header *fasthttp.RequestHeader) bool {
 	return header.IsPost() || header.IsPut() || header.IsPatch()
 }
 
-// handedOn reports whether the caller's header goes to servers: not if it
-// pertains to the connection or is set by this node.
-func (s *Server) handedOn(name string, named []string) bool {
+// forwarded reports whether the caller's header is sent to servers. Headers of the
+// connection and those that this node sets itself are not.
+func (s *Server) forwarded(name string, options []string) bool {
 	switch {
 	case upstream.ConnectionField(name):
 		return false
@@ -127,21 +127,21 @@
 	case strings.EqualFold(name, s.names.Deadline), strings.EqualFold(name, s.names.ExpectedInstance):
 		return false
 	}
-	for _, other := range named {
-		if strings.EqualFold(name, other) {
+	for _, option := range options {
+		if strings.EqualFold(name, option) {
 			return false
 		}
 	}
 	return true
 }
 
-// connectionNamed returns the names that the Connection header lists.
-func connectionNamed(header *fasthttp.RequestHeader) []string {
-	var named []string
+// connectionOptions returns the header names listed in the Connection header.
+func connectionOptions(header *fasthttp.RequestHeader) []string {
+	var options []string
 	for _, value := range header.PeekAll(fasthttp.HeaderConnection) {
 		for _, name := range strings.Split(string(value), ",") {
-			named = append(named, strings.TrimSpace(name))
+			options = append(options, strings.TrimSpace(name))
 		}
 	}
-	return named
+	return options
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -15,62 +15,63 @@
 	"github.com/driftstage/driftstage/internal/telemetry"
 )
 
-// Dispatcher carries out requests.
+// Dispatcher processes requests.
 type Dispatcher interface {
 	Do(ctx context.Context, request dispatch.Request) *exchange.Outcome
 }
 
-// Options are what a server needs.
+// Options holds the dependencies of a server.
 type Options struct {
 	Names Names
-	// Table returns the configuration in force; nil if none is known yet.
+	// Table returns the current routing table; nil before the first one.
 	Table func() *routing.Table
-	// Known is closed once the node knows a configuration and the servers.
+	// Known is closed once the node has a routing table and the list of servers.
 	Known      <-chan struct{}
 	Dispatcher Dispatcher
-	// Overloaded reports whether callers should be sent to other nodes.
+	// Overloaded reports whether callers should move to other nodes.
 	Overloaded func() bool
 }
 
-// Server answers callers.
+// Server serves callers over HTTP.
 type Server struct {
 	names      Names
 	table      func() *routing.Table
-	start      start
+	startup    startup
 	dispatcher Dispatcher
 	overloaded func() bool
 	http       *fasthttp.Server
 	open       *connections
 	stopping   atomic.Bool
-	underWay   atomic.Int64
-	// ending is done once the process can wait for no request any more.
-	ending context.Context
-	end    context.CancelCauseFunc
+	inFlight   atomic.Int64
+	// baseContext is the parent context of all requests; cancelRequests cancels it when
+	// the process can no longer wait for them.
+	baseContext    context.Context
+	cancelRequests context.CancelCauseFunc
 }
 
-// headerBufferBytes bounds the header of a request; buffers are held only while
-// a request is read.
+// headerBufferBytes bounds the header of a request. Buffers are only held while a
+// request is read.
 const headerBufferBytes = 16 << 10
 
-// presumedLimits hold until a configuration is known.
-var presumedLimits = routing.Limits{
+// defaultLimits apply until there is a routing table.
+var defaultLimits = routing.Limits{
 	MaximumHeaderBytes: headerBufferBytes,
 	MaximumBodyBytes:   256 << 10,
 	HeaderTimeout:      3 * time.Second,
 	IdleTimeout:        15 * time.Second,
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that is not serving yet.
 func New(options Options) *Server {
 	server := &Server{
 		names:      options.Names,
 		table:      options.Table,
-		start:      start{known: options.Known},
+		startup:    startup{synced: options.Known},
 		dispatcher: options.Dispatcher,
 		overloaded: options.Overloaded,
 		open:       newConnections(),
 	}
-	server.ending, server.end = context.WithCancelCause(context.Background())
+	server.baseContext, server.cancelRequests = context.WithCancelCause(context.Background())
 	server.http = &fasthttp.Server{
 		Handler:                       server.handle,
 		ErrorHandler:                  handleError,
@@ -87,30 +88,30 @@
 	return server
 }
 
-// Serve answers on the listener until it is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(accepting net.Listener) error {
 	return s.http.Serve(&listener{Listener: accepting, limits: s.limits, open: s.open})
 }
 
-// Stop announces the end: answers tell their callers to close connections.
+// Stop makes all further answers ask their callers to close the connection.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
-// End gives up the requests under way: they are answered at once.
-func (s *Server) End() { s.end(dispatch.ErrStopping) }
+// End cancels the requests in flight: they are answered at once.
+func (s *Server) End() { s.cancelRequests(dispatch.ErrStopping) }
 
-// CloseIdle closes connections on which no request has begun.
+// CloseIdle closes the connections without a request.
 func (s *Server) CloseIdle() { s.open.closeIdle() }
 
-// UnderWay returns the number of requests that have no answer yet.
-func (s *Server) UnderWay() int64 { return s.underWay.Load() }
+// UnderWay returns the number of requests in flight.
+func (s *Server) UnderWay() int64 { return s.inFlight.Load() }
 
-// Connections returns the number of callers' connections.
+// Connections returns the number of open connections of callers.
 func (s *Server) Connections() int { return s.open.count() }
 
 func (s *Server) limits() routing.Limits {
 	table := s.table()
 	if table == nil {
-		return presumedLimits
+		return defaultLimits
 	}
 	return table.Limits
 }
@@ -121,8 +122,8 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	s.underWay.Add(1)
-	defer s.underWay.Add(-1)
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	s.answer(ctx, time.Now())
 	if s.stopping.Load() || s.overloaded() {
 		ctx.SetConnectionClose()
@@ -130,7 +131,7 @@
 }
 
 func (s *Server) answer(ctx *fasthttp.RequestCtx, arrived time.Time) {
-	if !s.awaitStart(ctx, arrived) {
+	if !s.waitForStartup(ctx, arrived) {
 		return
 	}
 	table := s.table()
@@ -153,39 +154,39 @@
 		Version:  table.Version,
 		Message:  request.message,
 		Identity: request.identity,
-		Allowed:  request.allowed,
+		Allowed:  request.timeout,
 		Arrived:  arrived,
 	})
 }
 
-// dispatch carries out the request; the work ends when the caller hangs up, or
-// when the process cannot wait for it.
+// dispatch processes the request. The work is canceled when the caller hangs up or
+// the process can no longer wait for it.
 func (s *Server) dispatch(ctx *fasthttp.RequestCtx, request dispatch.Request) {
 	var outcome *exchange.Outcome
-	s.watched(ctx, func(working context.Context) { outcome = s.dispatcher.Do(working, request) })
+	s.runUntilHangUp(ctx, func(workContext context.Context) { outcome = s.dispatcher.Do(workContext, request) })
 	switch {
-	case outcome == nil && s.ending.Err() != nil:
+	case outcome == nil && s.baseContext.Err() != nil:
 		ctx.Error("the node stops\n", fasthttp.StatusGatewayTimeout)
 		return
 	case outcome == nil:
-		// Nobody waits for an answer, and no empty one may be sent.
+		// The caller has hung up; an empty answer must not be sent.
 		_ = ctx.Conn().Close()
 		return
 	}
 	s.writeOutcome(ctx, request.Route, outcome)
 }
 
-// watched runs the work under a context that ends when the caller hangs up, or
-// when the process cannot wait any more.
-func (s *Server) watched(ctx *fasthttp.RequestCtx, work func(context.Context)) {
-	working, cancel := context.WithCancelCause(s.ending)
+// runUntilHangUp runs work with a context that is canceled when the caller hangs up or
+// the process can no longer wait.
+func (s *Server) runUntilHangUp(ctx *fasthttp.RequestCtx, work func(context.Context)) {
+	workContext, cancel := context.WithCancelCause(s.baseContext)
 	defer cancel(nil)
 	stopWatch := ctx.Conn().(*connection).watch(func() { cancel(dispatch.ErrCallerGone) })
-	work(working)
+	work(workContext)
 	stopWatch()
 }
 
-// reject answers a request that is wrong in itself and closes its connection.
+// reject answers an invalid request and closes its connection.
 func reject(ctx *fasthttp.RequestCtx, status int, cause error) {
 	ctx.Error(cause.Error()+"\n", status)
 	ctx.SetConnectionClose()
--- a/internal/ingress/start.go
+++ b/internal/ingress/start.go
@@ -10,79 +10,80 @@
 	"github.com/driftstage/driftstage/internal/dispatch"
 )
 
-// drainFactor is how much slower than they came the requests go on that have waited
-// for the node's start: new ones come besides, and servers are cold.
-const drainFactor = 2
+// releaseSlowdown is how many times slower than they arrived the requests are released
+// that have waited for the node's startup: new requests arrive at the same time, and the
+// servers are not warmed up.
+const releaseSlowdown = 2
 
-// start is what callers wait for on a node that has just started.
-type start struct {
-	// known is closed once the node knows a configuration and the servers.
-	known <-chan struct{}
+// startup holds requests that arrive before the node can process them.
+type startup struct {
+	// synced is closed once the node has a routing table and the list of servers.
+	synced <-chan struct{}
 
 	mutex sync.Mutex
-	// firstAt is when the first request came that had to wait.
-	firstAt time.Time
+	// firstArrival is when the first waiting request arrived.
+	firstArrival time.Time
 }
 
-// over reports whether nobody has to wait any more.
-func (s *start) over() bool {
+// done reports whether requests no longer have to wait.
+func (s *startup) done() bool {
 	select {
-	case <-s.known:
+	case <-s.synced:
 		return true
 	default:
 		return false
 	}
 }
 
-// lag returns how long after the first one that had to wait a request came.
-func (s *start) lag(arrived time.Time) time.Duration {
+// arrivalOffset returns the time between the first waiting request and this one.
+func (s *startup) arrivalOffset(arrived time.Time) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.firstAt.IsZero() {
-		s.firstAt = arrived
+	if s.firstArrival.IsZero() {
+		s.firstArrival = arrived
 	}
-	return arrived.Sub(s.firstAt)
+	return arrived.Sub(s.firstArrival)
 }
 
-// await returns once the node knows enough, or when ctx ends. Requests that have
-// waited go on at the pace at which they came: all at once they would be more than
-// the servers' queues hold.
-func (s *start) await(ctx context.Context, arrived time.Time) {
-	lag := s.lag(arrived)
+// wait returns once the node is synced and the request's turn has come, or when ctx ends.
+// Waiting requests are released one by one in the order of their arrival: all at once
+// they would overflow the servers' queues.
+func (s *startup) wait(ctx context.Context, arrived time.Time) {
+	offset := s.arrivalOffset(arrived)
 	select {
-	case <-s.known:
+	case <-s.synced:
 	case <-ctx.Done():
 		return
 	}
 	select {
-	case <-time.After(drainFactor * lag):
+	case <-time.After(releaseSlowdown * offset):
 	case <-ctx.Done():
 	}
 }
 
-// awaitStart lets a request wait for a while until the node knows a configuration
-// and the servers, and refuses it if that takes longer. It returns false if the
-// request has been answered.
-func (s *Server) awaitStart(ctx *fasthttp.RequestCtx, arrived time.Time) bool {
-	if s.start.over() {
+// waitForStartup lets a request wait until the node has a routing table and the list of
+// servers, and refuses it if that takes too long. It returns false if the request needs
+// no further processing.
+func (s *Server) waitForStartup(ctx *fasthttp.RequestCtx, arrived time.Time) bool {
+	if s.startup.done() {
 		return true
 	}
-	// A header that is wrong is found when the request is parsed.
-	allowed, _ := s.allowed(&ctx.Request.Header)
-	gone := false
-	s.watched(ctx, func(working context.Context) {
-		waiting, cancel := context.WithDeadline(working, arrived.Add(dispatch.Patience(allowed)))
+	// An invalid header is rejected later by parse.
+	timeout, _ := s.callerTimeout(&ctx.Request.Header)
+	canceled := false
+	s.runUntilHangUp(ctx, func(workContext context.Context) {
+		waitContext, cancel := context.WithDeadline(workContext, arrived.Add(dispatch.Patience(timeout)))
 		defer cancel()
-		s.start.await(waiting, arrived)
-		gone = working.Err() != nil
+		s.startup.wait(waitContext, arrived)
+		canceled = workContext.Err() != nil
 	})
 	switch {
-	case s.start.over() && !gone:
+	case s.startup.done() && !canceled:
 		return true
-	case s.ending.Err() != nil || !gone:
+	case s.baseContext.Err() != nil || !canceled:
 		refuse(ctx, "no configuration is known yet", 0)
 	default:
-		// Nobody waits for an answer, and no empty one may be sent.
+		// The caller has hung up; an empty answer must not be sent.
 		_ = ctx.Conn().Close()
 	}
 	return false
--- a/internal/ingress/start_test.go
+++ b/internal/ingress/start_test.go
@@ -9,41 +9,41 @@
 	"github.com/matryer/is"
 )
 
-// Requests that waited for the node's start go on one after the other, more slowly
-// than they came.
-func TestRequestsGoOnAtAPaceAfterTheStart(t *testing.T) {
+// Requests that have waited for the node's startup are released one by one, at longer
+// intervals than they arrived.
+func TestRequestsArePacedAfterStartup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		known := make(chan struct{})
-		start := start{known: known}
-		is.True(!start.over())
-		begun := time.Now()
-		const apart = 50 * time.Millisecond
-		passed := make(chan time.Duration, 3)
-		for range cap(passed) {
+		synced := make(chan struct{})
+		startup := startup{synced: synced}
+		is.True(!startup.done())
+		start := time.Now()
+		const interval = 50 * time.Millisecond
+		released := make(chan time.Duration, 3)
+		for range cap(released) {
 			go func() {
-				start.await(t.Context(), time.Now())
-				passed <- time.Since(begun)
+				startup.wait(t.Context(), time.Now())
+				released <- time.Since(start)
 			}()
-			time.Sleep(apart)
+			time.Sleep(interval)
 		}
-		const knownAt = 200 * time.Millisecond
-		time.Sleep(knownAt - time.Since(begun))
-		close(known)
-		for index := range cap(passed) {
-			is.Equal(<-passed, knownAt+time.Duration(index)*drainFactor*apart)
+		const syncedAt = 200 * time.Millisecond
+		time.Sleep(syncedAt - time.Since(start))
+		close(synced)
+		for index := range cap(released) {
+			is.Equal(<-released, syncedAt+time.Duration(index)*releaseSlowdown*interval)
 		}
-		is.True(start.over())
+		is.True(startup.done())
 	})
 }
 
-func TestWaitForTheStartEndsWithTheCaller(t *testing.T) {
+func TestStartupWaitEndsWithTheCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		start := start{known: make(chan struct{})}
+		startup := startup{synced: make(chan struct{})}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		begun := time.Now()
-		start.await(ctx, begun)
-		is.New(t).Equal(time.Since(begun), time.Second)
+		start := time.Now()
+		startup.wait(ctx, start)
+		is.New(t).Equal(time.Since(start), time.Second)
 	})
 }
