--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -17,7 +17,7 @@
 // HeaderRetryAfterMillis refines Retry-After, which counts whole seconds.
 const HeaderRetryAfterMillis = "Driftstage-Retry-After-Millis"
 
-// answer is the JSON object that every caller gets.
+// answer is the JSON body of every response.
 type answer struct {
 	RequestID string          `json:"requestId,omitempty"`
 	Service   string          `json:"service,omitempty"`
@@ -29,7 +29,7 @@
 	Failure   *failure        `json:"error,omitempty"`
 }
 
-// coverage tells which shards the answer holds and why others are missing.
+// coverage says how many shards the answer covers and why others are missing.
 type coverage struct {
 	Shards  int       `json:"shards"`
 	Covered int       `json:"covered"`
@@ -49,12 +49,12 @@
 type failure struct {
 	Code    verdict.Code `json:"code"`
 	Message string       `json:"message"`
-	// RetryAfterMillis is when to come back, in milliseconds.
+	// RetryAfterMillis is the delay before a retry.
 	RetryAfterMillis int64 `json:"retryAfterMillis,omitempty"`
 }
 
 func newAnswer(query scatter.Query, gathered scatter.Answer) answer {
-	written := answer{
+	body := answer{
 		RequestID: query.RequestID,
 		Service:   query.Service.Name,
 		Revision:  gathered.Revision,
@@ -67,16 +67,16 @@
 		},
 		Results: make([]result, len(gathered.Results)),
 	}
-	for index, one := range gathered.Coverage.Missing {
-		written.Coverage.Missing[index] = missing{Shard: one.Shard, Reason: one.Reason}
+	for index, shard := range gathered.Coverage.Missing {
+		body.Coverage.Missing[index] = missing{Shard: shard.Shard, Reason: shard.Reason}
 	}
-	for index, one := range gathered.Results {
-		written.Results[index] = result{Shard: one.Shard, Body: one.Body}
+	for index, shard := range gathered.Results {
+		body.Results[index] = result{Shard: shard.Shard, Body: shard.Body}
 	}
 	if gathered.Failure != nil {
-		written.Failure = newFailure(gathered.Failure)
+		body.Failure = newFailure(gathered.Failure)
 	}
-	return written
+	return body
 }
 
 func newFailure(err *verdict.Error) *failure {
@@ -109,22 +109,22 @@
 	}
 }
 
-func writeAnswer(ctx *fasthttp.RequestCtx, status int, written answer) {
-	encoded, err := json.Marshal(written)
+func writeAnswer(ctx *fasthttp.RequestCtx, status int, body answer) {
+	encoded, err := json.Marshal(body)
 	if err != nil {
-		klog.ErrorS(err, "answer can not be encoded", "request", written.RequestID, "service", written.Service)
+		klog.ErrorS(err, "cannot encode answer", "request", body.RequestID, "service", body.Service)
 		status = fasthttp.StatusInternalServerError
-		encoded = []byte(`{"verdict":"may-have-run","error":{"code":"internal","message":"the answer can not be encoded"}}`)
+		encoded = []byte(`{"verdict":"may-have-run","error":{"code":"internal","message":"the answer cannot be encoded"}}`)
 	}
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
 	ctx.SetBody(encoded)
-	if written.Failure != nil && written.Failure.RetryAfterMillis > 0 {
-		setRetryAfter(&ctx.Response.Header, time.Duration(written.Failure.RetryAfterMillis)*time.Millisecond)
+	if body.Failure != nil && body.Failure.RetryAfterMillis > 0 {
+		setRetryAfter(&ctx.Response.Header, time.Duration(body.Failure.RetryAfterMillis)*time.Millisecond)
 	}
 }
 
-func setRetryAfter(header *fasthttp.ResponseHeader, after time.Duration) {
-	header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(after.Seconds()))))
-	header.Set(HeaderRetryAfterMillis, strconv.FormatInt(after.Milliseconds(), 10))
+func setRetryAfter(header *fasthttp.ResponseHeader, delay time.Duration) {
+	header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(delay.Seconds()))))
+	header.Set(HeaderRetryAfterMillis, strconv.FormatInt(delay.Milliseconds(), 10))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway serves callers over HTTP: it reads a request, runs the query
-// core against the owners, and writes the answer.
+// Package gateway serves callers over HTTP: it parses a request, sends the query to
+// the nodes that own the servers of its shards, and writes the answer.
 //
 //	POST /v1/services/{service}/query
 //
-// The body goes to the shards as it is. Every answer, failures included, is a
+// The body is sent to the shards unchanged. Every answer, failures included, is a
 // JSON object that says whether the request may have run.
 package gateway
 
@@ -24,7 +24,7 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// Services gives the accepted revision in force of a service.
+// Services returns the current accepted revision of a service.
 type Services interface {
 	Service(name string) (*config.Service, bool)
 }
@@ -34,30 +34,30 @@
 	Run(ctx context.Context, query scatter.Query) scatter.Answer
 }
 
-// Options are the parts and limits of a Gateway.
+// Options holds the dependencies and limits of a Gateway.
 type Options struct {
 	Services Services
 	Runner   Runner
-	// Ready returns why the node takes no requests; empty when it does.
+	// Ready returns the reason why the node is not ready; empty if it is.
 	Ready    func() string
 	Registry prometheus.Registerer
-	// MaximumBodyBytes bounds request bodies of every service.
+	// MaximumBodyBytes bounds the request bodies of all services.
 	MaximumBodyBytes int
 	// MaximumConnections bounds the connections of callers.
 	MaximumConnections int
 }
 
 const (
-	// headerTimeout bounds reading one request: half-open connections end.
-	headerTimeout = 10 * time.Second
+	// readTimeout bounds reading one request, so that half-open connections are closed.
+	readTimeout = 10 * time.Second
 	// writeTimeout bounds writing one answer.
 	writeTimeout = 10 * time.Second
 	// idleTimeout closes connections without requests.
 	idleTimeout = 2 * time.Minute
-	// headerBytes bounds the request line and headers together.
-	headerBytes = 16 << 10
-	// notReadyRetryAfter is the advice of a node that is starting or stopping:
-	// another node can be asked at once.
+	// maxHeaderBytes bounds the request line and headers together.
+	maxHeaderBytes = 16 << 10
+	// notReadyRetryAfter is sent by a node that is starting or stopping: another
+	// node can serve the request at once.
 	notReadyRetryAfter = 100 * time.Millisecond
 )
 
@@ -68,15 +68,15 @@
 	metrics  *metrics
 	inFlight inFlight
 	draining atomic.Bool
-	// running is the context of all queries; cancel ends those that Shutdown gives up.
-	running context.Context
-	cancel  context.CancelFunc
+	// baseContext is the context of all queries; cancel ends those left by Shutdown.
+	baseContext context.Context
+	cancel      context.CancelFunc
 }
 
-// New returns a gateway that does not listen yet.
+// New returns a gateway that is not serving yet.
 func New(options Options) *Gateway {
 	gateway := &Gateway{options: options, metrics: newMetrics(options.Registry)}
-	gateway.running, gateway.cancel = context.WithCancel(context.Background())
+	gateway.baseContext, gateway.cancel = context.WithCancel(context.Background())
 	routes := router.New()
 	routes.RedirectTrailingSlash = false
 	routes.RedirectFixedPath = false
@@ -87,10 +87,10 @@
 		Name:                  "driftstage",
 		Handler:               routes.Handler,
 		ErrorHandler:          refuseMalformed,
-		ReadTimeout:           headerTimeout,
+		ReadTimeout:           readTimeout,
 		WriteTimeout:          writeTimeout,
 		IdleTimeout:           idleTimeout,
-		ReadBufferSize:        headerBytes,
+		ReadBufferSize:        maxHeaderBytes,
 		MaxRequestBodySize:    options.MaximumBodyBytes,
 		Concurrency:           options.MaximumConnections,
 		NoDefaultContentType:  true,
@@ -101,19 +101,19 @@
 	return gateway
 }
 
-// Serve answers callers on the listener until Shutdown.
+// Serve accepts connections until Shutdown.
 func (gateway *Gateway) Serve(listener net.Listener) error {
 	return gateway.server.Serve(listener)
 }
 
-// Drain makes the gateway refuse new requests as not run, and ask callers to
-// close their connections. Requests under way go on.
+// Drain makes the gateway refuse new requests as not run and ask callers to close
+// their connections. Requests in flight continue.
 func (gateway *Gateway) Drain() {
 	gateway.draining.Store(true)
 }
 
-// Shutdown closes the listener and waits until every request under way has been
-// answered, or ctx ends; then what is left is given up.
+// Shutdown closes the listener and waits until all requests in flight have been
+// answered or ctx ends; then it cancels the remaining ones.
 func (gateway *Gateway) Shutdown(ctx context.Context) error {
 	gateway.Drain()
 	err := gateway.server.ShutdownWithContext(ctx)
@@ -121,12 +121,12 @@
 	return err
 }
 
-// InFlight returns how many queries are under way.
+// InFlight returns the number of queries in flight.
 func (gateway *Gateway) InFlight() int {
 	return gateway.inFlight.total()
 }
 
-// refuse answers what reached no service.
+// refuse returns a handler for requests that match no route.
 func refuse(status int, reason string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		writeAnswer(ctx, status, answer{
@@ -141,7 +141,7 @@
 	status, code := fasthttp.StatusBadRequest, verdict.CodeInvalid
 	message := "the request is malformed"
 	var tooSmall *fasthttp.ErrSmallBuffer
-	var network *net.OpError
+	var opError *net.OpError
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
 		status, code = fasthttp.StatusRequestEntityTooLarge, verdict.CodeTooLarge
@@ -149,7 +149,7 @@
 	case errors.As(err, &tooSmall):
 		status, code = fasthttp.StatusRequestHeaderFieldsTooLarge, verdict.CodeTooLarge
 		message = "the headers are over the limit of this node"
-	case errors.As(err, &network) && network.Timeout():
+	case errors.As(err, &opError) && opError.Timeout():
 		status, code = fasthttp.StatusRequestTimeout, verdict.CodeDeadline
 		message = "the request did not arrive in time"
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	testService = "search"
-	testBody    = 1 << 10
-	// patience bounds waits that end at once unless something is broken.
-	patience = 10 * time.Second
+	testService   = "search"
+	testBodyLimit = 1 << 10
+	// testTimeout fails a test that hangs.
+	testTimeout = 10 * time.Second
 )
 
 type oneService struct{ service *config.Service }
@@ -42,8 +42,8 @@
 	return run(ctx, query)
 }
 
-// covered answers with the body of the query as the only result.
-func covered(_ context.Context, query scatter.Query) scatter.Answer {
+// echoRunner returns the body of the query as the only result.
+func echoRunner(_ context.Context, query scatter.Query) scatter.Answer {
 	return scatter.Answer{
 		Revision: 7,
 		Snapshot: 3,
@@ -58,21 +58,21 @@
 	is := is.New(t)
 	spec := &v1.QueryServiceSpec{}
 	spec.SetDefaults()
-	spec.Limits.BodyBytes = testBody
+	spec.Limits.BodyBytes = testBodyLimit
 	spec.Limits.InFlight = 2
 	gateway := New(Options{
 		Services:           oneService{&config.Service{Name: testService, Revision: 7, Spec: spec}},
 		Runner:             run,
 		Ready:              func() string { return "" },
 		Registry:           prometheus.NewRegistry(),
-		MaximumBodyBytes:   4 * testBody,
+		MaximumBodyBytes:   4 * testBodyLimit,
 		MaximumConnections: 100,
 	})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = gateway.Serve(listener) }()
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		_ = gateway.Shutdown(ctx)
 	})
@@ -102,9 +102,9 @@
 	return fmt.Sprintf("http://%s/v1/services/%s/query", address, service)
 }
 
-func TestAnswerCarriesWhatTheBriefAsksFor(t *testing.T) {
+func TestAnswerFields(t *testing.T) {
 	is := is.New(t)
-	_, address := start(t, covered)
+	_, address := start(t, echoRunner)
 	status, decoded, _ := post(t, queryURL(address, testService), `{"q":1}`, HeaderRequestID, "id-1")
 	is.Equal(status, 200)
 	is.Equal(decoded.RequestID, "id-1")
@@ -115,13 +115,13 @@
 	is.Equal(string(decoded.Results[0].Body), `{"q":1}`)
 }
 
-// An explicit minimum of zero is not the same as none.
+// An explicit minimum of zero differs from no minimum.
 func TestMinimumCoverageOfZeroIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	var got *float64
 	_, address := start(t, func(ctx context.Context, query scatter.Query) scatter.Answer {
 		got = query.MinimumCoverage
-		return covered(ctx, query)
+		return echoRunner(ctx, query)
 	})
 	post(t, queryURL(address, testService), "1")
 	is.True(got == nil)
@@ -129,13 +129,13 @@
 	is.True(got != nil && *got == 0)
 }
 
-func TestBadInputIsRefusedAsNotRun(t *testing.T) {
+func TestInvalidRequestIsRefusedAsNotRun(t *testing.T) {
 	_, address := start(t, func(context.Context, scatter.Query) scatter.Answer {
 		t.Error("a refused request was run")
 		return scatter.Answer{}
 	})
 	good := queryURL(address, testService)
-	for _, step := range []struct {
+	for _, test := range []struct {
 		name    string
 		url     string
 		body    string
@@ -145,8 +145,8 @@
 	}{
 		{"unknown service", queryURL(address, "other"), "", nil, 404, verdict.CodeUnknownService},
 		{"unknown path", "http://" + address + "/v2", "", nil, 404, verdict.CodeInvalid},
-		{"body over the service's limit", good, strings.Repeat("x", testBody+1), nil, 413, verdict.CodeTooLarge},
-		{"body over the node's limit", good, strings.Repeat("x", 5*testBody), nil, 413, verdict.CodeTooLarge},
+		{"body over the service's limit", good, strings.Repeat("x", testBodyLimit+1), nil, 413, verdict.CodeTooLarge},
+		{"body over the node's limit", good, strings.Repeat("x", 5*testBodyLimit), nil, 413, verdict.CodeTooLarge},
 		{"timeout", good, "", []string{HeaderTimeout, "soon"}, 400, verdict.CodeInvalid},
 		{"negative timeout", good, "", []string{HeaderTimeout, "-1s"}, 400, verdict.CodeInvalid},
 		{"repeatable", good, "", []string{HeaderRepeatable, "perhaps"}, 400, verdict.CodeInvalid},
@@ -154,40 +154,40 @@
 		{"coverage", good, "", []string{HeaderMinimumCoverage, "NaN"}, 400, verdict.CodeInvalid},
 		{"coverage above 1", good, "", []string{HeaderMinimumCoverage, "1.1"}, 400, verdict.CodeInvalid},
 		{"request id", good, "", []string{HeaderRequestID, "a b"}, 400, verdict.CodeInvalid},
-		{"headers over the limit", good, "", []string{"X-Long", strings.Repeat("x", 2*headerBytes)}, 431, verdict.CodeTooLarge},
+		{"headers over the limit", good, "", []string{"X-Long", strings.Repeat("x", 2*maxHeaderBytes)}, 431, verdict.CodeTooLarge},
 	} {
-		t.Run(step.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			status, decoded, _ := post(t, step.url, step.body, step.headers...)
-			is.Equal(status, step.status)
+			status, decoded, _ := post(t, test.url, test.body, test.headers...)
+			is.Equal(status, test.status)
 			is.Equal(decoded.Verdict, verdict.NotRun)
-			is.Equal(decoded.Failure.Code, step.code)
+			is.Equal(decoded.Failure.Code, test.code)
 			is.True(decoded.Failure.Message != "")
 		})
 	}
 }
 
-func TestWrongMethodAndGarbage(t *testing.T) {
+func TestWrongMethodAndMalformedRequest(t *testing.T) {
 	is := is.New(t)
-	_, address := start(t, covered)
+	_, address := start(t, echoRunner)
 	response, err := http.Get(queryURL(address, testService))
 	is.NoErr(err)
 	is.NoErr(response.Body.Close())
 	is.Equal(response.StatusCode, 405)
 
-	network, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	is.NoErr(err)
-	defer network.Close()
-	_, err = network.Write([]byte("\x00\x01garbage\r\n\r\n"))
+	defer conn.Close()
+	_, err = conn.Write([]byte("\x00\x01garbage\r\n\r\n"))
 	is.NoErr(err)
-	is.NoErr(network.SetReadDeadline(time.Now().Add(patience)))
-	refused, err := http.ReadResponse(bufio.NewReader(network), nil)
+	is.NoErr(conn.SetReadDeadline(time.Now().Add(testTimeout)))
+	refused, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	is.NoErr(err)
 	is.Equal(refused.StatusCode, 400)
 }
 
-// TestBodyOutlivesTheHandler: fasthttp reuses a request's buffers, so that a
-// query that keeps them would send another caller's body to its shards.
+// Guards against sending another caller's body to the shards: fasthttp reuses the
+// buffers of a request after its handler has returned.
 func TestBodyOutlivesTheHandler(t *testing.T) {
 	is := is.New(t)
 	var mutex sync.Mutex
@@ -196,7 +196,7 @@
 		mutex.Lock()
 		kept[query.RequestID] = query.Body
 		mutex.Unlock()
-		return covered(ctx, query)
+		return echoRunner(ctx, query)
 	})
 	client := &http.Client{}
 	for number := range 50 {
@@ -216,10 +216,10 @@
 }
 
 func TestFailuresMapToStatusAndRetryAfter(t *testing.T) {
-	for _, step := range []struct {
-		failure *verdict.Error
-		status  int
-		after   string
+	for _, test := range []struct {
+		failure    *verdict.Error
+		status     int
+		retryAfter string
 	}{
 		{&verdict.Error{Verdict: verdict.NotRun, Code: verdict.CodeOverloaded, RetryAfter: 1500 * time.Millisecond}, 429, "2"},
 		{&verdict.Error{Verdict: verdict.NotRun, Code: verdict.CodeUnreachable, RetryAfter: 20 * time.Millisecond}, 503, "1"},
@@ -227,15 +227,15 @@
 		{&verdict.Error{Verdict: verdict.Ran, Code: verdict.CodeDeadline}, 504, ""},
 		{&verdict.Error{Verdict: verdict.MayHaveRun, Code: verdict.CodeInternal}, 500, ""},
 	} {
-		t.Run(string(step.failure.Code), func(t *testing.T) {
+		t.Run(string(test.failure.Code), func(t *testing.T) {
 			is := is.New(t)
 			_, address := start(t, func(context.Context, scatter.Query) scatter.Answer {
-				return scatter.Answer{Verdict: step.failure.Verdict, Failure: step.failure, Coverage: scatter.Coverage{Shards: 1}}
+				return scatter.Answer{Verdict: test.failure.Verdict, Failure: test.failure, Coverage: scatter.Coverage{Shards: 1}}
 			})
 			status, decoded, headers := post(t, queryURL(address, testService), "")
-			is.Equal(status, step.status)
-			is.Equal(decoded.Verdict, step.failure.Verdict)
-			is.Equal(headers.Get("Retry-After"), step.after)
+			is.Equal(status, test.status)
+			is.Equal(decoded.Verdict, test.failure.Verdict)
+			is.Equal(headers.Get("Retry-After"), test.retryAfter)
 		})
 	}
 }
@@ -247,7 +247,7 @@
 	_, address := start(t, func(ctx context.Context, query scatter.Query) scatter.Answer {
 		entered <- struct{}{}
 		<-release
-		return covered(ctx, query)
+		return echoRunner(ctx, query)
 	})
 	var group sync.WaitGroup
 	for range 2 {
@@ -263,23 +263,23 @@
 	group.Wait()
 }
 
-func TestDrainRefusesNewAndFinishesOld(t *testing.T) {
+func TestDrainRefusesNewAndFinishesInFlight(t *testing.T) {
 	is := is.New(t)
 	entered := make(chan struct{})
 	release := make(chan struct{})
 	gateway, address := start(t, func(ctx context.Context, query scatter.Query) scatter.Answer {
 		close(entered)
 		<-release
-		return covered(ctx, query)
+		return echoRunner(ctx, query)
 	})
 	type outcome struct {
 		status  int
 		decoded answer
 	}
-	old := make(chan outcome, 1)
+	inFlight := make(chan outcome, 1)
 	go func() {
 		status, decoded, _ := post(t, queryURL(address, testService), "1")
-		old <- outcome{status, decoded}
+		inFlight <- outcome{status, decoded}
 	}()
 	<-entered
 	gateway.Drain()
@@ -291,12 +291,12 @@
 
 	stopped := make(chan error, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		stopped <- gateway.Shutdown(ctx)
 	}()
 	close(release)
-	finished := <-old
+	finished := <-inFlight
 	is.Equal(finished.status, 200)
 	is.Equal(finished.decoded.Coverage.Covered, 1)
 	is.NoErr(<-stopped)
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -6,15 +6,15 @@
 	"github.com/driftstage/driftstage/internal/config"
 )
 
-// inFlight counts queries under way for each service.
+// inFlight counts the queries in flight of each service.
 type inFlight struct {
 	mutex  sync.Mutex
 	counts map[string]int
 	sum    int
 }
 
-// enter counts a query unless the service is at its limit.
-func (counter *inFlight) enter(service *config.Service) bool {
+// acquire counts a query and returns true, unless the service is at its limit.
+func (counter *inFlight) acquire(service *config.Service) bool {
 	counter.mutex.Lock()
 	defer counter.mutex.Unlock()
 	if counter.counts == nil {
@@ -28,7 +28,7 @@
 	return true
 }
 
-func (counter *inFlight) leave(service *config.Service) {
+func (counter *inFlight) release(service *config.Service) {
 	counter.mutex.Lock()
 	defer counter.mutex.Unlock()
 	counter.counts[service.Name]--
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -9,27 +9,27 @@
 	"github.com/driftstage/driftstage/internal/scatter"
 )
 
-// metrics are what the gateway counts of queries.
+// metrics holds the metrics of queries and their mean duration per service.
 type metrics struct {
 	duration *prometheus.HistogramVec
 	shards   *prometheus.CounterVec
 
 	mutex sync.Mutex
-	// typical holds a decayed mean of the duration of each service's queries.
-	typical map[string]time.Duration
+	// meanDuration is the exponentially weighted mean of the query duration by service.
+	meanDuration map[string]time.Duration
 }
 
 const (
-	// typicalDecay is the weight of one query in the decayed mean: 1/16.
-	typicalDecay = 16
-	// typicalFloor is the least advice given to a refused caller.
-	typicalFloor = 10 * time.Millisecond
-	// outcomeAnswered is the code of a query that was answered.
+	// meanDurationDivisor sets the weight of one query in the mean to 1/16.
+	meanDurationDivisor = 16
+	// minRetryAfter is the shortest delay sent to a refused caller.
+	minRetryAfter = 10 * time.Millisecond
+	// outcomeAnswered is the code label of queries without a failure.
 	outcomeAnswered = "answered"
 )
 
 func newMetrics(registry prometheus.Registerer) *metrics {
-	created := &metrics{
+	metrics := &metrics{
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "driftstage_gateway_query_duration_seconds",
 			Help:    "Time from the arrival of a query to its answer.",
@@ -39,14 +39,14 @@
 			Name: "driftstage_gateway_shards_total",
 			Help: "Shards asked for by queries, covered or missing.",
 		}, []string{"service", "covered"}),
-		typical: make(map[string]time.Duration),
+		meanDuration: make(map[string]time.Duration),
 	}
-	registry.MustRegister(created.duration, created.shards)
-	return created
+	registry.MustRegister(metrics.duration, metrics.shards)
+	return metrics
 }
 
 func (metrics *metrics) observe(query scatter.Query, gathered scatter.Answer, elapsed time.Duration) {
-	// Names of unknown services stay out of the labels: callers choose them.
+	// Unknown service names come from callers and would make the label unbounded.
 	service := ""
 	if query.Service != nil {
 		service = query.Service.Name
@@ -61,22 +61,22 @@
 	}
 	metrics.shards.WithLabelValues(service, "true").Add(float64(gathered.Coverage.Covered))
 	metrics.shards.WithLabelValues(service, "false").Add(float64(gathered.Coverage.Shards - gathered.Coverage.Covered))
-	metrics.learn(service, elapsed)
+	metrics.updateMean(service, elapsed)
 }
 
-func (metrics *metrics) learn(service string, elapsed time.Duration) {
+func (metrics *metrics) updateMean(service string, elapsed time.Duration) {
 	metrics.mutex.Lock()
 	defer metrics.mutex.Unlock()
-	known, found := metrics.typical[service]
+	mean, found := metrics.meanDuration[service]
 	if !found {
-		known = elapsed
+		mean = elapsed
 	}
-	metrics.typical[service] = known + (elapsed-known)/typicalDecay
+	metrics.meanDuration[service] = mean + (elapsed-mean)/meanDurationDivisor
 }
 
-// typicalDuration predicts how long it takes until a query under way ends.
-func (metrics *metrics) typicalDuration(service string) time.Duration {
+// expectedDuration estimates the time until a query in flight finishes.
+func (metrics *metrics) expectedDuration(service string) time.Duration {
 	metrics.mutex.Lock()
 	defer metrics.mutex.Unlock()
-	return max(typicalFloor, metrics.typical[service])
+	return max(minRetryAfter, metrics.meanDuration[service])
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -15,9 +15,9 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// Request headers; all are optional.
+// Request headers. All of them are optional.
 const (
-	// HeaderRequestID names the request in answers, logs and back-end records.
+	// HeaderRequestID identifies the request in answers, logs and back ends.
 	HeaderRequestID = "Driftstage-Request-Id"
 	// HeaderTimeout is how long the caller waits, such as 250ms.
 	HeaderTimeout = "Driftstage-Timeout"
@@ -31,7 +31,7 @@
 
 var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,64}$`)
 
-// parseQuery reads the headers and copies the body, which fasthttp reuses.
+// parseQuery parses the headers and copies the body, whose buffer fasthttp reuses.
 func parseQuery(ctx *fasthttp.RequestCtx, service *config.Service) (scatter.Query, error) {
 	spec := service.Spec
 	query := scatter.Query{
@@ -41,7 +41,7 @@
 		Class:      spec.Class,
 	}
 	if len(ctx.PostBody()) > spec.Limits.BodyBytes {
-		return query, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body of %d bytes, the service's limit is %d", len(ctx.PostBody()), spec.Limits.BodyBytes)
+		return query, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body of %d bytes exceeds the service's limit of %d", len(ctx.PostBody()), spec.Limits.BodyBytes)
 	}
 	parsers := []func(*fasthttp.RequestHeader, *scatter.Query) error{
 		parseRequestID, parseTimeout, parseRepeatable, parseClass, parseMinimumCoverage,
@@ -55,7 +55,7 @@
 	return query, nil
 }
 
-func malformed(header, got, want string) error {
+func invalidHeader(header, got, want string) error {
 	return verdict.New(verdict.NotRun, verdict.CodeInvalid, "%s: %q: want %s", header, got, want)
 }
 
@@ -66,7 +66,7 @@
 		return nil
 	}
 	if !requestIDPattern.MatchString(text) {
-		return malformed(HeaderRequestID, text, "1 to 64 letters, digits, '.', '_', ':' or '-'")
+		return invalidHeader(HeaderRequestID, text, "1 to 64 letters, digits, '.', '_', ':' or '-'")
 	}
 	query.RequestID = text
 	return nil
@@ -79,7 +79,7 @@
 	}
 	timeout, err := time.ParseDuration(text)
 	if err != nil || timeout <= 0 {
-		return malformed(HeaderTimeout, text, "a duration above zero, such as 250ms")
+		return invalidHeader(HeaderTimeout, text, "a duration above zero, such as 250ms")
 	}
 	query.Timeout = min(timeout, time.Duration(query.Service.Spec.Deadlines.Maximum))
 	return nil
@@ -92,7 +92,7 @@
 	case "false":
 		query.Repeatable = false
 	default:
-		return malformed(HeaderRepeatable, text, "true or false")
+		return invalidHeader(HeaderRepeatable, text, "true or false")
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 	case string(v1.ClassInteractive), string(v1.ClassBatch):
 		query.Class = v1.Class(text)
 	default:
-		return malformed(HeaderClass, text, "interactive or batch")
+		return invalidHeader(HeaderClass, text, "interactive or batch")
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	}
 	minimum, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(minimum >= 0 && minimum <= 1) {
-		return malformed(HeaderMinimumCoverage, text, "a number from 0 to 1")
+		return invalidHeader(HeaderMinimumCoverage, text, "a number from 0 to 1")
 	}
 	query.MinimumCoverage = &minimum
 	return nil
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -12,9 +12,9 @@
 func (gateway *Gateway) serveQuery(ctx *fasthttp.RequestCtx) {
 	start := time.Now()
 	name, _ := ctx.UserValue("service").(string)
-	query, gathered := gateway.query(ctx, name)
+	query, gathered := gateway.run(ctx, name)
 	if gathered.Failure != nil {
-		gateway.fail(ctx, name, query, gathered)
+		gateway.writeFailure(ctx, name, query, gathered)
 	} else {
 		writeAnswer(ctx, fasthttp.StatusOK, newAnswer(query, gathered))
 	}
@@ -24,47 +24,47 @@
 	gateway.metrics.observe(query, gathered, time.Since(start))
 }
 
-func (gateway *Gateway) fail(ctx *fasthttp.RequestCtx, name string, query scatter.Query, gathered scatter.Answer) {
-	failed := gathered.Failure
+func (gateway *Gateway) writeFailure(ctx *fasthttp.RequestCtx, name string, query scatter.Query, gathered scatter.Answer) {
+	err := gathered.Failure
 	if query.Service == nil || gathered.Coverage.Shards == 0 {
-		writeAnswer(ctx, statusOf(failed), answer{
+		writeAnswer(ctx, statusOf(err), answer{
 			RequestID: query.RequestID,
 			Service:   name,
-			Verdict:   failed.Verdict,
-			Failure:   newFailure(failed),
+			Verdict:   err.Verdict,
+			Failure:   newFailure(err),
 		})
 		return
 	}
-	writeAnswer(ctx, statusOf(failed), newAnswer(query, gathered))
+	writeAnswer(ctx, statusOf(err), newAnswer(query, gathered))
 }
 
-// query runs one request; a refusal is an answer with a NotRun failure.
-func (gateway *Gateway) query(ctx *fasthttp.RequestCtx, name string) (scatter.Query, scatter.Answer) {
+// run processes one request. A refusal is an answer with a NotRun failure.
+func (gateway *Gateway) run(ctx *fasthttp.RequestCtx, name string) (scatter.Query, scatter.Answer) {
 	if err := gateway.refusal(); err != nil {
-		return scatter.Query{}, refused(err)
+		return scatter.Query{}, refusedAnswer(err)
 	}
 	service, known := gateway.options.Services.Service(name)
 	if !known {
-		return scatter.Query{}, refused(verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no accepted configuration for service %q", name))
+		return scatter.Query{}, refusedAnswer(verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no accepted configuration for service %q", name))
 	}
 	query, err := parseQuery(ctx, service)
 	if err != nil {
-		return query, refused(verdict.From(err))
+		return query, refusedAnswer(verdict.From(err))
 	}
-	if !gateway.inFlight.enter(service) {
-		overloaded := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%d queries of the service are under way in this node", service.Spec.Limits.InFlight)
-		overloaded.RetryAfter = gateway.metrics.typicalDuration(service.Name)
-		return query, refused(overloaded)
+	if !gateway.inFlight.acquire(service) {
+		overloaded := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%d queries of the service are in flight on this node", service.Spec.Limits.InFlight)
+		overloaded.RetryAfter = gateway.metrics.expectedDuration(service.Name)
+		return query, refusedAnswer(overloaded)
 	}
-	defer gateway.inFlight.leave(service)
-	return query, gateway.options.Runner.Run(gateway.running, query)
+	defer gateway.inFlight.release(service)
+	return query, gateway.options.Runner.Run(gateway.baseContext, query)
 }
 
-// refusal tells why the node takes no requests at present.
+// refusal returns why the node accepts no requests at present, or nil.
 func (gateway *Gateway) refusal() *verdict.Error {
 	var refusal *verdict.Error
 	if gateway.draining.Load() {
-		refusal = verdict.New(verdict.NotRun, verdict.CodeDraining, "this node is stopping; ask another one")
+		refusal = verdict.New(verdict.NotRun, verdict.CodeDraining, "this node is stopping; retry on another node")
 	} else if reason := gateway.options.Ready(); reason != "" {
 		refusal = verdict.New(verdict.NotRun, verdict.CodeNotReady, "this node is not ready: %s", reason)
 	} else {
@@ -74,6 +74,6 @@
 	return refusal
 }
 
-func refused(err *verdict.Error) scatter.Answer {
+func refusedAnswer(err *verdict.Error) scatter.Answer {
 	return scatter.Answer{Verdict: err.Verdict, Failure: err}
 }
