--- a/internal/wire/bench_test.go
+++ b/internal/wire/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// BenchmarkCall carries sub-requests over one loopback connection; the cost of
-// both ends is included. With -cpu 1 its time is processor time.
+// BenchmarkCall sends sub-requests over one loopback connection. It includes the cost
+// of client and server; with -cpu 1 the time per operation is CPU time.
 func BenchmarkCall(b *testing.B) {
 	server := NewServer(ServerOptions{})
 	Handle(server, func(_ context.Context, request *message.SubRequest) (*message.SubReply, error) {
@@ -23,7 +23,7 @@
 	defer client.Close()
 	b.ReportAllocs()
 	b.SetParallelism(64)
-	b.RunParallel(func(loop *testing.PB) {
+	b.RunParallel(func(pb *testing.PB) {
 		request := &message.SubRequest{
 			RequestID: "request-0123456789",
 			Service:   "search",
@@ -31,7 +31,7 @@
 			Shards:    []int{7},
 			Body:      make([]byte, 256),
 		}
-		for loop.Next() {
+		for pb.Next() {
 			if err := client.Call(b.Context(), address, request, &message.SubReply{}); err != nil {
 				b.Error(err)
 				return
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -10,23 +10,25 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-var errSilent = errors.New("peer is silent")
+var errPingTimeout = errors.New("ping timeout")
 
 // ClientOptions configures a Client; zero fields take the defaults below.
 type ClientOptions struct {
-	// Cluster is the name of the system: peers of another are not talked to.
+	// Cluster is the name of the cluster; connections to other clusters are rejected.
 	Cluster string
-	// Dial opens a connection; nil means TCP. Tests put faults here.
+	// Dial opens a connection; nil means TCP. Tests use it to inject faults.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// DialTimeout bounds connecting and the hello.
+	// DialTimeout bounds connecting and, separately, the handshake.
 	DialTimeout time.Duration
 	// WriteTimeout bounds one write.
 	WriteTimeout time.Duration
-	// RedialAfter is how long calls fail at once after a failed dial.
+	// RedialAfter is how long calls fail immediately after a failed dial.
 	RedialAfter time.Duration
-	// PingInterval is how often a silent peer with calls waiting is pinged.
+	// PingInterval is the time between pings to a peer with calls in flight that sends
+	// nothing.
 	PingInterval time.Duration
-	// SilenceLimit is how long a peer with calls waiting may stay silent.
+	// SilenceLimit is how long a peer with calls in flight may send nothing before the
+	// connection is closed.
 	SilenceLimit time.Duration
 }
 
@@ -68,18 +70,18 @@
 	closed  bool
 }
 
-// peer is the way to one address.
+// peer holds the connection to one address and the state of its dials.
 type peer struct {
 	address    string
 	connection *connection
-	// dialing is closed when the dial under way has ended; nil without one.
+	// dialing is closed when the current dial has finished; nil without one.
 	dialing chan struct{}
-	// dialError is the failure of the last dial, until redialAt.
-	dialError error
-	redialAt  time.Time
+	// dialError is the error of the last dial; calls fail with it until backoffUntil.
+	dialError    error
+	backoffUntil time.Time
 }
 
-// NewClient returns a client without connections; Close ends it.
+// NewClient returns a client without connections. Close it after use.
 func NewClient(options ClientOptions) *Client {
 	return &Client{options: options.withDefaults(), peers: make(map[string]*peer)}
 }
@@ -94,30 +96,30 @@
 	return established.call(ctx, request, reply)
 }
 
-// Close ends all connections; calls under way fail.
+// Close closes all connections; calls in flight fail.
 func (client *Client) Close() {
 	client.mutex.Lock()
 	client.closed = true
-	var established []*connection
-	for _, closing := range client.peers {
-		if closing.connection != nil {
-			established = append(established, closing.connection)
+	var connections []*connection
+	for _, peer := range client.peers {
+		if peer.connection != nil {
+			connections = append(connections, peer.connection)
 		}
 	}
 	client.peers = make(map[string]*peer)
 	client.mutex.Unlock()
-	for _, closing := range established {
-		closing.fail(net.ErrClosed)
+	for _, connection := range connections {
+		connection.fail(net.ErrClosed)
 	}
 }
 
-// Forget closes the connection to an address that has left.
+// Forget closes the connection to an address. A later call dials it again.
 func (client *Client) Forget(address string) {
 	client.mutex.Lock()
 	var established *connection
-	if forgotten := client.peers[address]; forgotten != nil {
-		established = forgotten.connection
-		if forgotten.dialing == nil {
+	if removed := client.peers[address]; removed != nil {
+		established = removed.connection
+		if removed.dialing == nil {
 			delete(client.peers, address)
 		}
 	}
@@ -136,36 +138,36 @@
 		select {
 		case <-dialing:
 		case <-ctx.Done():
-			return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "given up while connecting to %s", address)
+			return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "canceled while connecting to %s", address)
 		}
 	}
 }
 
-// lookup returns a usable connection, or the dial to wait for, which it starts
-// when there is none, or the failure of a dial a moment ago.
+// lookup returns a usable connection, the channel of a running dial to wait for, or
+// the error of a recent dial. It starts a dial if necessary.
 func (client *Client) lookup(address string) (*connection, chan struct{}, error) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if client.closed {
 		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "client is closed")
 	}
-	known := client.peers[address]
-	if known == nil {
-		known = &peer{address: address}
-		client.peers[address] = known
+	target := client.peers[address]
+	if target == nil {
+		target = &peer{address: address}
+		client.peers[address] = target
 	}
-	if known.connection != nil && known.connection.usable() {
-		return known.connection, nil, nil
+	if target.connection != nil && target.connection.usable() {
+		return target.connection, nil, nil
 	}
-	if known.dialing != nil {
-		return nil, known.dialing, nil
+	if target.dialing != nil {
+		return nil, target.dialing, nil
 	}
-	if known.dialError != nil && time.Now().Before(known.redialAt) {
-		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connect to %s: %v", address, known.dialError)
+	if target.dialError != nil && time.Now().Before(target.backoffUntil) {
+		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connect to %s: %v", address, target.dialError)
 	}
-	known.dialing = make(chan struct{})
-	go client.dial(known)
-	return nil, known.dialing, nil
+	target.dialing = make(chan struct{})
+	go client.dial(target)
+	return nil, target.dialing, nil
 }
 
 func (client *Client) dial(target *peer) {
@@ -174,7 +176,7 @@
 	closed := client.closed
 	target.connection = established
 	target.dialError = err
-	target.redialAt = time.Now().Add(client.options.RedialAfter)
+	target.backoffUntil = time.Now().Add(client.options.RedialAfter)
 	close(target.dialing)
 	target.dialing = nil
 	client.mutex.Unlock()
@@ -186,36 +188,36 @@
 		return
 	}
 	go func() { established.fail(established.writer.run()) }()
-	go established.watch(client.options)
-	established.fail(established.read(reader))
+	go established.pingLoop(client.options)
+	established.fail(established.readLoop(reader))
 }
 
 func (client *Client) open(address string) (*connection, *frameReader, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), client.options.DialTimeout)
 	defer cancel()
-	network, err := client.options.Dial(ctx, address)
+	conn, err := client.options.Dial(ctx, address)
 	if err != nil {
 		return nil, nil, err
 	}
-	reader := newFrameReader(network)
-	if err := exchangeHello(network, reader, client.options.Cluster, client.options.DialTimeout); err != nil {
-		_ = network.Close()
+	reader := newFrameReader(conn)
+	if err := exchangeHello(conn, reader, client.options.Cluster, client.options.DialTimeout); err != nil {
+		_ = conn.Close()
 		return nil, nil, err
 	}
-	return newConnection(network, client.options), reader, nil
+	return newConnection(conn, client.options), reader, nil
 }
 
-// exchangeHello sends and checks the hello within the timeout.
-func exchangeHello(network net.Conn, reader *frameReader, cluster string, timeout time.Duration) error {
-	hello := helloOf(cluster)
-	if err := network.SetDeadline(time.Now().Add(timeout)); err != nil {
+// exchangeHello sends the hello and checks that of the peer within the timeout.
+func exchangeHello(conn net.Conn, reader *frameReader, cluster string, timeout time.Duration) error {
+	hello := newHello(cluster)
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
-	if _, err := network.Write(hello); err != nil {
+	if _, err := conn.Write(hello); err != nil {
 		return err
 	}
 	if err := reader.readHello(hello); err != nil {
 		return err
 	}
-	return network.SetDeadline(time.Time{})
+	return conn.SetDeadline(time.Time{})
 }
--- a/internal/wire/close_test.go
+++ b/internal/wire/close_test.go
@@ -10,27 +10,27 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// Close and Forget may come while a connection is being dialled. The race
-// detector sees it when they read the connection without the lock.
-func TestCloseWhileDialling(t *testing.T) {
-	for _, end := range []func(*Client){
+// Guards against a data race on the connection of a peer: Close and Forget may run while
+// it is being dialed. Only the race detector finds it.
+func TestCloseWhileDialing(t *testing.T) {
+	for _, disconnect := range []func(*Client){
 		(*Client).Close,
 		func(client *Client) { client.Forget("peer") },
 	} {
 		for range 200 {
-			dialling, ended := make(chan struct{}), make(chan struct{})
-			begun := sync.OnceFunc(func() { close(dialling) }) // a forgotten peer is dialled again
+			dialing, done := make(chan struct{}), make(chan struct{})
+			dialStarted := sync.OnceFunc(func() { close(dialing) }) // a removed peer is dialed again
 			client := NewClient(ClientOptions{Dial: func(context.Context, string) (net.Conn, error) {
-				begun()
+				dialStarted()
 				return nil, errors.New("refused")
 			}})
 			go func() {
-				defer close(ended)
+				defer close(done)
 				_ = client.Call(context.Background(), "peer", &message.LoadRequest{}, &message.LoadReply{})
 			}()
-			<-dialling
-			end(client)
-			<-ended
+			<-dialing
+			disconnect(client)
+			<-done
 			client.Close()
 		}
 	}
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -10,18 +10,18 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// callState tells how far a call has come; connection.mutex guards it.
+// callState is the state of a call, guarded by connection.mutex.
 type callState uint8
 
 const (
 	callQueued callState = iota
-	// callWritten calls may have reached the peer.
+	// callWritten is a call that may have reached the peer.
 	callWritten
-	// callGivenUp calls were cancelled while queued and are never written.
-	callGivenUp
+	// callCanceled is a call that was canceled while queued and is never written.
+	callCanceled
 )
 
-// call is one request under way on a connection.
+// call is one request in flight on a connection.
 type call struct {
 	id    uint64
 	state callState
@@ -32,103 +32,104 @@
 
 // connection is the client's side of one connection.
 type connection struct {
-	network  net.Conn
+	conn     net.Conn
 	writer   *frameWriter
 	mutex    sync.Mutex
 	calls    map[uint64]*call
 	nextID   uint64
-	goneAway bool
+	goAway   bool
 	failure  error
 	lastRead time.Time
 	closed   chan struct{}
 }
 
-func newConnection(network net.Conn, options ClientOptions) *connection {
+func newConnection(conn net.Conn, options ClientOptions) *connection {
 	return &connection{
-		network:  network,
-		writer:   newFrameWriter(network, options.WriteTimeout),
+		conn:     conn,
+		writer:   newFrameWriter(conn, options.WriteTimeout),
 		calls:    make(map[uint64]*call),
 		lastRead: time.Now(),
 		closed:   make(chan struct{}),
 	}
 }
 
-// usable reports whether new calls may start on the connection.
-func (connection *connection) usable() bool {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	return connection.failure == nil && !connection.goneAway
+// usable reports whether the connection accepts new calls.
+func (c *connection) usable() bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.failure == nil && !c.goAway
 }
 
-// call sends one request and waits for its reply, its failure or ctx.
-func (connection *connection) call(ctx context.Context, request, reply Message) error {
+// call sends one request and waits for its reply, its failure or the end of ctx.
+func (c *connection) call(ctx context.Context, request, reply Message) error {
 	payload, err := request.Marshal()
 	if err != nil {
 		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "encode request: %v", err)
 	}
 	if len(payload) > MaxPayloadBytes {
-		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request of %d bytes, limit is %d", len(payload), MaxPayloadBytes)
+		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request of %d bytes exceeds the limit of %d", len(payload), MaxPayloadBytes)
 	}
-	started, err := connection.start(reply)
+	started, err := c.start(reply)
 	if err != nil {
 		return err
 	}
-	queued := connection.writer.enqueue(outgoing{
-		frame: frame{kind: frameRequest, id: started.id, fingerprint: fingerprintOf(request.Schema()), payload: payload},
-		taken: func() bool { return connection.markWritten(started) },
+	queued := c.writer.enqueue(outgoing{
+		frame:       frame{kind: frameRequest, id: started.id, fingerprint: fingerprintOf(request.Schema()), payload: payload},
+		beforeWrite: func() bool { return c.markWritten(started) },
 	})
 	if !queued {
-		connection.giveUp(started)
+		c.remove(started)
 		return verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection is closed")
 	}
 	select {
 	case <-started.done:
 		return started.err
 	case <-ctx.Done():
-		return connection.abandon(ctx, started)
+		return c.cancelCall(ctx, started)
 	}
 }
 
-func (connection *connection) start(reply Message) (*call, error) {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	if connection.failure != nil || connection.goneAway {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection takes no new requests")
+func (c *connection) start(reply Message) (*call, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.failure != nil || c.goAway {
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection accepts no new requests")
 	}
-	connection.nextID++
-	started := &call{id: connection.nextID, state: callQueued, reply: reply, done: make(chan struct{})}
-	connection.calls[started.id] = started
+	c.nextID++
+	started := &call{id: c.nextID, state: callQueued, reply: reply, done: make(chan struct{})}
+	c.calls[started.id] = started
 	return started, nil
 }
 
-func (connection *connection) markWritten(started *call) bool {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	if started.state == callGivenUp {
+func (c *connection) markWritten(started *call) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if started.state == callCanceled {
 		return false
 	}
 	started.state = callWritten
 	return true
 }
 
-// giveUp takes a call off the connection and reports whether it was written,
-// and whether its reply is already being read.
-func (connection *connection) giveUp(started *call) (written, answered bool) {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	if _, pending := connection.calls[started.id]; !pending {
+// remove removes a call from the connection. It reports whether the call was written
+// and whether its reply is already being decoded.
+func (c *connection) remove(started *call) (written, answered bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if _, pending := c.calls[started.id]; !pending {
 		return true, true
 	}
-	delete(connection.calls, started.id)
+	delete(c.calls, started.id)
 	if started.state == callWritten {
 		return true, false
 	}
-	started.state = callGivenUp
+	started.state = callCanceled
 	return false, false
 }
 
-func (connection *connection) abandon(ctx context.Context, started *call) error {
-	written, answered := connection.giveUp(started)
+// cancelCall ends a call whose context has ended and tells the peer if it was written.
+func (c *connection) cancelCall(ctx context.Context, started *call) error {
+	written, answered := c.remove(started)
 	if answered {
 		<-started.done
 		return started.err
@@ -138,35 +139,35 @@
 		code = verdict.CodeDeadline
 	}
 	if !written {
-		return verdict.New(verdict.NotRun, code, "given up before it was written")
+		return verdict.New(verdict.NotRun, code, "canceled before it was written")
 	}
-	connection.writer.enqueue(outgoing{frame: frame{kind: frameCancel, id: started.id}})
-	return verdict.New(verdict.MayHaveRun, code, "given up while waiting for the reply")
+	c.writer.enqueue(outgoing{frame: frame{kind: frameCancel, id: started.id}})
+	return verdict.New(verdict.MayHaveRun, code, "canceled while waiting for the reply")
 }
 
-// read handles frames until the connection fails.
-func (connection *connection) read(reader *frameReader) error {
+// readLoop handles frames until the connection fails.
+func (c *connection) readLoop(reader *frameReader) error {
 	for {
 		received, err := reader.read()
 		if err != nil {
 			return err
 		}
-		connection.handle(received)
+		c.handle(received)
 	}
 }
 
-func (connection *connection) handle(received frame) {
-	connection.mutex.Lock()
-	connection.lastRead = time.Now()
+func (c *connection) handle(received frame) {
+	c.mutex.Lock()
+	c.lastRead = time.Now()
 	if received.kind == frameGoAway {
-		connection.goneAway = true
+		c.goAway = true
 	}
-	answered := connection.calls[received.id]
+	answered := c.calls[received.id]
 	isAnswer := received.kind == frameReply || received.kind == frameFailure
 	if isAnswer && answered != nil {
-		delete(connection.calls, received.id)
+		delete(c.calls, received.id)
 	}
-	connection.mutex.Unlock()
+	c.mutex.Unlock()
 	if !isAnswer || answered == nil {
 		return
 	}
@@ -183,7 +184,7 @@
 		return failureError(&failure)
 	}
 	if received.fingerprint != fingerprintOf(reply.Schema()) {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply has another schema than expected")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "unexpected reply schema")
 	}
 	if err := reply.Unmarshal(received.payload); err != nil {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "decode reply: %v", err)
@@ -191,67 +192,69 @@
 	return nil
 }
 
-// fail ends the connection: written calls may have run, the others did not.
-func (connection *connection) fail(cause error) {
-	connection.mutex.Lock()
-	if connection.failure != nil {
-		connection.mutex.Unlock()
+// fail closes the connection and fails its calls: written ones may have run, the others
+// have not.
+func (c *connection) fail(cause error) {
+	c.mutex.Lock()
+	if c.failure != nil {
+		c.mutex.Unlock()
 		return
 	}
 	if cause == nil {
 		cause = net.ErrClosed
 	}
-	connection.failure = cause
-	lost := connection.calls
-	connection.calls = make(map[uint64]*call)
+	c.failure = cause
+	lost := c.calls
+	c.calls = make(map[uint64]*call)
 	for _, started := range lost {
-		started.err = connection.lostError(started, cause)
+		started.err = c.closedError(started, cause)
 	}
-	connection.mutex.Unlock()
+	c.mutex.Unlock()
 
-	connection.writer.close()
-	_ = connection.network.Close()
-	close(connection.closed)
+	c.writer.close()
+	_ = c.conn.Close()
+	close(c.closed)
 	for _, started := range lost {
 		close(started.done)
 	}
 }
 
-func (connection *connection) lostError(started *call, cause error) error {
+func (c *connection) closedError(started *call, cause error) error {
 	if started.state == callWritten {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeLost, "connection failed: %v", cause)
 	}
-	started.state = callGivenUp
+	started.state = callCanceled
 	return verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection failed before the request was written: %v", cause)
 }
 
-// silence returns for how long nothing was read while calls were waiting.
-func (connection *connection) silence(now time.Time) time.Duration {
-	connection.mutex.Lock()
-	defer connection.mutex.Unlock()
-	if len(connection.calls) == 0 {
-		connection.lastRead = now
+// idleTime returns how long nothing has been read while calls were in flight.
+func (c *connection) idleTime(now time.Time) time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if len(c.calls) == 0 {
+		c.lastRead = now
 		return 0
 	}
-	return now.Sub(connection.lastRead)
+	return now.Sub(c.lastRead)
 }
 
-// watch pings a silent peer and fails the connection when it stays silent.
-func (connection *connection) watch(options ClientOptions) {
+// pingLoop pings a peer that sends nothing and fails the connection if it still sends
+// nothing within the limit.
+func (c *connection) pingLoop(options ClientOptions) {
 	ticker := time.NewTicker(options.PingInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-connection.closed:
+		case <-c.closed:
 			return
 		case now := <-ticker.C:
-			silence := connection.silence(now)
-			if silence > options.SilenceLimit {
-				connection.fail(errSilent)
+			idle := c.idleTime(now)
+			if idle > options.SilenceLimit {
+				c.fail(errPingTimeout)
 				return
 			}
-			if silence > options.PingInterval/2 {
-				connection.writer.enqueue(outgoing{frame: frame{kind: framePing}})
+			if idle > options.PingInterval/2 {
+				c.writer.enqueue(outgoing{frame: frame{kind: framePing}})
 			}
 		}
 	}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -19,34 +19,35 @@
 	Schema() avro.Schema
 }
 
-// protocolVersion is raised by changes of the frame format, not of messages.
+// protocolVersion is incremented when the frame format changes, not when messages do.
 const protocolVersion byte = 1
 
-// helloMagic starts the hello that opens a connection in both directions.
+// helloMagic is the start of the hello that each side sends first.
 var helloMagic = []byte{'D', 'R', 'F', 'T', protocolVersion}
 
-// errOtherCluster ends a connection between processes of different clusters.
+// errOtherCluster closes a connection between processes of different clusters.
 var errOtherCluster = errors.New("the peer belongs to another cluster")
 
-// helloOf returns the hello of a cluster's processes: magic, protocol version
-// and a hash of the cluster's name. An address that changed hands between two
-// clusters must not join them.
-func helloOf(cluster string) []byte {
+// newHello returns the hello of a cluster: magic, protocol version and a hash of the
+// cluster name. The hash keeps two clusters apart when an address moves from one to the
+// other.
+func newHello(cluster string) []byte {
 	return binary.BigEndian.AppendUint64(bytes.Clone(helloMagic), xxhash.Sum64String(cluster))
 }
 
-// frameKind tells what a frame carries.
+// frameKind is the type of a frame.
 type frameKind uint8
 
 const (
 	frameRequest frameKind = iota + 1
 	frameReply
 	frameFailure
-	// frameCancel gives up the request of the same id; it has no payload.
+	// frameCancel cancels the request with the same id; it has no payload.
 	frameCancel
-	// frameGoAway tells that the sender takes no new requests on this connection.
+	// frameGoAway says that the sender accepts no new requests on this connection.
 	frameGoAway
-	// framePing asks for a framePong; both keep silent links apart from slow ones.
+	// framePing is answered by a framePong, which distinguishes a slow peer from an
+	// unreachable one.
 	framePing
 	framePong
 )
@@ -60,7 +61,7 @@
 	return fingerprint(binary.BigEndian.Uint64(sum[:8]))
 }
 
-// frame is one unit on a connection.
+// frame is the unit of transmission on a connection.
 type frame struct {
 	kind        frameKind
 	id          uint64
@@ -71,7 +72,7 @@
 const (
 	// headerBytes is the size of kind, id, fingerprint and payload length.
 	headerBytes = 1 + 8 + 8 + 4
-	// MaxPayloadBytes bounds one message.
+	// MaxPayloadBytes bounds the encoded size of one message.
 	MaxPayloadBytes = 16 << 20
 )
 
@@ -96,8 +97,8 @@
 
 const (
 	readBufferBytes = 64 << 10
-	// keptBufferBytes is the largest payload buffer kept between frames.
-	keptBufferBytes = 256 << 10
+	// maxKeptBufferBytes is the size of the largest buffer that is kept for reuse.
+	maxKeptBufferBytes = 256 << 10
 )
 
 func (reader *frameReader) readHello(want []byte) error {
@@ -106,7 +107,7 @@
 		return fmt.Errorf("read hello: %w", err)
 	}
 	if !bytes.HasPrefix(received, helloMagic) {
-		return fmt.Errorf("hello is %q, want %q: the peer speaks another protocol or version", received, want)
+		return fmt.Errorf("hello is %q, want %q: the peer uses another protocol or version", received, want)
 	}
 	if !bytes.Equal(received, want) {
 		return errOtherCluster
@@ -125,12 +126,12 @@
 	}
 	length := int(binary.BigEndian.Uint32(reader.header[17:]))
 	if length > MaxPayloadBytes {
-		return frame{}, fmt.Errorf("payload of %d bytes, limit is %d", length, MaxPayloadBytes)
+		return frame{}, fmt.Errorf("payload of %d bytes exceeds the limit of %d", length, MaxPayloadBytes)
 	}
 	if read.kind < frameRequest || read.kind > framePong {
 		return frame{}, fmt.Errorf("unknown frame kind %d", read.kind)
 	}
-	if cap(reader.buffer) < length || cap(reader.buffer) > keptBufferBytes {
+	if cap(reader.buffer) < length || cap(reader.buffer) > maxKeptBufferBytes {
 		reader.buffer = make([]byte, length)
 	}
 	read.payload = reader.buffer[:length]
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -14,15 +14,15 @@
 
 // ServerOptions configures a Server; zero fields take the defaults below.
 type ServerOptions struct {
-	// Cluster is the name of the system: peers of another are not served.
+	// Cluster is the name of the cluster; connections from other clusters are rejected.
 	Cluster string
-	// HelloTimeout bounds how long a new connection may stay without a hello.
+	// HelloTimeout bounds the handshake of a new connection.
 	HelloTimeout time.Duration
 	// WriteTimeout bounds one write.
 	WriteTimeout time.Duration
-	// MaxConnections bounds the connections served at a time.
+	// MaxConnections bounds the concurrent connections.
 	MaxConnections int
-	// MaxRequests bounds the requests under way on one connection.
+	// MaxRequests bounds the requests in flight on one connection.
 	MaxRequests int
 }
 
@@ -45,10 +45,10 @@
 	return options
 }
 
-// handlerFunc decodes the payload, runs the request and returns the reply.
+// handlerFunc decodes the payload and returns a function that runs the request.
 type handlerFunc func(payload []byte) (run func(context.Context) (Message, error), err error)
 
-// Server answers requests of other processes.
+// Server serves requests of other processes.
 type Server struct {
 	options  ServerOptions
 	handlers map[fingerprint]handlerFunc
@@ -57,7 +57,7 @@
 	listeners map[net.Listener]struct{}
 	sessions  map[*session]struct{}
 	stopping  bool
-	running   sync.WaitGroup
+	requests  sync.WaitGroup
 }
 
 // NewServer returns a server without handlers.
@@ -70,8 +70,8 @@
 	}
 }
 
-// Handle registers the handler of one request type; call it before Serve. The
-// handler's context ends when the sender cancels or its connection fails.
+// Handle registers the handler of one request type. It must be called before Serve. The
+// handler's context is canceled when the sender cancels or its connection fails.
 func Handle[Request, Reply any, RequestPointer interface {
 	*Request
 	Message
@@ -95,7 +95,7 @@
 	}
 }
 
-// Serve accepts connections until Shutdown; it returns nil then.
+// Serve accepts connections until Shutdown, after which it returns nil.
 func (server *Server) Serve(listener net.Listener) error {
 	server.mutex.Lock()
 	if server.stopping {
@@ -105,9 +105,9 @@
 	server.listeners[listener] = struct{}{}
 	server.mutex.Unlock()
 	for {
-		network, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err == nil {
-			server.accept(network)
+			server.accept(conn)
 			continue
 		}
 		if server.isStopping() {
@@ -127,8 +127,8 @@
 	return server.stopping
 }
 
-func (server *Server) accept(network net.Conn) {
-	accepted := newSession(server, network)
+func (server *Server) accept(conn net.Conn) {
+	accepted := newSession(server, conn)
 	server.mutex.Lock()
 	full := len(server.sessions) >= server.options.MaxConnections
 	refused := full || server.stopping
@@ -137,20 +137,20 @@
 	}
 	server.mutex.Unlock()
 	if refused {
-		_ = network.Close()
+		_ = conn.Close()
 		return
 	}
 	go func() {
 		err := accepted.serve()
-		klog.V(2).InfoS("connection ended", "peer", network.RemoteAddr().String(), "error", err)
+		klog.V(2).InfoS("connection ended", "peer", conn.RemoteAddr().String(), "error", err)
 		server.mutex.Lock()
 		delete(server.sessions, accepted)
 		server.mutex.Unlock()
 	}()
 }
 
-// Shutdown refuses new requests as NotRun, waits until those under way have
-// been answered or ctx ends, and closes all connections.
+// Shutdown refuses new requests as NotRun, waits until those in flight have been
+// answered or ctx ends, and closes all connections.
 func (server *Server) Shutdown(ctx context.Context) error {
 	server.mutex.Lock()
 	server.stopping = true
@@ -158,42 +158,42 @@
 		_ = listener.Close()
 	}
 	open := make([]*session, 0, len(server.sessions))
-	for one := range server.sessions {
-		open = append(open, one)
+	for session := range server.sessions {
+		open = append(open, session)
 	}
 	server.mutex.Unlock()
 
-	for _, one := range open {
-		one.goAway()
+	for _, session := range open {
+		session.goAway()
 	}
-	err := server.waitRunning(ctx)
-	for _, one := range open {
-		one.finish(ctx)
+	err := server.waitForRequests(ctx)
+	for _, session := range open {
+		session.closeAfterFlush(ctx)
 	}
 	return err
 }
 
-func (server *Server) waitRunning(ctx context.Context) error {
-	finished := make(chan struct{})
+func (server *Server) waitForRequests(ctx context.Context) error {
+	done := make(chan struct{})
 	go func() {
-		server.running.Wait()
-		close(finished)
+		server.requests.Wait()
+		close(done)
 	}()
 	select {
-	case <-finished:
+	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// admit counts a request as under way unless the server is stopping.
+// admit counts a request as in flight, unless the server is stopping.
 func (server *Server) admit() bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	if server.stopping {
 		return false
 	}
-	server.running.Add(1)
+	server.requests.Add(1)
 	return true
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,12 +15,12 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// patience bounds waits that end at once unless something is broken.
-const patience = 10 * time.Second
+// testTimeout fails a test that hangs.
+const testTimeout = 10 * time.Second
 
 type loadHandler func(context.Context, *message.LoadRequest) (*message.LoadReply, error)
 
-// echo answers with one load that names the service asked for.
+// echo answers with one load whose server is the requested service.
 func echo(_ context.Context, request *message.LoadRequest) (*message.LoadReply, error) {
 	return &message.LoadReply{Loads: []message.ServerLoad{{Server: request.Service}}}, nil
 }
@@ -32,7 +32,8 @@
 	return server, listenLoopback(t, server)
 }
 
-// listenLoopback serves until the end of the test and returns the address.
+// listenLoopback serves on a loopback address until the end of the test and returns the
+// address.
 func listenLoopback(t testing.TB, server *Server) string {
 	t.Helper()
 	is := is.New(t)
@@ -54,17 +55,17 @@
 }
 
 func testContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// failureOf asserts that err is a verdict.Error and returns it.
+// failureOf returns err as a *verdict.Error or fails the test.
 func failureOf(t *testing.T, err error) *verdict.Error {
 	t.Helper()
 	var failure *verdict.Error
 	if !errors.As(err, &failure) {
-		t.Fatalf("error %v is no *verdict.Error", err)
+		t.Fatalf("error %v is not a *verdict.Error", err)
 	}
 	return failure
 }
@@ -123,14 +124,14 @@
 	is.NoErr(err)
 	defer listener.Close()
 	go func() {
-		network, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		reader := newFrameReader(network)
-		_ = exchangeHello(network, reader, "", patience)
+		reader := newFrameReader(conn)
+		_ = exchangeHello(conn, reader, "", testTimeout)
 		_, _ = reader.read()
-		_ = network.Close()
+		_ = conn.Close()
 	}()
 	client := startClient(t, ClientOptions{})
 	failure := failureOf(t, client.Call(testContext(t), listener.Addr().String(), &message.LoadRequest{}, &message.LoadReply{}))
@@ -138,19 +139,20 @@
 	is.Equal(failure.Code, verdict.CodeLost)
 }
 
-// TestSilentPeerIsLost stands for a cut link or a frozen peer: TCP says nothing.
-func TestSilentPeerIsLost(t *testing.T) {
+// Guards against calls that hang when the peer is frozen or the network drops all packets:
+// TCP reports no error then.
+func TestUnresponsivePeerIsLost(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
 	go func() {
-		network, err := listener.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		_ = exchangeHello(network, newFrameReader(network), "", patience)
-		_, _ = io.Copy(io.Discard, network)
+		_ = exchangeHello(conn, newFrameReader(conn), "", testTimeout)
+		_, _ = io.Copy(io.Discard, conn)
 	}()
 	client := startClient(t, ClientOptions{PingInterval: 10 * time.Millisecond, SilenceLimit: 40 * time.Millisecond})
 	failure := failureOf(t, client.Call(testContext(t), listener.Addr().String(), &message.LoadRequest{}, &message.LoadReply{}))
@@ -158,7 +160,7 @@
 	is.Equal(failure.Verdict, verdict.MayHaveRun)
 }
 
-// TestPingKeepsSlowReplyAlive is the counterpart: a slow peer that pongs is kept.
+// A slow peer that answers pings is not disconnected.
 func TestPingKeepsSlowReplyAlive(t *testing.T) {
 	is := is.New(t)
 	_, address := startServer(t, ServerOptions{}, func(ctx context.Context, request *message.LoadRequest) (*message.LoadReply, error) {
@@ -172,11 +174,11 @@
 func TestCancelReachesTheHandler(t *testing.T) {
 	is := is.New(t)
 	entered := make(chan struct{})
-	cancelled := make(chan struct{})
+	canceled := make(chan struct{})
 	_, address := startServer(t, ServerOptions{}, func(ctx context.Context, _ *message.LoadRequest) (*message.LoadReply, error) {
 		close(entered)
 		<-ctx.Done()
-		close(cancelled)
+		close(canceled)
 		return nil, ctx.Err()
 	})
 	client := startClient(t, ClientOptions{})
@@ -189,31 +191,31 @@
 	is.Equal(failure.Verdict, verdict.MayHaveRun)
 	is.Equal(failure.Code, verdict.CodeCanceled)
 	select {
-	case <-cancelled:
-	case <-time.After(patience):
-		t.Fatal("handler was not cancelled")
+	case <-canceled:
+	case <-time.After(testTimeout):
+		t.Fatal("handler was not canceled")
 	}
 }
 
-// TestCancelledWhileQueuedIsNotRunAndNeverWritten: the writer must drop the
-// frame of a call that was answered as NotRun.
-func TestCancelledWhileQueuedIsNotRunAndNeverWritten(t *testing.T) {
+// Guards against running a request that its caller was told has not run: the writer must
+// drop the frame of a call that was canceled while queued.
+func TestCanceledWhileQueuedIsNotRunAndNeverWritten(t *testing.T) {
 	is := is.New(t)
-	near, far := net.Pipe()
-	defer far.Close()
-	c := newConnection(near, ClientOptions{}.withDefaults())
+	clientConn, serverConn := net.Pipe()
+	defer serverConn.Close()
+	c := newConnection(clientConn, ClientOptions{}.withDefaults())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	failure := failureOf(t, c.call(ctx, &message.LoadRequest{}, &message.LoadReply{}))
 	is.Equal(failure.Verdict, verdict.NotRun)
 	go func() { c.fail(c.writer.run()) }()
 	c.writer.close()
-	written, err := io.ReadAll(far)
+	written, err := io.ReadAll(serverConn)
 	is.NoErr(err)
 	is.Equal(len(written), 0)
 }
 
-func TestShutdownCutsNoRequestUnderWay(t *testing.T) {
+func TestShutdownWaitsForRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	entered := make(chan struct{})
 	release := make(chan struct{})
@@ -234,17 +236,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	failure := failureOf(t, client.Call(testContext(t), address, &message.LoadRequest{}, &message.LoadReply{}))
-	is.Equal(failure.Verdict, verdict.NotRun) // new work is refused
+	is.Equal(failure.Verdict, verdict.NotRun) // new requests are refused
 	close(release)
-	is.NoErr(<-result) // work under way is answered
+	is.NoErr(<-result) // the request in flight is answered
 	is.NoErr(<-stopped)
 }
 
-func TestGarbageAndHalfOpenConnectionsAreClosed(t *testing.T) {
+func TestMalformedAndHalfOpenConnectionsAreClosed(t *testing.T) {
 	_, address := startServer(t, ServerOptions{HelloTimeout: 50 * time.Millisecond}, echo)
-	oversized := append(helloOf(""), (&frame{kind: frameRequest}).appendTo(nil)...)
+	oversized := append(newHello(""), (&frame{kind: frameRequest}).appendTo(nil)...)
 	oversized[len(oversized)-4] = 0xff
-	unknownKind := append(helloOf(""), (&frame{kind: 99}).appendTo(nil)...)
+	unknownKind := append(newHello(""), (&frame{kind: 99}).appendTo(nil)...)
 	for name, sent := range map[string][]byte{
 		"nothing":      nil,
 		"http":         []byte("GET / HTTP/1.1\r\n\r\n"),
@@ -253,13 +255,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			network, err := net.Dial("tcp", address)
+			conn, err := net.Dial("tcp", address)
 			is.NoErr(err)
-			defer network.Close()
-			_, err = network.Write(sent)
+			defer conn.Close()
+			_, err = conn.Write(sent)
 			is.NoErr(err)
-			is.NoErr(network.SetReadDeadline(time.Now().Add(patience)))
-			_, err = io.Copy(io.Discard, network)
+			is.NoErr(conn.SetReadDeadline(time.Now().Add(testTimeout)))
+			_, err = io.Copy(io.Discard, conn)
 			var timeout net.Error
 			is.True(!errors.As(err, &timeout) || !timeout.Timeout()) // the server closed it
 		})
@@ -275,8 +277,8 @@
 	is.Equal(failure.Code, verdict.CodeInvalid)
 }
 
-// TestOtherClusterIsRefused: an address that changed hands must not let the
-// processes of two systems talk to each other.
+// Guards against connections between two clusters after an address has moved from one to
+// the other.
 func TestOtherClusterIsRefused(t *testing.T) {
 	is := is.New(t)
 	_, address := startServer(t, ServerOptions{Cluster: "one"}, echo)
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -9,14 +9,15 @@
 // outgoing is a frame in a frameWriter's queue.
 type outgoing struct {
 	frame frame
-	// taken is called when the frame is about to be written; false drops it.
-	taken func() bool
+	// beforeWrite, if set, is called right before the frame is written; the frame is
+	// dropped if it returns false.
+	beforeWrite func() bool
 }
 
-// frameWriter gathers frames from many goroutines and writes them in order,
-// as many as are waiting in one system call.
+// frameWriter queues frames from many goroutines and writes them in order, all queued
+// ones in one system call.
 type frameWriter struct {
-	connection   net.Conn
+	conn         net.Conn
 	writeTimeout time.Duration
 
 	mutex  sync.Mutex
@@ -25,15 +26,15 @@
 	wake   chan struct{}
 }
 
-func newFrameWriter(connection net.Conn, writeTimeout time.Duration) *frameWriter {
+func newFrameWriter(conn net.Conn, writeTimeout time.Duration) *frameWriter {
 	return &frameWriter{
-		connection:   connection,
+		conn:         conn,
 		writeTimeout: writeTimeout,
 		wake:         make(chan struct{}, 1),
 	}
 }
 
-// enqueue appends a frame and reports whether the writer still takes any.
+// enqueue appends a frame to the queue. It returns false if the writer is closed.
 func (writer *frameWriter) enqueue(next outgoing) bool {
 	writer.mutex.Lock()
 	if writer.closed {
@@ -46,7 +47,7 @@
 	return true
 }
 
-// close makes run return once the queue is written.
+// close makes run return after it has written the queue.
 func (writer *frameWriter) close() {
 	writer.mutex.Lock()
 	writer.closed = true
@@ -61,7 +62,7 @@
 	}
 }
 
-// run writes until close or the first error.
+// run writes queued frames until close or the first error.
 func (writer *frameWriter) run() error {
 	var spare []outgoing
 	var buffer []byte
@@ -72,14 +73,14 @@
 		closed := writer.closed
 		writer.mutex.Unlock()
 
-		buffer = gather(buffer[:0], batch)
+		buffer = appendBatch(buffer[:0], batch)
 		if err := writer.write(buffer); err != nil {
 			writer.close()
 			return err
 		}
 		clear(batch)
 		spare = batch
-		if cap(buffer) > keptBufferBytes {
+		if cap(buffer) > maxKeptBufferBytes {
 			buffer = nil
 		}
 		if closed {
@@ -89,9 +90,9 @@
 	return nil
 }
 
-func gather(buffer []byte, batch []outgoing) []byte {
+func appendBatch(buffer []byte, batch []outgoing) []byte {
 	for _, next := range batch {
-		if next.taken != nil && !next.taken() {
+		if next.beforeWrite != nil && !next.beforeWrite() {
 			continue
 		}
 		buffer = next.frame.appendTo(buffer)
@@ -103,9 +104,9 @@
 	if len(buffer) == 0 {
 		return nil
 	}
-	if err := writer.connection.SetWriteDeadline(time.Now().Add(writer.writeTimeout)); err != nil {
+	if err := writer.conn.SetWriteDeadline(time.Now().Add(writer.writeTimeout)); err != nil {
 		return err
 	}
-	_, err := writer.connection.Write(buffer)
+	_, err := writer.conn.Write(buffer)
 	return err
 }
