--- a/internal/gossip/applied.go
+++ b/internal/gossip/applied.go
@@ -13,37 +13,37 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// Nobody reports what it applies without being asked. Applied asks a tree of two
-// levels: one member of each group of groupSize, drawn anew each time, asks its
-// group by datagrams. At 3,600 members that is 57 calls by the asker and 64
-// datagrams by each of 57 others.
+// Members report their applied revision only on request. Applied queries a tree of two
+// levels: it calls one random member of each group of groupSize, and that delegate
+// queries its group by datagrams. With 3,600 members, the caller makes 57 calls and each
+// of 57 delegates sends 64 datagrams.
 
 const (
-	// groupSize is about the square root of the number of members aimed at.
+	// groupSize is about the square root of the largest expected number of members.
 	groupSize = 64
-	// queryTries is how often a member is asked by datagram, queryPeriod the
-	// time between two tries.
-	queryTries  = 4
-	queryPeriod = 150 * time.Millisecond
+	// queryAttempts is how often a member is queried by datagram, queryInterval the time
+	// between two attempts.
+	queryAttempts = 4
+	queryInterval = 150 * time.Millisecond
 )
 
-// Applied asks all members that take work whether they apply a revision of a
-// service, or a later one. It returns how many there are, how many apply it, and
-// names some that do not or do not answer, at most v1.MaxLaggingNames. Failed
-// members that may still exist count as lagging: they may be cut off, and go on
-// serving by an earlier revision.
+// Applied asks all members that accept work whether they apply a revision of a service
+// or a later one. It returns how many there are, how many apply it, and the names of
+// those that do not or do not answer, at most v1.MaxLaggingNames. Failed members that
+// may still run count as lagging: behind a network partition they may keep serving with
+// an earlier revision.
 func (node *Node) Applied(ctx context.Context, service string, revision int64) (total, applied int, lagging []string) {
 	members := node.Members()
-	cutOff := node.cutOff(members)
-	total, lagging = len(cutOff), cutOff
+	failed := node.possiblyAliveMembers(members)
+	total, lagging = len(failed), failed
 	groups := groupsOf(members)
 	replies := make([]message.AppliedReply, len(groups))
-	var asking sync.WaitGroup
+	var wg sync.WaitGroup
 	for index, group := range groups {
 		total += len(group)
-		asking.Go(func() { replies[index] = node.askGroup(ctx, service, revision, group, len(groups) == 1) })
+		wg.Go(func() { replies[index] = node.queryGroup(ctx, service, revision, group, len(groups) == 1) })
 	}
-	asking.Wait()
+	wg.Wait()
 	for _, reply := range replies {
 		applied += reply.Applied
 		lagging = append(lagging, reply.Lagging...)
@@ -52,7 +52,7 @@
 	return total, applied, lagging[:min(len(lagging), v1.MaxLaggingNames)]
 }
 
-// groupsOf splits the members that take work into groups of one zone each.
+// groupsOf splits the members that accept work into groups. Each group is in one zone.
 func groupsOf(all []membership.Member) [][]membership.Member {
 	var members []membership.Member
 	for _, member := range all {
@@ -76,8 +76,9 @@
 	return groups
 }
 
-// askGroup has a member of the group ask it; when that fails the node does.
-func (node *Node) askGroup(ctx context.Context, service string, revision int64, group []membership.Member, direct bool) message.AppliedReply {
+// queryGroup lets a random member of the group query the group. If direct is set or the
+// call fails, this node queries the group itself.
+func (node *Node) queryGroup(ctx context.Context, service string, revision int64, group []membership.Member, direct bool) message.AppliedReply {
 	request := &message.AppliedRequest{Service: service, Revision: revision}
 	for _, member := range group {
 		request.Members = append(request.Members, member.ID)
@@ -89,26 +90,26 @@
 			return reply
 		}
 	}
-	return node.askEach(ctx, request)
+	return node.queryMembers(ctx, request)
 }
 
 func (node *Node) handleApplied(ctx context.Context, request *message.AppliedRequest) (*message.AppliedReply, error) {
-	reply := node.askEach(ctx, request)
+	reply := node.queryMembers(ctx, request)
 	return &reply, nil
 }
 
-// askEach asks members by datagrams, several times where no answer comes.
-func (node *Node) askEach(ctx context.Context, request *message.AppliedRequest) message.AppliedReply {
+// queryMembers queries members by datagrams and repeats queries without an answer.
+func (node *Node) queryMembers(ctx context.Context, request *message.AppliedRequest) message.AppliedReply {
 	query := node.queries.begin(request.Members)
 	defer node.queries.end(query)
-	if query.asks(node.options.Self.ID) {
-		query.take(node.options.Self.ID, node.store.Revision(request.Service))
+	if query.includes(node.options.Self.ID) {
+		query.record(node.options.Self.ID, node.store.Revision(request.Service))
 	}
 	addresses := make(map[string]string)
 	for _, member := range node.Members() {
 		addresses[member.ID] = member.GossipAddress
 	}
-	for range queryTries {
+	for range queryAttempts {
 		for _, id := range query.missing(request.Revision) {
 			if address := addresses[id]; address != "" {
 				node.sendDatagram(address, tagRevisionQuery, &message.RevisionQuery{Sequence: query.sequence, Service: request.Service})
@@ -125,7 +126,7 @@
 	}
 }
 
-func (node *Node) answerRevisionQuery(from string, query *message.RevisionQuery) {
+func (node *Node) handleRevisionQuery(from string, query *message.RevisionQuery) {
 	node.sendDatagram(from, tagRevisionReply, &message.RevisionReply{
 		Sequence: query.Sequence,
 		From:     node.options.Self.ID,
--- a/internal/gossip/caller.go
+++ b/internal/gossip/caller.go
@@ -9,18 +9,18 @@
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
-// caller calls other members and keeps only a few connections: calls go to a
-// random member most of the time, and there are thousands.
+// caller calls other members and caches only a few connections: most calls go to random
+// members, of which there may be thousands.
 type caller struct {
 	self      string
 	client    *wire.Client
 	reachable func(from, to string) bool
 
 	mutex sync.Mutex
-	// kept lists addresses with a connection, the latest used last.
-	kept []string
-	// calling counts the calls under way by address.
-	calling map[string]int
+	// recent lists the addresses with a connection, the most recently used last.
+	recent []string
+	// inFlight counts the calls in flight by address.
+	inFlight map[string]int
 }
 
 func newCaller(options Options) *caller {
@@ -29,14 +29,14 @@
 		self:      options.Self.Address,
 		client:    wire.NewClient(options.Client),
 		reachable: options.Reachable,
-		calling:   make(map[string]int),
+		inFlight:  make(map[string]int),
 	}
 }
 
-// call is wire.Client.Call with a bound on time and on open connections.
+// call is wire.Client.Call with a timeout and a limit on open connections.
 func (caller *caller) call(ctx context.Context, address string, request, reply wire.Message) error {
 	if !caller.reachable(caller.self, address) || !caller.reachable(address, caller.self) {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeUnreachable, "link to %s is cut", address)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeUnreachable, "link to %s is blocked", address)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -48,25 +48,25 @@
 func (caller *caller) begin(address string) {
 	caller.mutex.Lock()
 	defer caller.mutex.Unlock()
-	caller.calling[address]++
-	caller.kept = slices.DeleteFunc(caller.kept, func(kept string) bool { return kept == address })
-	caller.kept = append(caller.kept, address)
+	caller.inFlight[address]++
+	caller.recent = slices.DeleteFunc(caller.recent, func(other string) bool { return other == address })
+	caller.recent = append(caller.recent, address)
 }
 
 func (caller *caller) end(address string) {
 	caller.mutex.Lock()
 	defer caller.mutex.Unlock()
-	caller.calling[address]--
-	if caller.calling[address] == 0 {
-		delete(caller.calling, address)
+	caller.inFlight[address]--
+	if caller.inFlight[address] == 0 {
+		delete(caller.inFlight, address)
 	}
-	for len(caller.kept) > keptConnections {
-		index := slices.IndexFunc(caller.kept, func(kept string) bool { return caller.calling[kept] == 0 })
+	for len(caller.recent) > maxCachedConnections {
+		index := slices.IndexFunc(caller.recent, func(other string) bool { return caller.inFlight[other] == 0 })
 		if index < 0 {
 			return
 		}
-		caller.client.Forget(caller.kept[index])
-		caller.kept = slices.Delete(caller.kept, index, index+1)
+		caller.client.Forget(caller.recent[index])
+		caller.recent = slices.Delete(caller.recent, index, index+1)
 	}
 }
 
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -18,24 +18,24 @@
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
-// bound is far above what anything here takes; it ends a test that hangs.
-const bound = 30 * time.Second
+// testTimeout fails a test that hangs.
+const testTimeout = 30 * time.Second
 
-// cluster is a set of nodes on the loopback interface with links that can be cut.
+// cluster is a set of nodes on the loopback interface with links that can be blocked.
 type cluster struct {
 	t *testing.T
-	// name keeps clusters apart that get each other's old ports.
+	// name keeps apart clusters that reuse each other's ports.
 	name  string
 	nodes []*testNode
-	// membership are the periods of nodes started from now on.
+	// membership holds the protocol options of nodes started from now on.
 	membership membership.Options
-	// aloneAfter is that of nodes started from now on.
-	aloneAfter time.Duration
+	// syncTimeout is Options.AloneAfter of nodes started from now on.
+	syncTimeout time.Duration
 
 	mutex sync.Mutex
 	// owners maps the addresses of nodes to their numbers.
-	owners map[string]int
-	cut    func(from, to int) bool
+	owners  map[string]int
+	blocked func(from, to int) bool
 }
 
 type testNode struct {
@@ -46,7 +46,7 @@
 }
 
 func newCluster(t *testing.T, count int) *cluster {
-	cluster := &cluster{t: t, name: fmt.Sprint(t.Name(), os.Getpid()), owners: make(map[string]int), aloneAfter: time.Second}
+	cluster := &cluster{t: t, name: fmt.Sprint(t.Name(), os.Getpid()), owners: make(map[string]int), syncTimeout: time.Second}
 	cluster.membership = membership.DefaultOptions()
 	cluster.startMany(count)
 	return cluster
@@ -58,7 +58,7 @@
 	}
 }
 
-// start starts a node that joins by way of the first two.
+// start starts a node that joins via the first two nodes.
 func (cluster *cluster) start() *testNode {
 	var join []string
 	for _, node := range cluster.nodes[:min(2, len(cluster.nodes))] {
@@ -73,7 +73,7 @@
 	return cluster.startAs(len(cluster.nodes), join)
 }
 
-// startAs starts a node of a given number.
+// startAs starts a node with the given number.
 func (cluster *cluster) startAs(number int, join []string) *testNode {
 	t := cluster.t
 	is := is.New(t)
@@ -102,7 +102,7 @@
 		Store:      node.store,
 		Join:       join,
 		Membership: cluster.membership,
-		AloneAfter: cluster.aloneAfter,
+		AloneAfter: cluster.syncTimeout,
 		Reachable:  cluster.reachable,
 	})
 	go func() { _ = server.Serve(listener) }()
@@ -120,36 +120,36 @@
 func (cluster *cluster) reachable(from, to string) bool {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	return cluster.cut == nil || !cluster.cut(cluster.owners[from], cluster.owners[to])
+	return cluster.blocked == nil || !cluster.blocked(cluster.owners[from], cluster.owners[to])
 }
 
-func (cluster *cluster) setCut(cut func(from, to int) bool) {
+func (cluster *cluster) blockLinks(blocked func(from, to int) bool) {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	cluster.cut = cut
+	cluster.blocked = blocked
 }
 
-// isolate cuts all links of some nodes to the others.
+// isolate blocks all links between the given nodes and the others.
 func (cluster *cluster) isolate(numbers ...int) {
-	apart := make(map[int]bool)
+	isolated := make(map[int]bool)
 	for _, number := range numbers {
-		apart[number] = true
+		isolated[number] = true
 	}
-	cluster.setCut(func(from, to int) bool { return apart[from] != apart[to] })
+	cluster.blockLinks(func(from, to int) bool { return isolated[from] != isolated[to] })
 }
 
-func (cluster *cluster) eventually(what string, holds func() bool) {
+func (cluster *cluster) eventually(what string, condition func() bool) {
 	cluster.t.Helper()
-	for end := time.Now().Add(bound); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if holds() {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	cluster.t.Fatalf("not within %v: %s", bound, what)
+	cluster.t.Fatalf("not within %v: %s", testTimeout, what)
 }
 
-// awaitMembers waits until every running node sees a number of live members and
-// is ready.
+// awaitMembers waits until every running node is ready and has the given number of live
+// members.
 func (cluster *cluster) awaitMembers(count int) {
 	cluster.t.Helper()
 	cluster.eventually(fmt.Sprintf("%d members everywhere", count), func() bool {
--- a/internal/gossip/datagram.go
+++ b/internal/gossip/datagram.go
@@ -11,35 +11,35 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// The first byte of a datagram tells what follows.
+// The first byte of a datagram is the type of its content.
 const (
 	tagMember byte = iota + 1
 	tagRevisionQuery
 	tagRevisionReply
 )
 
-// datagramHeader is the number of bytes before the content: tag and cluster.
-const datagramHeader = 1 + 4
+// datagramHeaderBytes is the size of the header: tag and cluster hash.
+const datagramHeaderBytes = 1 + 4
 
 var (
-	errUnknownDatagram = errors.New("datagram of unknown type")
-	errOtherCluster    = errors.New("datagram of another cluster")
+	errUnknownDatagram = errors.New("unknown datagram type")
+	errOtherCluster    = errors.New("datagram from another cluster")
 )
 
-// clusterMark stands in every datagram, so that an address that changed hands
-// between two clusters does not join them.
-func clusterMark(cluster string) uint32 { return uint32(xxhash.Sum64String(cluster)) }
+// hashCluster returns the cluster hash that every datagram carries. It keeps two clusters
+// apart when an address moves from one to the other.
+func hashCluster(cluster string) uint32 { return uint32(xxhash.Sum64String(cluster)) }
 
 type marshaler interface{ Marshal() ([]byte, error) }
 
-func encodeDatagram(tag byte, mark uint32, content marshaler) ([]byte, error) {
+func encodeDatagram(tag byte, clusterHash uint32, content marshaler) ([]byte, error) {
 	encoded, err := content.Marshal()
 	if err != nil {
 		return nil, errors.Wrap(err, "encode datagram")
 	}
-	datagram := make([]byte, 0, datagramHeader+len(encoded))
+	datagram := make([]byte, 0, datagramHeaderBytes+len(encoded))
 	datagram = append(datagram, tag)
-	datagram = binary.BigEndian.AppendUint32(datagram, mark)
+	datagram = binary.BigEndian.AppendUint32(datagram, clusterHash)
 	return append(datagram, encoded...), nil
 }
 
--- a/internal/gossip/datagram_test.go
+++ b/internal/gossip/datagram_test.go
@@ -14,7 +14,7 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// drawIncarnation draws what a wall clock in milliseconds gives until far ahead.
+// drawIncarnation draws a wall clock time in milliseconds, also one in the far future.
 func drawIncarnation(t *rapid.T) uint64 {
 	return rapid.Uint64Range(0, 1<<45).Draw(t, "incarnation")
 }
@@ -46,8 +46,8 @@
 	return drawn
 }
 
-// A datagram is never larger than its message said, and comes back the same, but
-// for the order of updates.
+// A datagram is never larger than the estimate of its message, and decodes to the same
+// message except for the order of updates.
 func TestDatagramRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := drawMessage(t)
@@ -60,7 +60,7 @@
 			t.Fatalf("%d bytes, estimated as %d", len(encoded), sent.Size())
 		}
 		datagram := &message.MemberDatagram{}
-		if err := datagram.Unmarshal(encoded[datagramHeader:]); err != nil {
+		if err := datagram.Unmarshal(encoded[datagramHeaderBytes:]); err != nil {
 			t.Fatal(err)
 		}
 		received := memberMessage(datagram)
@@ -74,7 +74,8 @@
 	})
 }
 
-// A spec comes back the same, and one too large is refused rather than unpacked.
+// A spec decodes to the same spec; one over the size limit is rejected while it is being
+// decompressed.
 func TestEntryRoundTrip(t *testing.T) {
 	entry := config.Entry{Service: "fleet", Revision: 7, Spec: &v1.QueryServiceSpec{Path: "/query"}}
 	encoded, err := encodeEntry(entry)
@@ -85,7 +86,7 @@
 	if err != nil || !reflect.DeepEqual(entry, decoded) {
 		t.Fatalf("%+v became %+v, %v", entry, decoded, err)
 	}
-	entry.Spec = &v1.QueryServiceSpec{Path: strings.Repeat("x", specLimit)}
+	entry.Spec = &v1.QueryServiceSpec{Path: strings.Repeat("x", maxSpecBytes)}
 	encoded, err = encodeEntry(entry)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -13,43 +13,43 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// Every datagram carries a summary of its sender's configuration. A node that
-// hears of a higher revision than it has pulls what it lacks from the sender,
-// and at once tells a few others by datagrams. So a body goes to each node about
-// once, whatever the number of datagrams.
+// Every datagram carries a summary of its sender's configuration. A node that receives a
+// higher revision than its own pulls the missing entries from the sender and immediately
+// gossips to a few others. A spec is therefore transferred about once to each node,
+// whatever the number of datagrams.
 
-// Publish takes in accepted entries and spreads them to all members.
+// Publish stores accepted entries and disseminates them to all members.
 func (node *Node) Publish(entries ...config.Entry) {
 	if changed := node.store.Apply(entries...); len(changed) > 0 {
 		node.step(membership.Announce{})
 	}
 }
 
-// pulls bounds what is pulled from others at a time.
-type pulls struct {
+// pullLimiter limits concurrent pulls and pulls without a higher revision.
+type pullLimiter struct {
 	mutex sync.Mutex
-	// sources are members that are being asked.
+	// sources lists the members that are being pulled from.
 	sources []string
-	// repairAt is when sets may next be compared without news of a revision.
-	repairAt time.Time
+	// nextRepair is the earliest time of the next pull without a higher revision.
+	nextRepair time.Time
 }
 
 const (
-	// parallelPulls bounds the members that are asked at a time; more than one,
-	// because the first may be out of reach.
-	parallelPulls = 3
-	// repairPeriod is the least time between two pulls by a node that has heard
-	// of no higher revision than its own.
-	repairPeriod = time.Second
+	// maxParallelPulls bounds concurrent pulls. More than one are allowed because the
+	// first member may be unreachable.
+	maxParallelPulls = 3
+	// repairInterval is the minimum time between two pulls by a node that has received
+	// no revision higher than its own.
+	repairInterval = time.Second
 )
 
-// compareConfig pulls from a member whose set differs from this node's.
-func (node *Node) compareConfig(from string, theirs config.Summary) {
-	ours := node.store.Summary()
-	if theirs == ours {
+// compareConfig pulls from a member whose configuration differs from this node's.
+func (node *Node) compareConfig(from string, remote config.Summary) {
+	local := node.store.Summary()
+	if remote == local {
 		return
 	}
-	if !node.pulls.begin(from, theirs.Highest > ours.Highest) {
+	if !node.pulls.begin(from, remote.Highest > local.Highest) {
 		return
 	}
 	address, found := node.addressOf(from)
@@ -63,24 +63,24 @@
 	})
 }
 
-func (pulls *pulls) begin(from string, news bool) bool {
+func (pulls *pullLimiter) begin(from string, newer bool) bool {
 	pulls.mutex.Lock()
 	defer pulls.mutex.Unlock()
-	if len(pulls.sources) >= parallelPulls || slices.Contains(pulls.sources, from) {
+	if len(pulls.sources) >= maxParallelPulls || slices.Contains(pulls.sources, from) {
 		return false
 	}
 	now := time.Now()
-	if !news && now.Before(pulls.repairAt) {
+	if !newer && now.Before(pulls.nextRepair) {
 		return false
 	}
-	if !news {
-		pulls.repairAt = now.Add(repairPeriod)
+	if !newer {
+		pulls.nextRepair = now.Add(repairInterval)
 	}
 	pulls.sources = append(pulls.sources, from)
 	return true
 }
 
-func (pulls *pulls) end(from string) {
+func (pulls *pullLimiter) end(from string) {
 	pulls.mutex.Lock()
 	defer pulls.mutex.Unlock()
 	pulls.sources = slices.DeleteFunc(pulls.sources, func(source string) bool { return source == from })
@@ -95,8 +95,8 @@
 	return members[index].Address, true
 }
 
-// pull fetches what a member has and this node lacks, and tells others when that
-// was news. It tells whether the member is itself up to date.
+// pull fetches the entries that a member has and this node lacks, and gossips if there
+// were any. It reports whether the member itself is up to date.
 func (node *Node) pull(address string) (complete bool, err error) {
 	request := &message.ConfigSync{}
 	for _, version := range node.store.Digest() {
@@ -106,17 +106,17 @@
 	if err := node.caller.call(node.context, address, request, reply); err != nil {
 		return false, err
 	}
-	node.take(reply.Entries)
+	node.applyEntries(reply.Entries)
 	return reply.Complete, nil
 }
 
-// take applies entries that came from another member.
-func (node *Node) take(encoded []message.ConfigEntry) {
+// applyEntries applies entries received from another member.
+func (node *Node) applyEntries(encoded []message.ConfigEntry) {
 	var entries []config.Entry
-	for _, one := range encoded {
-		entry, err := decodeEntry(one)
+	for _, encodedEntry := range encoded {
+		entry, err := decodeEntry(encodedEntry)
 		if err != nil {
-			klog.ErrorS(err, "configuration not understood", "service", one.Service, "revision", one.Revision)
+			klog.ErrorS(err, "cannot decode configuration", "service", encodedEntry.Service, "revision", encodedEntry.Revision)
 			continue
 		}
 		entries = append(entries, entry)
@@ -126,23 +126,23 @@
 		return
 	}
 	for _, entry := range changed {
-		index := slices.IndexFunc(encoded, func(one message.ConfigEntry) bool {
-			return one.Service == entry.Service && one.Revision == entry.Revision
+		index := slices.IndexFunc(encoded, func(candidate message.ConfigEntry) bool {
+			return candidate.Service == entry.Service && candidate.Revision == entry.Revision
 		})
-		node.encoded.keep(encoded[index])
-		klog.V(1).InfoS("revision in force", "service", entry.Service, "revision", entry.Revision)
+		node.encoded.store(encoded[index])
+		klog.V(1).InfoS("revision applied", "service", entry.Service, "revision", entry.Revision)
 	}
 	node.step(membership.Announce{})
 }
 
 func (node *Node) handleConfigSync(_ context.Context, request *message.ConfigSync) (*message.ConfigPush, error) {
 	var digest []config.Version
-	for _, line := range request.Digests {
-		digest = append(digest, config.Version{Service: line.Service, Revision: line.Revision})
+	for _, version := range request.Digests {
+		digest = append(digest, config.Version{Service: version.Service, Revision: version.Revision})
 	}
 	reply := &message.ConfigPush{Complete: node.Ready(), Entries: []message.ConfigEntry{}}
 	for _, entry := range node.store.Newer(digest) {
-		encoded, err := node.encoded.of(entry)
+		encoded, err := node.encoded.get(entry)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,3 +1,3 @@
-// Package gossip runs the membership core over UDP and spreads accepted
+// Package gossip runs the membership protocol over UDP and disseminates accepted
 // configuration between nodes.
 package gossip
--- a/internal/gossip/entry.go
+++ b/internal/gossip/entry.go
@@ -14,13 +14,13 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// specLimit bounds a spec in bytes of JSON; one with 14,000 servers has 2 MB.
-const specLimit = 32 << 20
+// maxSpecBytes bounds a spec in bytes of JSON; one with 14,000 servers takes 2 MB.
+const maxSpecBytes = 32 << 20
 
-var errSpecTooLarge = errors.Newf("spec of more than %d bytes", specLimit)
+var errSpecTooLarge = errors.Newf("spec exceeds %d bytes", maxSpecBytes)
 
-// encodedEntries keeps the encoded form of each service's newest entry, since
-// a node passes on what it received.
+// encodedEntries caches the encoded form of each service's newest entry, because a node
+// forwards the entries that it has received.
 type encodedEntries struct {
 	mutex     sync.Mutex
 	byService map[string]message.ConfigEntry
@@ -30,8 +30,8 @@
 	return &encodedEntries{byService: make(map[string]message.ConfigEntry)}
 }
 
-// keep remembers the encoded form of an entry.
-func (encoded *encodedEntries) keep(entry message.ConfigEntry) {
+// store caches the encoded form of an entry.
+func (encoded *encodedEntries) store(entry message.ConfigEntry) {
 	encoded.mutex.Lock()
 	defer encoded.mutex.Unlock()
 	if entry.Revision >= encoded.byService[entry.Service].Revision {
@@ -39,19 +39,19 @@
 	}
 }
 
-// of returns the encoded form of an entry, encoding it when it is not kept.
-func (encoded *encodedEntries) of(entry config.Entry) (message.ConfigEntry, error) {
+// get returns the encoded form of an entry and encodes it if it is not cached.
+func (encoded *encodedEntries) get(entry config.Entry) (message.ConfigEntry, error) {
 	encoded.mutex.Lock()
-	kept, found := encoded.byService[entry.Service]
+	cached, found := encoded.byService[entry.Service]
 	encoded.mutex.Unlock()
-	if found && kept.Revision == entry.Revision {
-		return kept, nil
+	if found && cached.Revision == entry.Revision {
+		return cached, nil
 	}
 	fresh, err := encodeEntry(entry)
 	if err != nil {
 		return fresh, err
 	}
-	encoded.keep(fresh)
+	encoded.store(fresh)
 	return fresh, nil
 }
 
@@ -81,11 +81,11 @@
 		return entry, nil
 	}
 	reader := flate.NewReader(bytes.NewReader(encoded.Spec))
-	text, err := io.ReadAll(io.LimitReader(reader, specLimit+1))
+	text, err := io.ReadAll(io.LimitReader(reader, maxSpecBytes+1))
 	if err != nil {
 		return entry, errors.Wrapf(err, "decompress spec of %s", encoded.Service)
 	}
-	if len(text) > specLimit {
+	if len(text) > maxSpecBytes {
 		return entry, errSpecTooLarge
 	}
 	entry.Spec = new(v1.QueryServiceSpec)
--- a/internal/gossip/existing_test.go
+++ b/internal/gossip/existing_test.go
@@ -9,19 +9,19 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// A failed member may still exist while a fresh machine list holds its address;
-// without one, for a bounded time; never once another process has its address.
-func TestStillExisting(t *testing.T) {
+// A failed member may still be alive while a fresh machine list contains its address, or,
+// without a fresh list, for a limited time; but not if another process has its address.
+func TestPossiblyAlive(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	failed := func(id, address string, incarnation uint64, ago time.Duration) membership.Failed {
 		member := membership.Member{ID: id, Address: address, Incarnation: incarnation, State: membership.Dead}
 		return membership.Failed{Member: member, Since: now.Add(-ago)}
 	}
 	one := failed("one", "a:1", 1, time.Second)
-	old := failed("old", "a:2", 1, failedCountTime)
+	old := failed("old", "a:2", 1, failedMemberTTL)
 	later := failed("later", "a:1", 2, time.Hour)
-	fresh := machineList{addresses: []string{"a:1", "a:2"}, readAt: now.Add(-machinesFresh + 1)}
-	stale := machineList{addresses: []string{"a:1", "a:2"}, readAt: now.Add(-machinesFresh)}
+	fresh := machineList{addresses: []string{"a:1", "a:2"}, readAt: now.Add(-machineListTTL + 1)}
+	stale := machineList{addresses: []string{"a:1", "a:2"}, readAt: now.Add(-machineListTTL)}
 	for _, test := range []struct {
 		name     string
 		failed   []membership.Failed
@@ -38,7 +38,7 @@
 		{"replaced by one that failed long ago", []membership.Failed{one, later}, nil, machineList{}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			is.New(t).Equal(stillExisting(test.failed, test.members, test.machines, now), test.want)
+			is.New(t).Equal(possiblyAlive(test.failed, test.members, test.machines, now), test.want)
 		})
 	}
 }
--- a/internal/gossip/export_test.go
+++ b/internal/gossip/export_test.go
@@ -1,8 +1,8 @@
 package gossip
 
-// Freeze stops the node as a stopped process does, but for what it needs no lock
-// for; the function returned ends it.
-func (node *Node) Freeze() (thaw func()) {
+// Pause stops everything in the node that needs its lock, like a process that is stopped.
+// The returned function resumes it.
+func (node *Node) Pause() (resume func()) {
 	node.mutex.Lock()
 	return node.mutex.Unlock
 }
--- a/internal/gossip/failed.go
+++ b/internal/gossip/failed.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// machinesFresh is how long a machine list tells which machines exist.
-	machinesFresh = time.Minute
-	// failedCountTime is how long a failed member counts where no fresh list
-	// tells whether its machine exists.
-	failedCountTime = 5 * time.Minute
+	// machineListTTL is how long a machine list is considered fresh.
+	machineListTTL = time.Minute
+	// failedMemberTTL is how long a failed member counts as possibly alive without a
+	// fresh machine list.
+	failedMemberTTL = 5 * time.Minute
 )
 
-// machineList is what the platform said last of its live machines.
+// machineList is the platform's latest list of live machines.
 type machineList struct {
-	// addresses are wire addresses.
+	// addresses holds wire addresses.
 	addresses []string
 	// readAt is zero before the first list.
 	readAt time.Time
 }
 
-// cutOff names the failed members that may still exist, out of reach. The
-// members are those that Members returned before: one that fails meanwhile is
-// in either list.
-func (node *Node) cutOff(members []membership.Member) []string {
+// possiblyAliveMembers returns the names of the failed members that may still run but be
+// unreachable. The members must come from an earlier call of Members, so that a member
+// that fails in between is in at least one of the two lists.
+func (node *Node) possiblyAliveMembers(members []membership.Member) []string {
 	node.mutex.Lock()
 	failed := node.core.Failed()
 	machines := node.machines
 	node.mutex.Unlock()
-	return stillExisting(failed, members, machines, time.Now())
+	return possiblyAlive(failed, members, machines, time.Now())
 }
 
-// stillExisting names the failed members whose machine the platform holds as
-// live, or that failed not long ago when the platform's list is not known. A
-// later process at the same wire address has replaced the earlier one.
-func stillExisting(failed []membership.Failed, members []membership.Member, machines machineList, now time.Time) []string {
+// possiblyAlive returns the names of the failed members whose machine is on the platform's
+// fresh list, or, without a fresh list, of those that failed recently. A later process at
+// the same wire address has replaced the earlier one.
+func possiblyAlive(failed []membership.Failed, members []membership.Member, machines machineList, now time.Time) []string {
 	replaced := make(map[string]bool)
 	for _, member := range members {
 		replaced[member.Address] = true
@@ -47,17 +47,17 @@
 	for _, address := range machines.addresses {
 		listed[address] = true
 	}
-	listKnown := !machines.readAt.IsZero() && now.Sub(machines.readAt) < machinesFresh
+	listFresh := !machines.readAt.IsZero() && now.Sub(machines.readAt) < machineListTTL
 	latestFirst := slices.SortedStableFunc(slices.Values(failed), func(a, b membership.Failed) int {
 		return cmp.Compare(b.Incarnation, a.Incarnation)
 	})
 	var names []string
 	for _, member := range latestFirst {
-		exists := now.Sub(member.Since) < failedCountTime
-		if listKnown {
-			exists = listed[member.Address]
+		alive := now.Sub(member.Since) < failedMemberTTL
+		if listFresh {
+			alive = listed[member.Address]
 		}
-		if exists && !replaced[member.Address] {
+		if alive && !replaced[member.Address] {
 			names = append(names, member.ID)
 		}
 		replaced[member.Address] = true
--- a/internal/gossip/failed_test.go
+++ b/internal/gossip/failed_test.go
@@ -10,7 +10,7 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// setMachines gives every node a machine list that holds the nodes named.
+// setMachines gives every node a machine list with the given nodes.
 func (cluster *cluster) setMachines(listed ...*testNode) {
 	addresses := []string{}
 	for _, node := range listed {
@@ -21,8 +21,8 @@
 	}
 }
 
-// knowLeave reports whether the nodes know that one of them leaves.
-func (cluster *cluster) knowLeave(leaving int, knowing ...int) bool {
+// leaveKnown reports whether the given nodes have received the leave of another one.
+func (cluster *cluster) leaveKnown(leaving int, knowing ...int) bool {
 	id := cluster.nodes[leaving].self.ID
 	return !slices.ContainsFunc(knowing, func(number int) bool {
 		return !slices.ContainsFunc(cluster.nodes[number].Members(), func(member membership.Member) bool {
@@ -31,10 +31,10 @@
 	})
 }
 
-// A revision is not applied everywhere while members that were judged dead are
-// listed as live machines: they may be cut off. Those that announced that they
-// leave, and those that the list has dropped, do not count.
-func TestAppliedCountsCutOffMembers(t *testing.T) {
+// Guards against reporting a revision as applied everywhere while dead members are still
+// listed as live machines: they may be behind a network partition and still serve.
+// Members that have announced their leave or are no longer listed do not count.
+func TestAppliedCountsPartitionedMembers(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t, 0)
 	cluster.membership.SuspicionPeriods = 1
@@ -42,12 +42,13 @@
 	cluster.awaitMembers(7)
 	cluster.setMachines(cluster.nodes...)
 	cluster.nodes[6].Leave(context.Background())
-	// Who has not heard of the leave when the cut begins can not tell it from a failure.
-	cluster.eventually("the leave is known", func() bool { return cluster.knowLeave(6, 0, 1, 2, 3) })
+	// A node that has not received the leave before the partition cannot distinguish it
+	// from a failure.
+	cluster.eventually("the leave is known", func() bool { return cluster.leaveKnown(6, 0, 1, 2, 3) })
 	cluster.isolate(4, 5, 6)
-	cluster.eventually("the others are judged dead", func() bool { return len(cluster.nodes[0].Members()) == 4 })
+	cluster.eventually("the others are considered dead", func() bool { return len(cluster.nodes[0].Members()) == 4 })
 	cluster.nodes[0].Publish(entry(1))
-	cluster.eventually("all that are reached apply it", func() bool {
+	cluster.eventually("all reachable members apply it", func() bool {
 		total, applied, lagging := cluster.nodes[0].Applied(context.Background(), service, 1)
 		is.Equal(total, 6)
 		return applied == 4 && slices.Equal(lagging, []string{"node-004", "node-005"})
@@ -57,8 +58,8 @@
 	is.Equal(total, 5)
 	is.Equal(applied, 4)
 	is.Equal(lagging, []string{"node-004"})
-	cluster.setCut(nil)
-	cluster.eventually("those that came back count as before", func() bool {
+	cluster.blockLinks(nil)
+	cluster.eventually("reconnected members count again", func() bool {
 		total, applied, _ := cluster.nodes[0].Applied(context.Background(), service, 1)
 		return total == 6 && applied == 6
 	})
--- a/internal/gossip/metrics.go
+++ b/internal/gossip/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Traffic counts the datagrams of a node; bytes are without UDP and IP headers.
+// Traffic counts the datagrams of a node; bytes exclude UDP and IP headers.
 type Traffic struct {
 	SentDatagrams, SentBytes         uint64
 	ReceivedDatagrams, ReceivedBytes uint64
@@ -50,7 +50,7 @@
 	metrics.receivedBytes.Add(uint64(bytes))
 }
 
-// Traffic returns the counts since the start.
+// Traffic returns the counts since the node was created.
 func (node *Node) Traffic() Traffic {
 	return Traffic{
 		SentDatagrams:     node.metrics.sentDatagrams.Load(),
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -15,27 +15,28 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// Node is the part of a process that takes part in membership and in the
-// dissemination of accepted configuration. It is safe for concurrent use.
+// Node takes part in membership and in the dissemination of accepted configuration. It
+// is safe for concurrent use.
 type Node struct {
 	options Options
-	// mark tells the datagrams of this cluster.
-	mark    uint32
-	store   *config.Store
-	encoded *encodedEntries
-	caller  *caller
-	metrics *metrics
-	pulls   pulls
-	queries revisionQueries
-	ready   readiness
+	// clusterHash identifies the datagrams of this cluster.
+	clusterHash uint32
+	store       *config.Store
+	encoded     *encodedEntries
+	caller      *caller
+	metrics     *metrics
+	pulls       pullLimiter
+	queries     revisionQueries
+	readiness   readiness
 
 	mutex sync.Mutex
 	core  *membership.Core
-	// members is the newest list, rebuilt when it is asked for after a change.
+	// members caches the list of members; nil after a change, until the next call of
+	// Members.
 	members  atomic.Pointer[[]membership.Member]
 	machines machineList
 	leaving  bool
-	// lastTick is when the core ticked last, since start.
+	// lastTick is the time of the last tick of the core, since start.
 	lastTick atomic.Int64
 	start    time.Time
 
@@ -46,37 +47,38 @@
 	tasks      sync.WaitGroup
 }
 
-// New registers the handlers and returns a node that has not started.
+// New registers the handlers and returns a node that is not started yet.
 func New(options Options) *Node {
 	options = options.withDefaults()
 	now := time.Now()
 	node := &Node{
-		options: options,
-		mark:    clusterMark(options.Cluster),
-		store:   options.Store,
-		encoded: newEncodedEntries(),
-		caller:  newCaller(options),
-		metrics: newMetrics(options.Registry),
-		start:   now,
-		core:    membership.New(options.Membership, options.Self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
+		options:     options,
+		clusterHash: hashCluster(options.Cluster),
+		store:       options.Store,
+		encoded:     newEncodedEntries(),
+		caller:      newCaller(options),
+		metrics:     newMetrics(options.Registry),
+		start:       now,
+		core:        membership.New(options.Membership, options.Self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), now),
 	}
 	node.context, node.cancel = context.WithCancel(context.Background())
-	node.queries.waiting = make(map[int64]*revisionQuery)
-	node.ready.begin(now, "the node has not synced since its start")
-	node.handle(options.Server)
+	node.queries.pending = make(map[int64]*revisionQuery)
+	node.readiness.setNotReady(now, "the node has not synced since it started")
+	node.registerHandlers(options.Server)
 	return node
 }
 
-// Start begins to take part. The wire server must be serving.
+// Start joins the cluster. The wire server must already be serving.
 func (node *Node) Start() {
-	node.background(node.read)
-	node.background(node.tick)
-	node.background(node.keepSynced)
-	node.background(node.keepMachines)
+	node.background(node.readLoop)
+	node.background(node.tickLoop)
+	node.background(node.syncLoop)
+	node.background(node.machineLoop)
 	node.step(membership.Seeds{Addresses: node.options.Join})
 }
 
-// Close vanishes at once; after Leave others know that it is no failure.
+// Close stops the node at once. Without a preceding Leave, other members detect it as a
+// failure.
 func (node *Node) Close() {
 	node.mutex.Lock()
 	leaving := node.leaving
@@ -92,7 +94,7 @@
 	node.tasks.Wait()
 }
 
-// background runs a task of the node unless the node is closed.
+// background runs a task in a goroutine unless the node is closed.
 func (node *Node) background(task func()) {
 	node.tasksMutex.Lock()
 	defer node.tasksMutex.Unlock()
@@ -101,11 +103,11 @@
 	}
 }
 
-// leaveTime lets the announcement reach all members before Leave returns.
-const leaveTime = time.Second
+// leaveDelay is the time for the leave to reach all members before Leave returns.
+const leaveDelay = time.Second
 
-// Leave announces a planned stop, so that nobody sends new work here. It returns
-// when the announcement has had time to spread.
+// Leave announces a planned stop, so that no member sends new work to this node. It
+// returns after leaveDelay or when ctx ends.
 func (node *Node) Leave(ctx context.Context) {
 	node.mutex.Lock()
 	node.leaving = true
@@ -114,13 +116,12 @@
 	select {
 	case <-ctx.Done():
 	case <-node.context.Done():
-	case <-time.After(leaveTime):
+	case <-time.After(leaveDelay):
 	}
 }
 
-// Members returns the members that are not dead, by ID, the node itself
-// included. The slice is shared: it is the same until something changes, and
-// must not be written to.
+// Members returns the members that are not dead, including the node itself, sorted by
+// ID. The slice is shared until the next change and must not be modified.
 func (node *Node) Members() []membership.Member {
 	if members := node.members.Load(); members != nil {
 		return *members
@@ -132,23 +133,23 @@
 	return members
 }
 
-// step gives an event to the core and does what it asks for.
+// step passes an event to the core and performs the resulting actions.
 func (node *Node) step(event membership.Event) {
 	node.mutex.Lock()
 	actions := node.core.Step(event, time.Now())
-	node.note(actions)
+	node.recordActions(actions)
 	node.mutex.Unlock()
 	node.perform(actions)
 }
 
-func (node *Node) tick() {
-	ticker := time.NewTicker(tickPeriod)
+func (node *Node) tickLoop() {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		node.mutex.Lock()
 		now := time.Now()
 		actions := node.core.Tick(now)
-		node.note(actions)
+		node.recordActions(actions)
 		node.lastTick.Store(int64(now.Sub(node.start)))
 		node.mutex.Unlock()
 		node.perform(actions)
@@ -160,20 +161,21 @@
 	}
 }
 
-// note takes down, while the core is locked, what its actions mean for readers.
-func (node *Node) note(actions []membership.Action) {
+// recordActions updates the member list and the readiness according to the core's actions.
+// The core must be locked.
+func (node *Node) recordActions(actions []membership.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case membership.Changed:
 			node.members.Store(nil)
 		case membership.Paused:
-			node.ready.begin(time.Now(), "the node was paused and has not synced since")
+			node.readiness.setNotReady(time.Now(), "the node was paused and has not synced since")
 			klog.InfoS("node was paused", "gap", action.Gap.String())
 		case membership.Isolated:
-			node.ready.begin(time.Now(), "the node hears no other member")
-			klog.InfoS("node hears no other member")
+			node.readiness.setNotReady(time.Now(), "the node is isolated from all other members")
+			klog.InfoS("node is isolated from all other members")
 		case membership.Reconnected:
-			node.ready.begin(time.Now(), "the node was cut off and has not synced since")
+			node.readiness.setNotReady(time.Now(), "the node was isolated and has not synced since")
 		}
 	}
 }
@@ -197,20 +199,20 @@
 		"before", change.Before.String(), "state", change.Member.State.String())
 }
 
-// read takes in datagrams until the connection is closed.
-func (node *Node) read() {
-	buffer := make([]byte, datagramLimit)
+// readLoop receives datagrams until the connection is closed.
+func (node *Node) readLoop() {
+	buffer := make([]byte, datagramBufferBytes)
 	for {
 		count, from, err := node.options.Connection.ReadFrom(buffer)
 		if node.context.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// A datagram to a closed port comes back as an error of the socket.
+			// A datagram sent to a closed port causes an error on this socket.
 			continue
 		}
 		node.metrics.received(count)
-		if err := node.takeDatagram(from, buffer[:count]); err != nil {
+		if err := node.handleDatagram(from, buffer[:count]); err != nil {
 			node.metrics.malformed.Inc()
 		}
 	}
@@ -225,16 +227,16 @@
 	if !node.options.Reachable(node.options.Self.GossipAddress, address) {
 		return
 	}
-	encoded, err := encodeDatagram(tag, node.mark, content)
+	encoded, err := encodeDatagram(tag, node.clusterHash, content)
 	if err != nil {
-		klog.ErrorS(err, "datagram not sent")
+		klog.ErrorS(err, "cannot encode datagram")
 		return
 	}
 	target, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return
 	}
-	// A datagram that can not be sent is as good as lost, and that is expected.
+	// A failed send is like a lost datagram, which the protocol tolerates.
 	if count, err := node.options.Connection.WriteTo(encoded, target); err == nil {
 		node.metrics.sent(count)
 	}
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -10,8 +10,8 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// A revision published at any node is in force at all of them; an earlier one
-// that comes later, from whomever, changes nothing; a tombstone ends the service.
+// A revision published at any node is applied at all of them; an older one published
+// later at any node is ignored; a tombstone removes the service.
 func TestPublish(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t, 6)
@@ -29,8 +29,8 @@
 	is.Equal(len(cluster.nodes[0].store.Services()), 0)
 }
 
-// Applied counts the nodes that apply a revision and names the others; with more
-// than one group it goes through members of the groups.
+// Applied counts the nodes that apply a revision and names the others. With 80 nodes it
+// queries more than one group via delegates.
 func TestApplied(t *testing.T) {
 	for _, count := range []int{5, 80} {
 		is := is.New(t)
@@ -45,7 +45,7 @@
 			is.Equal(total, count)
 			return applied == count-1 && len(lagging) == 1 && lagging[0] == cluster.nodes[4].self.ID
 		})
-		cluster.setCut(nil)
+		cluster.blockLinks(nil)
 		cluster.eventually("all apply it", func() bool {
 			total, applied, lagging := cluster.nodes[1].Applied(context.Background(), service, 1)
 			return total == count && applied == count && len(lagging) == 0
@@ -53,9 +53,9 @@
 	}
 }
 
-// A node that starts while one member has missed the newest revision is not ready
-// before it has the newest.
-func TestStartTakesTheHighestOfSeveral(t *testing.T) {
+// Guards against a node that starts with an outdated configuration because the first
+// member it syncs with has missed the newest revision.
+func TestStartSyncsHighestRevision(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.awaitMembers(3)
 	cluster.nodes[0].Publish(entry(1))
@@ -63,8 +63,8 @@
 	cluster.isolate(2)
 	cluster.nodes[0].Publish(entry(2))
 	cluster.eventually("revision 2 at the other", func() bool { return cluster.nodes[1].store.Revision(service) == 2 })
-	// The new node reaches all three; the old one still reaches nobody else.
-	cluster.setCut(func(from, to int) bool { return (from == 2) != (to == 2) && from != 3 && to != 3 })
+	// The new node reaches all three; the outdated node still reaches no other one.
+	cluster.blockLinks(func(from, to int) bool { return (from == 2) != (to == 2) && from != 3 && to != 3 })
 	starting := cluster.startWith([]string{
 		cluster.nodes[0].self.GossipAddress,
 		cluster.nodes[1].self.GossipAddress,
@@ -76,19 +76,19 @@
 	}
 }
 
-// A node that knows nobody and has not heard from the platform is never ready:
-// it can not know the configuration.
-func TestStartWithoutAnyWord(t *testing.T) {
+// A node without any member to join and without a machine list is never ready: it cannot
+// know the configuration.
+func TestStartWithoutMembersOrMachineList(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t, 0)
-	lost := cluster.startWith(nil)
-	time.Sleep(2 * cluster.aloneAfter)
-	is.True(!lost.Ready())
-	lost.SetMachines(nil)
-	cluster.eventually("ready", lost.Ready)
+	node := cluster.startWith(nil)
+	time.Sleep(2 * cluster.syncTimeout)
+	is.True(!node.Ready())
+	node.SetMachines(nil)
+	cluster.eventually("ready", node.Ready)
 }
 
-// The machine list alone, which holds wire addresses, is enough to join.
+// The machine list, which contains wire addresses, is sufficient to join.
 func TestJoinByMachineList(t *testing.T) {
 	cluster := newCluster(t, 1)
 	joining := cluster.startWith(nil)
@@ -96,15 +96,15 @@
 	cluster.awaitMembers(2)
 }
 
-// News gets past a link that is cut one way.
-func TestPublishPastOneWayCut(t *testing.T) {
-	for _, cut := range []func(from, to int) bool{
+// A revision reaches all nodes although one link is blocked in one direction.
+func TestPublishAroundOneWayPartition(t *testing.T) {
+	for _, blocked := range []func(from, to int) bool{
 		func(from, to int) bool { return from == 0 && to == 2 },
 		func(from, to int) bool { return from == 2 && to == 0 },
 	} {
 		cluster := newCluster(t, 4)
 		cluster.awaitMembers(4)
-		cluster.setCut(cut)
+		cluster.blockLinks(blocked)
 		for revision := range int64(5) {
 			cluster.nodes[0].Publish(entry(revision + 1))
 			cluster.awaitRevision(revision + 1)
@@ -112,54 +112,54 @@
 	}
 }
 
-// A node that was stopped takes no requests before it has what was accepted
-// meanwhile.
+// Guards against a paused node that serves with an outdated configuration: after the pause
+// it is not ready until it has synced.
 func TestPausedNodeIsNotReadyBeforeSync(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t, 3)
-	cluster.aloneAfter = time.Hour
+	cluster.syncTimeout = time.Hour
 	paused := cluster.start()
 	cluster.awaitMembers(4)
-	thaw := paused.Freeze()
+	resume := paused.Pause()
 	cluster.isolate(paused.number)
 	cluster.nodes[0].Publish(entry(1))
 	time.Sleep(1500 * time.Millisecond)
 	ready := paused.Ready()
-	thaw()
-	is.True(!ready) // a pause is seen before the core ticks again
+	resume()
+	is.True(!ready) // the pause is detected before the core ticks again
 	for range 100 {
-		is.True(!paused.Ready()) // nobody was asked yet
+		is.True(!paused.Ready()) // it has not synced yet
 		time.Sleep(5 * time.Millisecond)
 	}
-	cluster.setCut(nil)
+	cluster.blockLinks(nil)
 	cluster.eventually("ready again", paused.Ready)
 	is.Equal(paused.store.Revision(service), int64(1))
 }
 
-// A node that hears nobody takes no requests for a while, then serves by what it
-// has; when it hears others again it syncs first.
-func TestCutOffNode(t *testing.T) {
+// An isolated node is not ready at first, then serves with the configuration that it has.
+// When it reaches other members again, it syncs first.
+func TestIsolatedNode(t *testing.T) {
 	cluster := newCluster(t, 0)
-	cluster.aloneAfter = 2 * time.Second
+	cluster.syncTimeout = 2 * time.Second
 	cluster.startMany(4)
 	cluster.awaitMembers(4)
 	cluster.isolate(3)
-	alone := cluster.nodes[3]
-	cluster.eventually("not ready", func() bool { return !alone.Ready() })
+	isolated := cluster.nodes[3]
+	cluster.eventually("not ready", func() bool { return !isolated.Ready() })
 	cluster.nodes[0].Publish(entry(1))
-	cluster.eventually("serving alone", alone.Ready)
-	cluster.setCut(nil)
+	cluster.eventually("serving while isolated", isolated.Ready)
+	cluster.blockLinks(nil)
 	cluster.awaitMembers(4)
 	cluster.awaitRevision(1)
 }
 
-// A leaving node is seen as leaving, and no longer seen soon after it has ended.
+// A leaving node is listed as leaving and removed soon after it has stopped.
 func TestLeave(t *testing.T) {
 	cluster := newCluster(t, 4)
 	cluster.awaitMembers(4)
 	leaving := cluster.nodes[1]
 	leaving.Leave(context.Background())
-	cluster.eventually("seen as leaving", func() bool {
+	cluster.eventually("listed as leaving", func() bool {
 		return cluster.nodes[3].Members()[1].State == membership.Leaving
 	})
 	leaving.Close()
@@ -167,18 +167,18 @@
 	cluster.awaitMembers(3)
 }
 
-// Two clusters whose nodes know each other's addresses, as when a machine is
-// handed from one to the other, must not become one.
-func TestClustersStayApart(t *testing.T) {
+// Guards against two clusters that merge because a machine has moved from one to the other,
+// so that their nodes know each other's addresses.
+func TestClustersStaySeparate(t *testing.T) {
 	is := is.New(t)
 	one := newCluster(t, 2)
-	other := &cluster{t: t, name: one.name + "-other", owners: make(map[string]int), aloneAfter: time.Second, membership: membership.DefaultOptions()}
-	stranger := other.startAs(7, []string{one.nodes[0].self.GossipAddress})
-	stranger.SetMachines([]string{one.nodes[0].self.Address, one.nodes[1].self.Address})
-	one.nodes[0].SetMachines([]string{stranger.self.Address})
+	other := &cluster{t: t, name: one.name + "-other", owners: make(map[string]int), syncTimeout: time.Second, membership: membership.DefaultOptions()}
+	foreign := other.startAs(7, []string{one.nodes[0].self.GossipAddress})
+	foreign.SetMachines([]string{one.nodes[0].self.Address, one.nodes[1].self.Address})
+	one.nodes[0].SetMachines([]string{foreign.self.Address})
 	time.Sleep(2 * time.Second)
 	for _, node := range one.nodes {
 		is.Equal(len(node.Members()), 2)
 	}
-	is.Equal(len(stranger.Members()), 1)
+	is.Equal(len(foreign.Members()), 1)
 }
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -13,34 +13,33 @@
 
 // Options configures a Node.
 type Options struct {
-	// Cluster is the name of the system: nodes of another are not heard.
+	// Cluster is the name of the cluster; messages from other clusters are ignored.
 	Cluster string
-	// Self describes the node. A zero incarnation becomes the wall clock in
-	// milliseconds. Addresses must be those that others can reach.
+	// Self describes the node. A zero incarnation is replaced by the wall clock in
+	// milliseconds. The addresses must be reachable by other members.
 	Self membership.Member
 	// Connection carries the datagrams; the node closes it.
 	Connection net.PacketConn
-	// Server gets the handlers of this package.
+	// Server is where the handlers of this package are registered.
 	Server *wire.Server
-	// Client options are for calls to other members.
+	// Client holds the options for calls to other members.
 	Client wire.ClientOptions
 	// Store holds the accepted configuration.
 	Store *config.Store
-	// Join lists gossip addresses of nodes to join. Machines are added by
-	// Node.SetMachines.
+	// Join lists the gossip addresses of nodes to join. Node.SetMachines adds others.
 	Join []string
-	// Membership holds the periods of the protocol; DefaultOptions when zero.
+	// Membership holds the options of the membership protocol; zero means DefaultOptions.
 	Membership membership.Options
-	// AloneAfter is how long a node that can not sync stays without requests
-	// before it serves by what it has; DefaultAloneAfter when zero.
+	// AloneAfter is how long a node that cannot sync is not ready before it serves with
+	// the configuration that it has; zero means DefaultAloneAfter.
 	AloneAfter time.Duration
-	// Reachable is false for links that tests have cut, from one address of
-	// a node to another, by datagram or call; nil when all are up.
+	// Reachable reports whether datagrams and calls can get from one address to another.
+	// Tests use it to block links; nil means that all links are up.
 	Reachable func(from, to string) bool
-	// Changed, when set, is called after a member came or changed its state.
-	// It must return soon, and may be called from several goroutines at a time.
+	// Changed, if set, is called after a member was added or changed its state. It must
+	// return quickly and may be called concurrently.
 	Changed func(membership.Changed)
-	// Registry takes the metrics; nil when there is none.
+	// Registry registers the metrics; nil means no metrics.
 	Registry prometheus.Registerer
 }
 
@@ -48,14 +47,15 @@
 const DefaultAloneAfter = 5 * time.Second
 
 const (
-	// tickPeriod is the time between two ticks of the membership core.
-	tickPeriod = 100 * time.Millisecond
+	// tickInterval is the time between two ticks of the membership core.
+	tickInterval = 100 * time.Millisecond
 	// callTimeout bounds a call to another member.
 	callTimeout = 2 * time.Second
-	// keptConnections bounds the connections kept open for calls.
-	keptConnections = 4
-	// datagramLimit is above every datagram that is sent, in bytes.
-	datagramLimit = 4096
+	// maxCachedConnections bounds the open connections, except for those with calls in
+	// flight.
+	maxCachedConnections = 4
+	// datagramBufferBytes is larger than any datagram that is sent.
+	datagramBufferBytes = 4096
 )
 
 func (options Options) withDefaults() Options {
--- a/internal/gossip/readiness.go
+++ b/internal/gossip/readiness.go
@@ -11,23 +11,23 @@
 	"github.com/driftstage/driftstage/internal/membership"
 )
 
-// readiness tells whether the node may take requests: whether, since it started,
-// was paused or was cut off, it has learned the newest configuration from others.
+// readiness holds whether the node may accept requests: whether it has synced the newest
+// configuration from other members since it was started, paused or isolated.
 type readiness struct {
 	mutex sync.Mutex
-	// reason is why the node is not ready; empty when it is.
+	// reason is why the node is not ready; empty if it is.
 	reason string
-	// since is when the reason arose.
+	// since is the time at which the reason was set.
 	since time.Time
-	// epoch counts the reasons, so that a sync that began before the last one
-	// does not end it.
+	// epoch counts the reasons, so that a sync that started before the latest reason does
+	// not clear it.
 	epoch int
-	// platformSeen tells that the machine list was read since the start.
-	platformSeen atomic.Bool
+	// machineListSeen is set once the machine list has been read.
+	machineListSeen atomic.Bool
 }
 
-// begin notes that the node must sync.
-func (ready *readiness) begin(now time.Time, reason string) {
+// setNotReady records that the node must sync.
+func (ready *readiness) setNotReady(now time.Time, reason string) {
 	ready.mutex.Lock()
 	defer ready.mutex.Unlock()
 	ready.reason = reason
@@ -35,8 +35,8 @@
 	ready.epoch++
 }
 
-// end notes that the node has synced, unless a later reason arose.
-func (ready *readiness) end(epoch int) bool {
+// setReady records that the node has synced, unless there is a later reason.
+func (ready *readiness) setReady(epoch int) bool {
 	ready.mutex.Lock()
 	defer ready.mutex.Unlock()
 	if ready.epoch != epoch {
@@ -46,42 +46,42 @@
 	return true
 }
 
-func (ready *readiness) read() (reason string, since time.Time, epoch int) {
+func (ready *readiness) state() (reason string, since time.Time, epoch int) {
 	ready.mutex.Lock()
 	defer ready.mutex.Unlock()
 	return ready.reason, ready.since, ready.epoch
 }
 
-// Ready tells whether the node may take requests.
+// Ready reports whether the node may accept requests.
 func (node *Node) Ready() bool { return node.NotReady() == "" }
 
-// NotReady returns why the node may take no requests, or nothing. It finds a
-// pause also before the next tick has found it.
+// NotReady returns why the node may not accept requests, or an empty string. It detects a
+// pause even before the next tick does.
 func (node *Node) NotReady() string {
 	sinceTick := time.Since(node.start) - time.Duration(node.lastTick.Load())
 	if sinceTick > node.options.Membership.PauseThreshold {
 		return "the node was paused"
 	}
-	reason, _, _ := node.ready.read()
+	reason, _, _ := node.readiness.state()
 	return reason
 }
 
 const (
-	// syncPeers is how many members a node asks before it is ready.
+	// syncPeers is the number of members that a node syncs with before it is ready.
 	syncPeers = 3
-	// syncGrace is how long a node that knows fewer members waits for more to
-	// answer: the first to answer may have missed the newest.
+	// syncGrace is how long a node that knows fewer members waits for more: the first
+	// member to answer may have missed the newest revision.
 	syncGrace = 500 * time.Millisecond
-	// syncRetryPeriod is the time between two attempts.
-	syncRetryPeriod = 100 * time.Millisecond
+	// syncRetryInterval is the time between two sync attempts.
+	syncRetryInterval = 100 * time.Millisecond
 )
 
-// keepSynced asks members for their configuration whenever the node is not ready.
-func (node *Node) keepSynced() {
-	ticker := time.NewTicker(syncRetryPeriod)
+// syncLoop syncs with other members whenever the node is not ready.
+func (node *Node) syncLoop() {
+	ticker := time.NewTicker(syncRetryInterval)
 	defer ticker.Stop()
 	for {
-		if reason, since, epoch := node.ready.read(); reason != "" {
+		if reason, since, epoch := node.readiness.state(); reason != "" {
 			node.trySync(since, epoch)
 		}
 		select {
@@ -93,57 +93,57 @@
 }
 
 func (node *Node) trySync(since time.Time, epoch int) {
-	answers, complete := node.askMembers()
-	several := answers >= syncPeers-1
-	all := answers >= len(node.others()) && time.Since(since) > syncGrace
-	enough := complete > 0 && (several || all)
-	alone := !enough && node.mayServeAlone(since)
-	if !enough && !alone || !node.ready.end(epoch) {
+	answers, complete := node.pullFromMembers()
+	enoughPeers := answers >= syncPeers-1
+	allPeers := answers >= len(node.otherMembers()) && time.Since(since) > syncGrace
+	synced := complete > 0 && (enoughPeers || allPeers)
+	alone := !synced && node.mayServeUnsynced(since)
+	if !synced && !alone || !node.readiness.setReady(epoch) {
 		return
 	}
 	klog.InfoS("node is ready", "answers", answers, "alone", alone)
 }
 
-// mayServeAlone decides about a node that finds nobody who is up to date. At the
-// start it needs the platform's word that there is nobody else; later it serves
-// by what it has.
-func (node *Node) mayServeAlone(since time.Time) bool {
-	known := node.ready.platformSeen.Load() || node.store.Summary().Highest > 0
+// mayServeUnsynced reports whether a node that finds no up-to-date member may be ready.
+// After AloneAfter it serves with the configuration that it has; without any it must first
+// have read the machine list, which shows whether there are other nodes.
+func (node *Node) mayServeUnsynced(since time.Time) bool {
+	known := node.readiness.machineListSeen.Load() || node.store.Summary().Highest > 0
 	return known && time.Since(since) > node.options.AloneAfter
 }
 
-// askMembers pulls from several members at a time. It returns how many answered
-// and how many of these were themselves up to date.
-func (node *Node) askMembers() (answers, complete int) {
+// pullFromMembers pulls from several members concurrently. It returns how many answered
+// and how many of those were up to date themselves.
+func (node *Node) pullFromMembers() (answers, complete int) {
 	type outcome struct {
 		complete bool
 		err      error
 	}
-	asked := node.syncSources()
-	outcomes := make([]outcome, len(asked))
-	var asking sync.WaitGroup
-	for index, member := range asked {
-		asking.Go(func() {
+	peers := node.chooseSyncPeers()
+	outcomes := make([]outcome, len(peers))
+	var wg sync.WaitGroup
+	for index, member := range peers {
+		wg.Go(func() {
 			upToDate, err := node.pull(member.Address)
 			outcomes[index] = outcome{complete: upToDate, err: err}
 		})
 	}
-	asking.Wait()
-	for _, got := range outcomes {
-		if got.err != nil {
+	wg.Wait()
+	for _, outcome := range outcomes {
+		if outcome.err != nil {
 			continue
 		}
 		answers++
-		if got.complete {
+		if outcome.complete {
 			complete++
 		}
 	}
 	return answers, complete
 }
 
-// syncSources draws members of different zones, as far as there are.
-func (node *Node) syncSources() []membership.Member {
-	others := node.others()
+// chooseSyncPeers chooses random members, preferably in different zones.
+func (node *Node) chooseSyncPeers() []membership.Member {
+	others := node.otherMembers()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	var chosen, rest []membership.Member
 	zones := make(map[string]bool)
@@ -159,8 +159,8 @@
 	return chosen[:min(len(chosen), syncPeers)]
 }
 
-// others returns the members besides this node that may be asked.
-func (node *Node) others() []membership.Member {
+// otherMembers returns the other members that are not suspected.
+func (node *Node) otherMembers() []membership.Member {
 	var others []membership.Member
 	for _, member := range node.Members() {
 		if member.ID != node.options.Self.ID && member.State != membership.Suspect {
--- a/internal/gossip/readiness_test.go
+++ b/internal/gossip/readiness_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-// A sync that began before the last pause does not make the node ready.
-func TestEarlierSyncDoesNotEndLaterReason(t *testing.T) {
+// Guards against a sync that started before the latest pause and makes the node ready.
+func TestOutdatedSyncKeepsNodeNotReady(t *testing.T) {
 	is := is.New(t)
 	var ready readiness
-	ready.begin(time.Now(), "start")
-	_, _, epoch := ready.read()
-	ready.begin(time.Now(), "pause")
-	is.True(!ready.end(epoch))
-	reason, _, epoch := ready.read()
+	ready.setNotReady(time.Now(), "start")
+	_, _, epoch := ready.state()
+	ready.setNotReady(time.Now(), "pause")
+	is.True(!ready.setReady(epoch))
+	reason, _, epoch := ready.state()
 	is.Equal(reason, "pause")
-	is.True(ready.end(epoch))
+	is.True(ready.setReady(epoch))
 }
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -9,14 +9,14 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// takeDatagram decodes a datagram and gives it to its receiver. The data is
-// valid only until it returns.
-func (node *Node) takeDatagram(from net.Addr, data []byte) error {
-	if len(data) < datagramHeader {
+// handleDatagram decodes a datagram and dispatches it by its tag. It does not retain
+// data.
+func (node *Node) handleDatagram(from net.Addr, data []byte) error {
+	if len(data) < datagramHeaderBytes {
 		return errUnknownDatagram
 	}
-	tag, mark, content := data[0], binary.BigEndian.Uint32(data[1:]), data[datagramHeader:]
-	if mark != node.mark {
+	tag, clusterHash, content := data[0], binary.BigEndian.Uint32(data[1:]), data[datagramHeaderBytes:]
+	if clusterHash != node.clusterHash {
 		return errOtherCluster
 	}
 	switch tag {
@@ -25,26 +25,26 @@
 		if err := datagram.Unmarshal(content); err != nil {
 			return err
 		}
-		node.takeMember(from.String(), datagram)
+		node.handleMember(from.String(), datagram)
 	case tagRevisionQuery:
 		query := &message.RevisionQuery{}
 		if err := query.Unmarshal(content); err != nil {
 			return err
 		}
-		node.answerRevisionQuery(from.String(), query)
+		node.handleRevisionQuery(from.String(), query)
 	case tagRevisionReply:
 		reply := &message.RevisionReply{}
 		if err := reply.Unmarshal(content); err != nil {
 			return err
 		}
-		node.queries.take(reply)
+		node.queries.deliver(reply)
 	default:
 		return errUnknownDatagram
 	}
 	return nil
 }
 
-func (node *Node) takeMember(from string, datagram *message.MemberDatagram) {
+func (node *Node) handleMember(from string, datagram *message.MemberDatagram) {
 	node.step(membership.Received{Address: from, Message: memberMessage(datagram)})
 	summary := config.Summary{Highest: datagram.HighestRevision, Hash: uint64(datagram.ConfigHash)}
 	node.compareConfig(datagram.From, summary)
--- a/internal/gossip/revisionquery.go
+++ b/internal/gossip/revisionquery.go
@@ -10,13 +10,13 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// revisionQueries are the questions under way, by sequence number.
+// revisionQueries holds the pending queries by sequence number.
 type revisionQueries struct {
 	mutex   sync.Mutex
-	waiting map[int64]*revisionQuery
+	pending map[int64]*revisionQuery
 }
 
-// revisionQuery is one question to several members.
+// revisionQuery is one query to several members.
 type revisionQuery struct {
 	sequence int64
 	members  []string
@@ -35,28 +35,28 @@
 	}
 	queries.mutex.Lock()
 	defer queries.mutex.Unlock()
-	queries.waiting[query.sequence] = query
+	queries.pending[query.sequence] = query
 	return query
 }
 
 func (queries *revisionQueries) end(query *revisionQuery) {
 	queries.mutex.Lock()
 	defer queries.mutex.Unlock()
-	delete(queries.waiting, query.sequence)
+	delete(queries.pending, query.sequence)
 }
 
-func (queries *revisionQueries) take(reply *message.RevisionReply) {
+func (queries *revisionQueries) deliver(reply *message.RevisionReply) {
 	queries.mutex.Lock()
-	query := queries.waiting[reply.Sequence]
+	query := queries.pending[reply.Sequence]
 	queries.mutex.Unlock()
 	if query != nil {
-		query.take(reply.From, reply.Revision)
+		query.record(reply.From, reply.Revision)
 	}
 }
 
-func (query *revisionQuery) asks(id string) bool { return slices.Contains(query.members, id) }
+func (query *revisionQuery) includes(id string) bool { return slices.Contains(query.members, id) }
 
-func (query *revisionQuery) take(id string, revision int64) {
+func (query *revisionQuery) record(id string, revision int64) {
 	query.mutex.Lock()
 	query.revisions[id] = max(revision, query.revisions[id])
 	query.mutex.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// missing returns the members that are not known to apply the revision.
+// missing returns the members that have not reported the revision or a later one.
 func (query *revisionQuery) missing(revision int64) []string {
 	query.mutex.Lock()
 	defer query.mutex.Unlock()
@@ -79,10 +79,10 @@
 	return missing
 }
 
-// wait returns true when nobody is missing any more or the context has ended,
-// and false when it is time to ask again.
+// wait returns true when no member is missing or the context has ended, and false when
+// the query is to be repeated.
 func (query *revisionQuery) wait(ctx context.Context, revision int64) bool {
-	timer := time.NewTimer(queryPeriod)
+	timer := time.NewTimer(queryInterval)
 	defer timer.Stop()
 	for len(query.missing(revision)) > 0 {
 		select {
--- a/internal/gossip/stop_test.go
+++ b/internal/gossip/stop_test.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	// joinVariable makes this test binary run one node that joins at the address.
+	// joinVariable makes this test binary run one node that joins via the address.
 	joinVariable = "DRIFTSTAGE_TEST_JOIN"
-	// clusterVariable is the name of its cluster.
+	// clusterVariable is the cluster name of that node.
 	clusterVariable = "DRIFTSTAGE_TEST_CLUSTER"
 )
 
 func TestMain(m *testing.M) {
 	if join := os.Getenv(joinVariable); join != "" {
-		// The node of the child is started as a test, for its helpers.
+		// The child runs its node in a test, to use the test helpers.
 		os.Args = []string{os.Args[0], "-test.run=^TestChildNode$", "-test.timeout=2m"}
 	}
 	os.Exit(m.Run())
 }
 
-// TestChildNode is the main program of the child of TestStoppedProcess. It writes
-// a line whenever its readiness or revision changes, and one after each stop.
+// TestChildNode is the child process of TestStoppedProcess. It prints a line whenever its
+// readiness or revision changes and after each stop.
 func TestChildNode(t *testing.T) {
 	join := os.Getenv(joinVariable)
 	if join == "" {
-		return // it is no child
+		return // not a child process
 	}
 	cluster := newCluster(t, 0)
 	cluster.name = os.Getenv(clusterVariable)
-	cluster.aloneAfter = time.Hour
+	cluster.syncTimeout = time.Hour
 	node := cluster.startAs(100, []string{join})
 	last, sampled := "", time.Now()
 	for {
-		begin := time.Now()
+		now := time.Now()
 		state := fmt.Sprintf("%v %d", node.Ready(), node.store.Revision(service))
 		switch {
-		case begin.Sub(sampled) > time.Second:
+		case now.Sub(sampled) > time.Second:
 			fmt.Println("resumed", state)
-		case state != last && time.Since(begin) < 100*time.Millisecond:
+		case state != last && time.Since(now) < 100*time.Millisecond:
 			fmt.Println("state", state)
 		}
-		last, sampled = state, begin
+		last, sampled = state, now
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A process that is stopped by SIGSTOP while a revision is accepted is never
-// ready by the one before it once it runs again.
+// Guards against serving an outdated revision: a process that is stopped by SIGSTOP while a
+// revision is accepted must not be ready with the previous one after SIGCONT.
 func TestStoppedProcess(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t, 3)
@@ -83,12 +83,12 @@
 		is.NoErr(child.Process.Signal(syscall.SIGCONT))
 		stale := fmt.Sprintf("true %d", revision-1)
 		for _, line := range awaitLine(t, lines, fmt.Sprintf("true %d", revision)) {
-			is.True(!strings.HasSuffix(line, stale)) // ready by the revision before
+			is.True(!strings.HasSuffix(line, stale)) // ready with the previous revision
 		}
 	}
 }
 
-// awaitLine reads until a line ends with the text, and returns all lines read.
+// awaitLine reads until a line ends with the text and returns all lines read.
 func awaitLine(t *testing.T, lines *bufio.Scanner, text string) []string {
 	t.Helper()
 	var read []string
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -10,15 +10,16 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// handle registers what other members may ask.
-func (node *Node) handle(server *wire.Server) {
+// registerHandlers registers the handlers for calls of other members.
+func (node *Node) registerHandlers(server *wire.Server) {
 	wire.Handle(server, node.handleMemberDigest)
 	wire.Handle(server, node.handleMemberEntries)
 	wire.Handle(server, node.handleConfigSync)
 	wire.Handle(server, node.handleApplied)
 }
 
-// syncTable compares tables of members with the node at a wire address.
+// syncTable exchanges missing member entries with the node at a wire address
+// (anti-entropy).
 func (node *Node) syncTable(address string) {
 	node.mutex.Lock()
 	digest := node.core.Digest()
@@ -31,7 +32,7 @@
 	node.mutex.Lock()
 	entries := node.core.Entries(difference.Buckets)
 	node.mutex.Unlock()
-	// The peer repairs itself when this is lost.
+	// If this call fails, a later sync repairs the peer.
 	_ = node.caller.call(node.context, address, &message.MemberEntries{Entries: newMemberEntries(entries)}, &message.Acknowledgement{})
 }
 
@@ -59,33 +60,33 @@
 	return &message.Acknowledgement{}, nil
 }
 
-// SetMachines replaces the wire addresses at which the platform's machine list
-// says that nodes are. It tells as well that the platform can be reached.
+// SetMachines replaces the wire addresses of nodes on the platform's machine list. A call
+// also means that the platform has been reached.
 func (node *Node) SetMachines(addresses []string) {
 	node.mutex.Lock()
 	node.machines = machineList{addresses: addresses, readAt: time.Now()}
 	node.mutex.Unlock()
-	node.ready.platformSeen.Store(true)
+	node.readiness.machineListSeen.Store(true)
 }
 
 const (
-	// machinePeriod is the time between two looks for machines that are not
-	// members: short while the node is alone.
-	machinePeriod      = 5 * time.Second
-	machinePeriodAlone = 500 * time.Millisecond
-	// machinesPerRound bounds the machines that are called at a time.
+	// machineInterval is the time between two checks for machines that are not members,
+	// machineIntervalAlone that of a node without other members.
+	machineInterval      = 5 * time.Second
+	machineIntervalAlone = 500 * time.Millisecond
+	// machinesPerRound bounds the machines that are called in one check.
 	machinesPerRound = 2
 )
 
-// keepMachines calls machines of the list that are not known as members.
-func (node *Node) keepMachines() {
+// machineLoop syncs with listed machines that are not members.
+func (node *Node) machineLoop() {
 	for {
-		for _, address := range node.strangers() {
+		for _, address := range node.unknownMachines() {
 			node.background(func() { node.syncTable(address) })
 		}
-		period := machinePeriod
+		period := machineInterval
 		if len(node.Members()) < 2 {
-			period = machinePeriodAlone
+			period = machineIntervalAlone
 		}
 		select {
 		case <-node.context.Done():
@@ -95,7 +96,9 @@
 	}
 }
 
-func (node *Node) strangers() []string {
+// unknownMachines returns the addresses of a few random listed machines that are not
+// members.
+func (node *Node) unknownMachines() []string {
 	node.mutex.Lock()
 	machines := node.machines.addresses
 	node.mutex.Unlock()
@@ -103,12 +106,12 @@
 	for _, member := range node.Members() {
 		known[member.Address] = true
 	}
-	var strangers []string
+	var unknown []string
 	for _, address := range machines {
 		if !known[address] {
-			strangers = append(strangers, address)
+			unknown = append(unknown, address)
 		}
 	}
-	rand.Shuffle(len(strangers), func(i, j int) { strangers[i], strangers[j] = strangers[j], strangers[i] })
-	return strangers[:min(len(strangers), machinesPerRound)]
+	rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
+	return unknown[:min(len(unknown), machinesPerRound)]
 }
