--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,8 +1,8 @@
-// Package trace records the decisions that touch a request and writes them as
-// JSON lines once the request has ended: all of them for a request that failed,
-// was refused, late, partial or sent more than once, and a sample of the others.
-// No caller waits for the lines: they are encoded after the answer, as far as it
-// goes while no other request is under way.
+// Package trace records the decisions made for a request and logs them as JSON
+// lines once the request has ended. Requests that failed, were rejected, late,
+// partial or sent more than once are always logged; of the others, a sample is.
+// Lines are encoded after the response was sent and, where possible, while no
+// other request is in flight, so that no caller waits for them.
 //
 // docs/OPERATIONS.md lists the events and their fields.
 package trace
@@ -18,74 +18,73 @@
 	"golang.org/x/time/rate"
 )
 
-// Event is the name of a decision; it is the msg of its log line.
+// Event names a decision; it is the msg of the log line.
 type Event string
 
-// Events of a request, in the order in which they can occur.
+// The events of a request, in the order in which they can occur.
 const (
 	EventAccepted Event = "request accepted"
 	EventHeld     Event = "request held"
 	EventSent     Event = "attempt sent"
 	EventDeferred Event = "attempt deferred"
 	EventEnded    Event = "attempt ended"
-	// EventAnswered sums up the attempts of a gathered request that went well.
+	// EventAnswered summarizes the successful attempts of a scatter-gather request.
 	EventAnswered Event = "attempts answered"
 	EventCanceled Event = "attempt canceled"
 	EventFinished Event = "request finished"
 )
 
-// Fields of the events.
+// Log fields common to all events.
 const (
 	FieldRequest = "request"
 	FieldAt      = "at_ms"
 )
 
-// Options bound what is logged of requests.
+// Options limit how many requests are logged.
 type Options struct {
-	// LinesPerSecond bounds the lines; whole requests beyond it are left out.
+	// LinesPerSecond limits the log lines; requests beyond it are dropped whole.
 	LinesPerSecond int
-	// SampleEvery is the number of ordinary requests of which one is logged; 0
-	// logs none.
+	// SampleEvery logs one in this many ordinary requests; 0 logs none.
 	SampleEvery int
 }
 
 const (
-	// burstSeconds is how many seconds' worth of lines may come at once.
+	// burstSeconds is the burst of the rate limit, in seconds' worth of lines.
 	burstSeconds = 3
-	// writePause lets the answer of a request go out before its lines are encoded.
-	writePause = 50 * time.Millisecond
-	// longestWait bounds how long lines wait for a moment without requests.
-	longestWait = time.Second
-	// mostWaiting bounds the steps that wait to be written: about 2 MB.
-	mostWaiting = 8192
+	// writeDelay lets the response be sent before the lines are encoded.
+	writeDelay = 50 * time.Millisecond
+	// maxWriteDelay limits how long lines wait until no request is in flight.
+	maxWriteDelay = time.Second
+	// maxPendingSteps limits the steps queued for writing, about 2 MB.
+	maxPendingSteps = 8192
 )
 
 // Recorder writes the traces of one node. It is safe for concurrent use.
 type Recorder struct {
 	handler slog.Handler
 	limiter *rate.Limiter
-	// active are the requests that have not ended.
-	active atomic.Int64
-	// ended has an element when there may be traces to write.
-	ended chan struct{}
+	// inFlight counts the requests that have not ended.
+	inFlight atomic.Int64
+	// wake signals Run that traces are pending.
+	wake chan struct{}
 
-	mutex    sync.Mutex
-	options  Options
-	ordinary int
-	// waiting are the traces to be written, of so many steps together.
-	waiting []*Trace
-	steps   int
-	// left counts requests that were left out.
-	left int
+	mutex         sync.Mutex
+	options       Options
+	ordinaryCount int
+	// pending are the traces to write, with pendingSteps steps in total.
+	pending      []*Trace
+	pendingSteps int
+	// dropped counts the requests that were not logged because of a limit.
+	dropped int
 }
 
-// NewRecorder returns a recorder that writes to the handler while Run runs, and at Flush.
+// NewRecorder returns a recorder that writes to the handler from Run and Flush.
 func NewRecorder(handler slog.Handler, options Options) *Recorder {
 	return &Recorder{
 		handler: handler,
 		options: options,
 		limiter: rate.NewLimiter(rate.Limit(options.LinesPerSecond), burstSeconds*options.LinesPerSecond),
-		ended:   make(chan struct{}, 1),
+		wake:    make(chan struct{}, 1),
 	}
 }
 
@@ -95,13 +94,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.ended:
+		case <-r.wake:
 		}
 		for r.oldest() != nil {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(writePause):
+			case <-time.After(writeDelay):
 			}
 			r.writeDue()
 		}
@@ -110,64 +109,65 @@
 
 // Flush writes all traces of requests that have ended.
 func (r *Recorder) Flush() {
-	for written := r.take(); written != nil; written = r.take() {
+	for written := r.pop(); written != nil; written = r.pop() {
 		written.write()
 	}
 }
 
-// writeDue writes traces as long as no request is under way, and those that have waited for
-// long at any rate.
+// writeDue writes traces while no request is in flight, and those older than maxWriteDelay
+// in any case.
 func (r *Recorder) writeDue() {
 	for next := r.oldest(); next != nil; next = r.oldest() {
-		if r.active.Load() > 0 && time.Since(next.ended) < longestWait {
+		if r.inFlight.Load() > 0 && time.Since(next.end) < maxWriteDelay {
 			return
 		}
-		if written := r.take(); written != nil {
+		if written := r.pop(); written != nil {
 			written.write()
 		}
 	}
 }
 
+// oldest returns the oldest pending trace, or nil.
 func (r *Recorder) oldest() *Trace {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.waiting) == 0 {
+	if len(r.pending) == 0 {
 		return nil
 	}
-	return r.waiting[0]
+	return r.pending[0]
 }
 
-// take removes the oldest trace from those that wait.
-func (r *Recorder) take() *Trace {
+// pop removes and returns the oldest pending trace, or nil.
+func (r *Recorder) pop() *Trace {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if len(r.waiting) == 0 {
+	if len(r.pending) == 0 {
 		return nil
 	}
-	oldest := r.waiting[0]
-	r.waiting[0] = nil
-	r.waiting = r.waiting[1:]
-	r.steps -= oldest.size()
+	oldest := r.pending[0]
+	r.pending[0] = nil
+	r.pending = r.pending[1:]
+	r.pendingSteps -= oldest.size()
 	return oldest
 }
 
-// put lets the trace wait to be written.
-func (r *Recorder) put(ended *Trace) {
+// enqueue adds the trace to the pending ones, or drops it if too many steps are pending.
+func (r *Recorder) enqueue(ended *Trace) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.steps+ended.size() > mostWaiting {
-		r.left++
+	if r.pendingSteps+ended.size() > maxPendingSteps {
+		r.dropped++
 		return
 	}
-	r.waiting = append(r.waiting, ended)
-	r.steps += ended.size()
+	r.pending = append(r.pending, ended)
+	r.pendingSteps += ended.size()
 	select {
-	case r.ended <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SetOptions replaces the bounds.
+// SetOptions replaces the options.
 func (r *Recorder) SetOptions(options Options) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -183,26 +183,26 @@
 	Attrs []slog.Attr
 }
 
-// Trace is the record of one request. It is not safe for concurrent use; a nil
+// Trace records the decisions of one request. It is not safe for concurrent use; a nil
 // trace records nothing.
 type Trace struct {
 	recorder *Recorder
 	id       string
-	begun    time.Time
-	ended    time.Time
+	start    time.Time
+	end      time.Time
 	steps    []Step
-	// more makes further steps, about moreCount of them.
-	more      func() []Step
-	moreCount int
+	// lazySteps returns further steps, about lazyCount of them; nil for none.
+	lazySteps func() []Step
+	lazyCount int
 }
 
-// Begin starts the trace of a request, which has to be ended.
+// Begin starts the trace of a request. End must be called on it.
 func (r *Recorder) Begin(id string, now time.Time) *Trace {
 	if r == nil {
 		return nil
 	}
-	r.active.Add(1)
-	return &Trace{recorder: r, id: id, begun: now}
+	r.inFlight.Add(1)
+	return &Trace{recorder: r, id: id, start: now}
 }
 
 // Add records a decision.
@@ -213,36 +213,35 @@
 	t.steps = append(t.steps, Step{Event: event, Time: now, Attrs: attrs})
 }
 
-// AddLater records decisions, about count of them, that are made into steps only if and when
-// the trace is written.
+// AddLater records about count decisions whose steps are built only when the trace is written.
 func (t *Trace) AddLater(count int, steps func() []Step) {
 	if t != nil {
-		t.more, t.moreCount = steps, count
+		t.lazySteps, t.lazyCount = steps, count
 	}
 }
 
-// End lets the trace be written if the request is noteworthy or falls into the sample.
+// End queues the trace for writing if the request is noteworthy or sampled.
 func (t *Trace) End(noteworthy bool) {
 	if t == nil {
 		return
 	}
-	t.recorder.active.Add(-1)
-	if noteworthy || t.recorder.sampled() {
-		t.ended = time.Now()
-		t.recorder.put(t)
+	t.recorder.inFlight.Add(-1)
+	if noteworthy || t.recorder.sample() {
+		t.end = time.Now()
+		t.recorder.enqueue(t)
 	}
 }
 
-// size is about how many steps the trace has.
-func (t *Trace) size() int { return len(t.steps) + t.moreCount }
+// size returns the approximate number of steps.
+func (t *Trace) size() int { return len(t.steps) + t.lazyCount }
 
-// write writes the steps in the order of their times, unless there are too many lines.
+// write logs the steps sorted by time, unless the rate limit is exceeded.
 func (t *Trace) write() {
-	if t.more != nil {
-		t.steps = append(t.steps, t.more()...)
+	if t.lazySteps != nil {
+		t.steps = append(t.steps, t.lazySteps()...)
 		slices.SortStableFunc(t.steps, func(a, b Step) int { return a.Time.Compare(b.Time) })
 	}
-	if !t.recorder.allows(len(t.steps)) {
+	if !t.recorder.allow(len(t.steps)) {
 		return
 	}
 	for _, step := range t.steps {
@@ -253,41 +252,43 @@
 func (t *Trace) writeStep(step Step) {
 	record := slog.NewRecord(step.Time, slog.LevelInfo, string(step.Event), 0)
 	record.AddAttrs(slog.String(FieldRequest, t.id))
-	record.AddAttrs(slog.Float64(FieldAt, Milliseconds(step.Time.Sub(t.begun))))
+	record.AddAttrs(slog.Float64(FieldAt, Milliseconds(step.Time.Sub(t.start))))
 	record.AddAttrs(step.Attrs...)
-	// The handler writes to a buffer that never fails.
+	// Handle cannot fail: the handler writes to an in-memory buffer.
 	_ = t.recorder.handler.Handle(context.Background(), record)
 }
 
-// allows decides whether so many lines are written.
-func (r *Recorder) allows(lines int) bool {
+// allow reports whether the rate limit admits this many lines.
+func (r *Recorder) allow(lines int) bool {
 	if r.limiter.AllowN(time.Now(), lines) {
 		return true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.left++
+	r.dropped++
 	return false
 }
 
-func (r *Recorder) sampled() bool {
+// sample reports whether an ordinary request is part of the sample.
+func (r *Recorder) sample() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.options.SampleEvery == 0 {
 		return false
 	}
-	r.ordinary++
-	return r.ordinary%r.options.SampleEvery == 0
+	r.ordinaryCount++
+	return r.ordinaryCount%r.options.SampleEvery == 0
 }
 
-// LeftOut returns how many noteworthy or sampled requests were left out by the bounds.
+// LeftOut returns how many noteworthy or sampled requests were dropped because of a limit.
 func (r *Recorder) LeftOut() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.left
+	return r.dropped
 }
 
-// Milliseconds is the unit of times in logs, with microseconds as decimals.
+// Milliseconds converts a duration to the unit used in logs: milliseconds with microsecond
+// precision.
 func Milliseconds(duration time.Duration) float64 {
 	return float64(duration.Microseconds()) / 1000
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-func lines(t *testing.T, output *bytes.Buffer) []map[string]any {
+func decodeLines(t *testing.T, output *bytes.Buffer) []map[string]any {
 	t.Helper()
 	var decoded []map[string]any
 	for line := range bytes.Lines(output.Bytes()) {
@@ -24,7 +24,7 @@
 	return decoded
 }
 
-func TestNoteworthyRequestsAreWrittenWhole(t *testing.T) {
+func TestNoteworthyRequestsAreWritten(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	recorder := NewRecorder(slog.NewJSONHandler(&output, nil), Options{LinesPerSecond: 100})
@@ -35,8 +35,8 @@
 	written.End(true)
 	recorder.Begin("id-2", begun).End(false)
 	recorder.Flush()
-	got := lines(t, &output)
-	is.Equal(len(got), 2) // the ordinary request is left out
+	got := decodeLines(t, &output)
+	is.Equal(len(got), 2) // the ordinary request is not logged
 	is.Equal(got[0]["msg"], string(EventAccepted))
 	is.Equal(got[0][FieldRequest], "id-1")
 	is.Equal(got[1][FieldAt], 1.5)
@@ -52,10 +52,10 @@
 		ordinary.End(false)
 	}
 	recorder.Flush()
-	is.Equal(len(lines(t, &output)), 10)
+	is.Equal(len(decodeLines(t, &output)), 10)
 }
 
-func TestLinesAreBounded(t *testing.T) {
+func TestLinesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output bytes.Buffer
@@ -70,24 +70,24 @@
 		for range 1000 {
 			write()
 		}
-		is.Equal(len(lines(t, &output)), 10*burstSeconds)
+		is.Equal(len(decodeLines(t, &output)), 10*burstSeconds)
 		is.Equal(recorder.LeftOut(), 1000-10*burstSeconds/2)
 		time.Sleep(time.Second)
 		for range 100 {
 			write()
 		}
-		is.Equal(len(lines(t, &output)), 10*burstSeconds+10)
+		is.Equal(len(decodeLines(t, &output)), 10*burstSeconds+10)
 	})
 }
 
-func TestNoRecorderRecordsNothing(t *testing.T) {
+func TestNilRecorder(t *testing.T) {
 	var recorder *Recorder
 	none := recorder.Begin("id", time.Now())
 	none.Add(EventAccepted, time.Now())
 	none.End(true)
 }
 
-// lockedBuffer is a buffer to which one goroutine writes while another one reads.
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -105,9 +105,9 @@
 	return bytes.NewBuffer(bytes.Clone(b.buffer.Bytes()))
 }
 
-// The caller of a request does not wait for its lines, nor do the callers of others that are
-// under way; lines wait for a bounded time.
-func TestLinesAreWrittenAfterTheAnswers(t *testing.T) {
+// Lines are written only after the response was sent and while no other request is in flight,
+// but no later than maxWriteDelay.
+func TestLinesAreWrittenAfterRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output lockedBuffer
@@ -121,42 +121,42 @@
 		}
 		end()
 		synctest.Wait()
-		is.Equal(output.copy().Len(), 0) // the answer goes first
-		time.Sleep(2 * writePause)
+		is.Equal(output.copy().Len(), 0) // the response is sent first
+		time.Sleep(2 * writeDelay)
 		synctest.Wait()
-		is.Equal(len(lines(t, output.copy())), 1)
+		is.Equal(len(decodeLines(t, output.copy())), 1)
 		longer := recorder.Begin("id-2", time.Now())
 		end()
-		time.Sleep(longestWait / 2)
+		time.Sleep(maxWriteDelay / 2)
 		synctest.Wait()
-		is.Equal(len(lines(t, output.copy())), 1) // another request is under way
-		time.Sleep(longestWait)
+		is.Equal(len(decodeLines(t, output.copy())), 1) // another request is in flight
+		time.Sleep(maxWriteDelay)
 		synctest.Wait()
-		is.Equal(len(lines(t, output.copy())), 2)
+		is.Equal(len(decodeLines(t, output.copy())), 2)
 		longer.End(false)
 		end()
 		stop()
 		synctest.Wait()
 		recorder.Flush()
-		is.Equal(len(lines(t, output.copy())), 3) // none is lost at the end
+		is.Equal(len(decodeLines(t, output.copy())), 3) // Flush writes what Run left pending
 	})
 }
 
-func TestWaitingLinesAreBounded(t *testing.T) {
+func TestPendingStepsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	recorder := NewRecorder(slog.NewJSONHandler(&output, nil), Options{LinesPerSecond: 100_000})
-	for range 2 * mostWaiting {
+	for range 2 * maxPendingSteps {
 		bad := recorder.Begin("id", time.Now())
 		bad.AddLater(1, func() []Step { return []Step{{Event: EventEnded, Time: time.Now()}} })
 		bad.End(true)
 	}
-	is.Equal(recorder.LeftOut(), mostWaiting)
+	is.Equal(recorder.LeftOut(), maxPendingSteps)
 	recorder.Flush()
-	is.Equal(len(lines(t, &output)), mostWaiting)
+	is.Equal(len(decodeLines(t, &output)), maxPendingSteps)
 }
 
-func TestLaterStepsStandInTheOrderOfTime(t *testing.T) {
+func TestLazyStepsAreSortedByTime(t *testing.T) {
 	is := is.New(t)
 	var output bytes.Buffer
 	recorder := NewRecorder(slog.NewJSONHandler(&output, nil), Options{LinesPerSecond: 100})
@@ -167,7 +167,7 @@
 	written.AddLater(1, func() []Step { return []Step{{Event: EventSent, Time: begun.Add(time.Millisecond)}} })
 	written.End(true)
 	recorder.Flush()
-	got := lines(t, &output)
+	got := decodeLines(t, &output)
 	is.Equal(got[1]["msg"], string(EventSent))
 	is.Equal(got[2]["msg"], string(EventFinished))
 }
