--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain reads the log lines of one or more nodes and tells the story of
-// one request: what was decided, in order, and the first decision that departs
-// from an ordinary request.
+// Package explain reads the log lines of one or more nodes and prints the timeline
+// of one request: its decisions in order, with the first one marked that an ordinary
+// request does not have.
 package explain
 
 import (
@@ -16,17 +16,17 @@
 	"github.com/driftstage/driftstage/internal/trace"
 )
 
-// maximumLineBytes bounds a line; longer ones end the reading with an error.
-const maximumLineBytes = 1 << 20
+// maxLineBytes is the longest line accepted; a longer one is an error.
+const maxLineBytes = 1 << 20
 
 // Line is one log line of a request.
 type Line struct {
 	Time  time.Time
 	Node  string
 	Event trace.Event
-	// At is the time since the request arrived at the node, in milliseconds.
+	// At is the time since the node received the request, in milliseconds.
 	At float64
-	// Fields are all other fields in the order of the line.
+	// Fields are the remaining fields, in the order of the line.
 	Fields []Field
 }
 
@@ -36,21 +36,21 @@
 	Value string
 }
 
-// fixed are the fields that a Line has as members.
-var fixed = []string{"time", "level", "msg", "node", trace.FieldRequest, trace.FieldAt}
+// headerFields are the fields that are not part of Line.Fields.
+var headerFields = []string{"time", "level", "msg", "node", trace.FieldRequest, trace.FieldAt}
 
-// Story is what the logs tell of one request.
+// Story is the timeline of one request, sorted by time.
 type Story struct {
 	Request string
 	Lines   []Line
 }
 
-// Read collects the lines of the request. Each line may have words before its
-// JSON object, as some collectors of logs add; other lines are passed over.
+// Read collects the lines of the request. Text before the JSON object of a line is
+// ignored, since some log collectors add a prefix; other lines are skipped.
 func Read(source io.Reader, request string) (Story, error) {
 	story := Story{Request: request}
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(nil, maximumLineBytes)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if line, found := parse(scanner.Bytes(), request); found {
 			story.Lines = append(story.Lines, line)
@@ -60,7 +60,7 @@
 	return story, scanner.Err()
 }
 
-// header are the members that every line of a request has.
+// header holds the fields that every line of a request has.
 type header struct {
 	Time    time.Time   `json:"time"`
 	Node    string      `json:"node"`
@@ -83,7 +83,7 @@
 	return line, true
 }
 
-// otherFields returns the fields that are not fixed, in their order.
+// otherFields returns the fields that are not in headerFields, in their order.
 func otherFields(object []byte) []Field {
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	var fields []Field
@@ -97,14 +97,14 @@
 		if decoder.Decode(&value) != nil {
 			return fields
 		}
-		if name, isName := token.(string); isName && !slices.Contains(fixed, name) {
+		if name, isName := token.(string); isName && !slices.Contains(headerFields, name) {
 			fields = append(fields, Field{Name: name, Value: string(value)})
 		}
 	}
 	return fields
 }
 
-// value returns a field's value without quotes; empty if the line lacks it.
+// value returns a field's value without quotes, or "" if the line lacks it.
 func (l *Line) value(name string) string {
 	for _, field := range l.Fields {
 		if field.Name == name {
@@ -114,9 +114,8 @@
 	return ""
 }
 
-// departs reports whether the line tells of something that an ordinary request
-// does not have.
-func (l *Line) departs() bool {
+// anomalous reports whether an ordinary request does not have such a line.
+func (l *Line) anomalous() bool {
 	switch l.Event {
 	case trace.EventDeferred, trace.EventHeld:
 		return true
@@ -131,18 +130,18 @@
 	return false
 }
 
-// marker precedes the first line that departs from an ordinary request.
-const marker = ">"
+// anomalyMarker precedes the first anomalous line.
+const anomalyMarker = ">"
 
-// Write prints the story: a line for each decision, with the first one that
-// departs from an ordinary request marked. It reports whether there was any line.
+// Write prints one line for each decision and marks the first anomalous one. It
+// reports whether there was any line.
 func (s Story) Write(target io.Writer) (bool, error) {
 	marked := false
 	for index := range s.Lines {
 		line := &s.Lines[index]
 		sign := " "
-		if !marked && line.departs() {
-			sign, marked = marker, true
+		if !marked && line.anomalous() {
+			sign, marked = anomalyMarker, true
 		}
 		if _, err := fmt.Fprintf(target, "%s %10.3f ms  %-20s %-18s %s\n", sign, line.At, line.Node, line.Event, line.text()); err != nil {
 			return true, err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -16,7 +16,7 @@
 {"time":"2026-01-01T00:00:01.020Z","level":"INFO","msg":"request finished","node":"node-1","request":"id-1","at_ms":20,"status":"refused","cause":"no_servers","missing":1}
 `
 
-func TestStoryIsOrderedOverNodes(t *testing.T) {
+func TestLinesOfAllNodesAreSortedByTime(t *testing.T) {
 	is := is.New(t)
 	story, err := Read(strings.NewReader(logs), "id-1")
 	is.NoErr(err)
@@ -27,8 +27,8 @@
 	is.True(found)
 	lines := strings.Split(strings.TrimRight(output.String(), "\n"), "\n")
 	is.True(strings.Contains(lines[0], "route=r version=7"))
-	is.True(strings.HasPrefix(lines[1], marker)) // the refusal is the first departure
-	is.True(!strings.HasPrefix(lines[2], marker))
+	is.True(strings.HasPrefix(lines[1], anomalyMarker)) // the rejected attempt is the first anomaly
+	is.True(!strings.HasPrefix(lines[2], anomalyMarker))
 	is.True(strings.Contains(lines[3], "node-2"))
 }
 
