--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -25,14 +25,14 @@
 	return registry
 }
 
-// AdminOptions are the sources of the admin server's answers.
+// AdminOptions configure what the admin server reports.
 type AdminOptions struct {
 	Registry *prometheus.Registry
-	// Ready returns why the node takes no requests; empty when it does.
+	// Ready returns why the node is not ready, or "" if it is.
 	Ready func() string
-	// State returns the value that /debug/state shows as JSON.
+	// State returns the value that /debug/state encodes as JSON.
 	State func() any
-	// Commands are what an operator may ask for by POST, by path; each gets the query.
+	// Commands handle POST requests of operators by path; each receives the query arguments.
 	Commands map[string]func(query *fasthttp.Args) error
 }
 
@@ -43,9 +43,9 @@
 
 const (
 	adminTimeout = 30 * time.Second
-	// adminBodyBytes bounds request bodies; no endpoint reads one.
-	adminBodyBytes   = 4 << 10
-	adminConnections = 64
+	// maxAdminBodyBytes limits request bodies; no endpoint reads one.
+	maxAdminBodyBytes   = 4 << 10
+	maxAdminConnections = 64
 )
 
 // NewAdmin returns an admin server that does not listen yet.
@@ -64,8 +64,8 @@
 		Handler:            routes.Handler,
 		ReadTimeout:        adminTimeout,
 		IdleTimeout:        adminTimeout,
-		MaxRequestBodySize: adminBodyBytes,
-		Concurrency:        adminConnections,
+		MaxRequestBodySize: maxAdminBodyBytes,
+		Concurrency:        maxAdminConnections,
 		CloseOnShutdown:    true,
 		Logger:             SilentHTTPLogger{},
 	}}
@@ -102,13 +102,13 @@
 	return admin.server.Serve(listener)
 }
 
-// Close ends the server.
+// Close shuts the server down.
 func (admin *Admin) Close() error {
 	return admin.server.Shutdown()
 }
 
-// SilentHTTPLogger drops what fasthttp logs of single connections: a broken
-// client could fill the logs. Metrics count what matters.
+// SilentHTTPLogger discards what fasthttp logs about single connections, since a
+// broken client could fill the logs; metrics count such failures.
 type SilentHTTPLogger struct{}
 
 // Printf implements fasthttp.Logger.
--- a/internal/telemetry/asyncwriter.go
+++ b/internal/telemetry/asyncwriter.go
@@ -7,12 +7,13 @@
 	"sync/atomic"
 )
 
-// maximumWriteBytes bounds one write to the target. Writes of this size to a pipe
-// are not split by the kernel, so lines of several processes stay whole.
-const maximumWriteBytes = 4096
+// maxWriteBytes limits one write to the target. The kernel writes up to this many
+// bytes to a pipe atomically, so lines of several processes are not interleaved.
+const maxWriteBytes = 4096
 
-// AsyncWriter hands lines to a slow writer without ever blocking: lines that do
-// not fit into its buffer are dropped and counted. It is safe for concurrent use.
+// AsyncWriter writes lines to a possibly slow target without blocking its callers:
+// lines that do not fit into the buffer are dropped and counted. It is safe for
+// concurrent use.
 type AsyncWriter struct {
 	target  io.Writer
 	limit   int
@@ -21,7 +22,7 @@
 	mutex   sync.Mutex
 	changed sync.Cond
 	pending []byte
-	// spare is the buffer that is being written, or was.
+	// spare is the second buffer: it is being written, or empty for reuse.
 	spare  []byte
 	closed bool
 	done   chan struct{}
@@ -35,7 +36,7 @@
 	return writer
 }
 
-// Write takes over a whole line, or drops it. It never fails.
+// Write buffers a whole line or drops it. It never fails.
 func (writer *AsyncWriter) Write(line []byte) (int, error) {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
@@ -48,10 +49,10 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines did not fit.
+// Dropped returns the number of lines dropped.
 func (writer *AsyncWriter) Dropped() uint64 { return writer.dropped.Load() }
 
-// Close writes what is pending and ends the writer. It blocks as long as the
+// Close writes the pending lines and stops the writer. It blocks as long as the
 // target does.
 func (writer *AsyncWriter) Close() {
 	writer.mutex.Lock()
@@ -72,23 +73,23 @@
 	}
 }
 
-// writeLines writes whole lines, as many at a time as fit into one write.
+// writeLines writes whole lines, as many per write as maxWriteBytes allows.
 func (writer *AsyncWriter) writeLines(lines []byte) {
 	for len(lines) > 0 {
 		size := len(lines)
-		if size > maximumWriteBytes {
-			size = bytes.LastIndexByte(lines[:maximumWriteBytes], '\n') + 1
+		if size > maxWriteBytes {
+			size = bytes.LastIndexByte(lines[:maxWriteBytes], '\n') + 1
 		}
 		if size == 0 {
 			size = bytes.IndexByte(lines, '\n') + 1
 		}
-		// A target that fails loses the lines; there is nowhere to tell it.
+		// If the target fails, the lines are lost: the log has no place to report it.
 		_, _ = writer.target.Write(lines[:size])
 		lines = lines[size:]
 	}
 }
 
-// next waits for pending lines and takes them; nil after Close.
+// next waits for pending lines and returns them; nil after Close.
 func (writer *AsyncWriter) next() []byte {
 	writer.mutex.Lock()
 	defer writer.mutex.Unlock()
--- a/internal/telemetry/asyncwriter_test.go
+++ b/internal/telemetry/asyncwriter_test.go
@@ -22,7 +22,7 @@
 	return writer.Buffer.Write(data)
 }
 
-func TestStalledReaderNeverBlocksWriters(t *testing.T) {
+func TestStalledTargetDoesNotBlockWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		target := &stalledWriter{release: make(chan struct{})}
@@ -45,12 +45,12 @@
 	})
 }
 
-func TestLinesStayWholeInEachWrite(t *testing.T) {
+func TestLinesAreNotSplit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		target := &stalledWriter{release: make(chan struct{})}
 		writer := NewAsyncWriter(target, 1<<20)
-		long := strings.Repeat("l", 3*maximumWriteBytes) + "\n"
+		long := strings.Repeat("l", 3*maxWriteBytes) + "\n"
 		var want strings.Builder
 		for index := range 200 {
 			line := strings.Repeat("s", index) + "\n"
@@ -63,6 +63,6 @@
 		close(target.release)
 		writer.Close()
 		is.Equal(target.String(), want.String())
-		is.Equal(target.largest, len(long)) // only a line that is longer itself
+		is.Equal(target.largest, len(long)) // only a longer single line exceeds the limit
 	})
 }
--- a/internal/telemetry/logs.go
+++ b/internal/telemetry/logs.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up logs as JSON lines, metrics and the admin server.
+// Package telemetry provides JSON logging, metrics and the admin server.
 package telemetry
 
 import (
@@ -9,8 +9,8 @@
 	"k8s.io/klog/v2"
 )
 
-// SetupLogs points klog at slog's JSON handler: one JSON object a line. Each
-// line carries the node's name. Verbosity is klog's, 0 to 4.
+// SetupLogs makes klog write through slog's JSON handler, one JSON object per line,
+// each with the node's name. Verbosity is klog's, 0 to 4.
 // It returns the handler for lines that do not go through klog.
 func SetupLogs(output io.Writer, node string, verbosity int) slog.Handler {
 	// klog's verbosity V(n) becomes slog level -n.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -24,7 +24,7 @@
 	klog.ErrorS(errors.New("cut"), "failed")
 	klog.Flush()
 	lines := strings.Split(strings.TrimSpace(output.String()), "\n")
-	is.Equal(len(lines), 2) // the detail is left out
+	is.Equal(len(lines), 2) // V(1) is not logged at verbosity 0
 	for index, want := range []string{"started", "failed"} {
 		var line struct{ Msg, Node, Level string }
 		is.NoErr(json.Unmarshal([]byte(lines[index]), &line))
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestAdminAnswers(t *testing.T) {
+func TestAdminEndpoints(t *testing.T) {
 	is := is.New(t)
 	reason := "configuration not yet learned"
 	admin := NewAdmin(AdminOptions{
