--- a/internal/settings/loader.go
+++ b/internal/settings/loader.go
@@ -10,40 +10,40 @@
 	"github.com/peterbourgon/ff/v4/ffyaml"
 )
 
-// Mode tells what the command line asks for.
+// Mode is the action that the command line selects.
 type Mode uint8
 
 const (
 	// ModeRun starts the daemon.
 	ModeRun Mode = iota
-	// ModeHelp prints the help.
+	// ModeHelp prints the usage text.
 	ModeHelp
 	// ModeVersion prints the version.
 	ModeVersion
-	// ModeCheck checks the settings and starts nothing.
+	// ModeCheck validates the settings and exits.
 	ModeCheck
 )
 
-// Request is what the command line asks for.
+// Request is the parsed command line.
 type Request[S any] struct {
 	Mode     Mode
 	Settings S
 	// Path is the settings file; empty for none.
 	Path string
-	// Help is the text of the help, for ModeHelp.
+	// Help is the usage text, for ModeHelp.
 	Help string
 }
 
-// program is what the loader knows of one daemon.
+// program describes the settings of one daemon.
 type program[S any] struct {
 	name  string
 	table []entry[S]
-	// finish fills in what depends on other settings and checks them together.
+	// finish sets defaults that depend on other settings and validates combinations.
 	finish func(settings *S) []error
 }
 
 // load reads the command line, the environment and the file that --config
-// names. The error joins one error for each wrong value.
+// names. The error joins one error for each invalid value.
 func (program program[S]) load(args []string) (Request[S], error) {
 	flags := ff.NewFlagSet(program.name)
 	path := flags.StringLong("config", "", "settings file (YAML, one key a line)")
@@ -51,7 +51,7 @@
 	check := flags.BoolLong("check-config", "check the settings and exit")
 	values := make([]*string, len(program.table))
 	for index, entry := range program.table {
-		values[index] = flags.StringLong(entry.key, entry.preset, entry.help)
+		values[index] = flags.StringLong(entry.key, entry.defaultValue, entry.help)
 	}
 	err := ff.Parse(flags, args,
 		ff.WithEnvVarPrefix(EnvironmentPrefix),
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -10,8 +10,8 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// Router are the checked settings of driftrouter, the query tier on a platform
-// that keeps configuration and lists servers.
+// Router holds the validated settings of driftrouter, the query tier for a platform
+// whose store holds the configuration and the server list.
 type Router struct {
 	// Name is the node's identity, for logs.
 	Name   string
@@ -19,48 +19,47 @@
 	Region string
 	// Regions is the region of each zone.
 	Regions map[string]string
-	// ListenAddress is where callers are served (IP:port).
+	// ListenAddress serves callers (IP:port).
 	ListenAddress string
-	// ReadinessAddress is where readiness is asked for (IP:port).
+	// ReadinessAddress serves the readiness check (IP:port).
 	ReadinessAddress string
-	// PeerAddress is where other nodes ask for what this one knows (IP:port); empty for none.
+	// PeerAddress serves this node's state to other nodes (IP:port); empty to disable it.
 	PeerAddress string
-	// MetricsAddress serves metrics (IP:port); empty for none.
+	// MetricsAddress serves metrics (IP:port); empty to disable it.
 	MetricsAddress string
 	// StoreAddress is the platform's store (IP:port).
 	StoreAddress string
-	// Evacuations is set where the platform asks for zones to be emptied: then the store
-	// is read for that, too.
+	// Evacuations is set if the platform requests zone evacuations; the store is watched
+	// for them only then.
 	Evacuations bool
-	// Rollouts are the bounds of roll-outs; without a time to roll back there are none, and
-	// the store is not read for them.
+	// Rollouts are the limits of rollouts. With no rollback time, rollouts are disabled and
+	// the store is not watched for them.
 	Rollouts rollout.Bounds
-	// QuarantineTerm is how long a request that ends servers is refused at first; zero refuses
-	// none, and the store is not read for that.
+	// QuarantineTerm is the first quarantine period of a request that crashes servers. Zero
+	// disables quarantine, and the store is not watched for it.
 	QuarantineTerm time.Duration
-	// MemoryMegabytes is the memory that the process may take; 0 for unbounded.
+	// MemoryMegabytes is the memory limit of the process; 0 for none.
 	MemoryMegabytes int
 	Reloadable
 }
 
-// Reloadable are the settings that take effect while the program runs.
+// Reloadable holds the settings that take effect without a restart.
 type Reloadable struct {
-	// Seeds are peer addresses of some nodes; they may be stale.
+	// Seeds are peer addresses of some nodes; they may be out of date.
 	Seeds []string
-	// RetryRatio is the number of extra sends allowed for each request of a service.
+	// RetryRatio is the retry budget of a service: retries and hedges allowed per request.
 	RetryRatio float64
-	// RetrySlack is the number of extra sends of a service allowed besides, all
-	// nodes together.
+	// RetrySlack is the fixed part of a service's retry budget, shared by all nodes.
 	RetrySlack float64
-	// RetryWindow is the time over which the extra sends are counted.
+	// RetryWindow is the time window of the retry budget.
 	RetryWindow time.Duration
-	// StopTimeout is the time from the signal to stop to the end of the process.
+	// StopTimeout is the time from the stop signal to the exit of the process.
 	StopTimeout time.Duration
 	// LogVerbosity is klog's verbosity: 0 to 4.
 	LogVerbosity int
-	// LogLines bounds the log lines of requests a second.
+	// LogLines limits the log lines about requests per second.
 	LogLines int
-	// LogSample is the number of ordinary requests of which one is logged; 0 for none.
+	// LogSample logs one in this many ordinary requests; 0 logs none.
 	LogSample int
 }
 
@@ -73,73 +72,73 @@
 
 var routerTable = []entry[Router]{
 	{"name", "", "name of this node, for logs (required)", func(s *Router, text string) error {
-		return label(&s.Name, text)
+		return parseLabel(&s.Name, text)
 	}},
 	{"zone", "", "zone of this machine (required)", func(s *Router, text string) error {
-		return label(&s.Zone, text)
+		return parseLabel(&s.Zone, text)
 	}},
 	{"region", "", "region of this machine (required)", func(s *Router, text string) error {
-		return label(&s.Region, text)
+		return parseLabel(&s.Region, text)
 	}},
 	{"zones", "", "all zones and their regions, as ZONE=REGION with commas between", func(s *Router, text string) error {
-		return zones(&s.Regions, text)
+		return parseZones(&s.Regions, text)
 	}},
 	{keyListenAddress, "127.0.0.1:7080", "IP:port for callers (HTTP)", func(s *Router, text string) error {
-		return address(&s.ListenAddress, text)
+		return parseListenAddress(&s.ListenAddress, text)
 	}},
 	{keyReadinessAddress, "127.0.0.1:7083", "IP:port where readiness is asked for (HTTP)", func(s *Router, text string) error {
-		return address(&s.ReadinessAddress, text)
+		return parseListenAddress(&s.ReadinessAddress, text)
 	}},
 	{keyPeerAddress, "", "IP:port for other nodes (empty: none)", func(s *Router, text string) error {
-		return optional(address)(&s.PeerAddress, text)
+		return optional(parseListenAddress)(&s.PeerAddress, text)
 	}},
 	{keyMetricsAddress, "", "IP:port of metrics (empty: none)", func(s *Router, text string) error {
-		return optional(address)(&s.MetricsAddress, text)
+		return optional(parseListenAddress)(&s.MetricsAddress, text)
 	}},
 	{"store-address", "", "IP:port of the platform's store (required)", func(s *Router, text string) error {
-		return peerAddress(&s.StoreAddress, text)
+		return parseRemoteAddress(&s.StoreAddress, text)
 	}},
 	{"seeds", "", "peer addresses (IP:port, comma-separated) of some nodes", func(s *Router, text string) error {
-		return addressList(&s.Seeds, text)
+		return parseAddresses(&s.Seeds, text)
 	}},
 	{"retry-ratio", "0.1", "extra sends allowed for each request of a service, 0 to 1", func(s *Router, text string) error {
-		return number(&s.RetryRatio, text, 0, 1)
+		return parseFloat(&s.RetryRatio, text, 0, 1)
 	}},
 	{"retry-slack", "10", "extra sends of a service allowed besides, all nodes together, 0 to 100000", func(s *Router, text string) error {
-		return number(&s.RetrySlack, text, 0, 100_000)
+		return parseFloat(&s.RetrySlack, text, 0, 100_000)
 	}},
 	{"retry-window", "10s", "time over which extra sends are counted, 1s to 10m", func(s *Router, text string) error {
-		return duration(&s.RetryWindow, text, time.Second, 10*time.Minute)
+		return parseDuration(&s.RetryWindow, text, time.Second, 10*time.Minute)
 	}},
 	{"stop-timeout", "6s", "time from the signal to stop to the end of the process, 1s to 10m", func(s *Router, text string) error {
-		return duration(&s.StopTimeout, text, time.Second, 10*time.Minute)
+		return parseDuration(&s.StopTimeout, text, time.Second, 10*time.Minute)
 	}},
 	{"evacuations", "false", "whether the platform asks for zones to be emptied: true or false", func(s *Router, text string) error {
-		return boolean(&s.Evacuations, text)
+		return parseBool(&s.Evacuations, text)
 	}},
 	{"expose-share", "0", "share of a service's requests that a bad version may get while its roll-out runs, 0 to 1", func(s *Router, text string) error {
-		return number(&s.Rollouts.Share, text, 0, 1)
+		return parseFloat(&s.Rollouts.Share, text, 0, 1)
 	}},
 	{"expose-slack", "0", "requests that it may get besides, all nodes together, 0 to 100000", func(s *Router, text string) error {
-		return number(&s.Rollouts.Slack, text, 0, 100_000)
+		return parseFloat(&s.Rollouts.Slack, text, 0, 100_000)
 	}},
 	{"rollback-time", "0s", "time after its 50th bad answer from which a bad version gets nothing, 0s (no roll-outs) to 10m", func(s *Router, text string) error {
-		return duration(&s.Rollouts.RollBack, text, 0, 10*time.Minute)
+		return parseDuration(&s.Rollouts.RollBack, text, 0, 10*time.Minute)
 	}},
 	{"quarantine-term", "2m", "how long a request that ends servers is refused at first, 0s (none is) to 1h", func(s *Router, text string) error {
-		return duration(&s.QuarantineTerm, text, 0, time.Hour)
+		return parseDuration(&s.QuarantineTerm, text, 0, time.Hour)
 	}},
 	{"memory-megabytes", "0", "memory that the process may take, 0 (unbounded) to 1000000", func(s *Router, text string) error {
-		return integer(&s.MemoryMegabytes, text, 0, 1_000_000)
+		return parseInt(&s.MemoryMegabytes, text, 0, 1_000_000)
 	}},
 	{"log-verbosity", "0", "how much is logged, 0 to 4", func(s *Router, text string) error {
-		return integer(&s.LogVerbosity, text, 0, 4)
+		return parseInt(&s.LogVerbosity, text, 0, 4)
 	}},
 	{"log-lines", "200", "most log lines of requests a second, 1 to 100000", func(s *Router, text string) error {
-		return integer(&s.LogLines, text, 1, 100_000)
+		return parseInt(&s.LogLines, text, 1, 100_000)
 	}},
 	{"log-sample", "100", "ordinary requests of which one is logged, 0 (none) to 1000000", func(s *Router, text string) error {
-		return integer(&s.LogSample, text, 0, 1_000_000)
+		return parseInt(&s.LogSample, text, 0, 1_000_000)
 	}},
 }
 
@@ -161,11 +160,11 @@
 	})
 }
 
-// Changes are what a new settings file means for a running program.
+// Changes tells how a new settings file affects a running program.
 type Changes struct {
-	// Reloaded reports whether a setting changed that takes effect at once.
+	// Reloaded is set if a reloadable setting changed.
 	Reloaded bool
-	// Restart reports whether one changed that takes effect with the next start.
+	// Restart is set if a setting changed that takes effect only after a restart.
 	Restart bool
 }
 
@@ -177,8 +176,8 @@
 	return changes
 }
 
-// zones reads ZONE=REGION pairs.
-func zones(field *map[string]string, text string) error {
+// parseZones parses comma-separated ZONE=REGION pairs.
+func parseZones(field *map[string]string, text string) error {
 	*field = make(map[string]string)
 	if text == "" {
 		return nil
@@ -193,7 +192,7 @@
 	return nil
 }
 
-// optional accepts an empty text and leaves others to the check.
+// optional accepts an empty text and passes others to check.
 func optional(check func(field *string, text string) error) func(field *string, text string) error {
 	return func(field *string, text string) error {
 		if text == "" {
@@ -203,7 +202,7 @@
 	}
 }
 
-func number(field *float64, text string, low, high float64) error {
+func parseFloat(field *float64, text string, low, high float64) error {
 	parsed, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(parsed >= low && parsed <= high) {
 		return fmt.Errorf("want a number from %v to %v", low, high)
--- a/internal/settings/router_test.go
+++ b/internal/settings/router_test.go
@@ -30,7 +30,7 @@
 	is.True(loaded.Evacuations)
 }
 
-func TestBoundsOfRollouts(t *testing.T) {
+func TestRolloutBounds(t *testing.T) {
 	is := is.New(t)
 	request, err := LoadRouter(requiredRouter())
 	is.NoErr(err)
@@ -41,7 +41,7 @@
 	is.True(request.Settings.Rollouts.Enabled())
 }
 
-func TestChangesOfSettings(t *testing.T) {
+func TestChanges(t *testing.T) {
 	load := func(args ...string) Router {
 		request, err := LoadRouter(append(requiredRouter(), args...))
 		is.New(t).NoErr(err)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestRouterSettingsFromAFile(t *testing.T) {
+func TestRouterSettingsFromFile(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	text := "name: n\nzone: z\nregion: r\nstore-address: 127.0.0.1:9000\nretry-slack: \"58\"\nseeds: \"\"\n"
@@ -73,7 +73,7 @@
 	is.Equal(request.Settings.RetrySlack, 58.0)
 }
 
-func TestWrongRouterSettingsAreAllReported(t *testing.T) {
+func TestAllInvalidRouterSettingsAreReported(t *testing.T) {
 	is := is.New(t)
 	_, err := LoadRouter([]string{"--name", "n", "--zone", "", "--region", "r", "--store-address", "127.0.0.1:0",
 		"--zones", "z", "--retry-ratio", "NaN", "--listen-address", "nowhere", "--log-lines", "0",
@@ -82,6 +82,6 @@
 	is.True(err != nil)
 	for _, key := range []string{"zone:", "store-address:", "zones:", "retry-ratio:", "listen-address:", "log-lines:", "metrics-address:", "evacuations:",
 		"expose-share:", "expose-slack:", "rollback-time:"} {
-		is.True(strings.Contains(err.Error(), key)) // every wrong value is named
+		is.True(strings.Contains(err.Error(), key)) // every invalid setting is named
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,10 @@
-// Package settings reads and checks the settings of the daemon from a file, flags
+// Package settings reads and validates the settings of the daemons from a file, flags
 // and environment variables.
 //
-// Every setting is a line of the table in table.go. A flag goes before the
-// environment (DRIFTSTAGE_ and the flag's name in capitals), which goes before
-// the file (YAML, one key a line). All wrong values are reported at once.
+// Every setting is an entry of a table in table.go or router.go. Flags take precedence
+// over the environment (DRIFTSTAGE_ and the flag's name in capitals), which takes
+// precedence over the file (YAML, one key per line). All invalid values are reported
+// together.
 package settings
 
 import (
@@ -13,37 +14,37 @@
 	"time"
 )
 
-// EnvironmentPrefix stands before the names of environment variables.
+// EnvironmentPrefix is the prefix of environment variables.
 const EnvironmentPrefix = "DRIFTSTAGE"
 
-// Settings are the checked settings of one daemon.
+// Settings holds the validated settings of driftstaged.
 type Settings struct {
 	// Name is the node's identity among the live nodes; it defaults to WireAddress.
 	Name string
-	// Cluster is the name of the system to which the node belongs.
+	// Cluster is the name of the cluster to which the node belongs.
 	Cluster string
 	Zone    string
 	Region  string
-	// GatewayAddress is where callers are served over HTTP (IP:port).
+	// GatewayAddress serves callers over HTTP (IP:port).
 	GatewayAddress string
-	// WireAddress is where other nodes are served over TCP (IP:port).
+	// WireAddress serves other nodes over TCP (IP:port).
 	WireAddress string
 	// GossipAddress is the UDP address of the membership protocol (IP:port).
 	GossipAddress string
 	// AdminAddress serves metrics, health and state (IP:port).
 	AdminAddress string
-	// PlatformAddress is the Object API and the machine list (IP:port).
+	// PlatformAddress is the address of the Object API and the machine list (IP:port).
 	PlatformAddress string
-	// Join lists gossip addresses of nodes to join, besides the machine list.
+	// Join lists gossip addresses of nodes to join, in addition to the machine list.
 	Join []string
-	// MaximumBodyBytes bounds request bodies of every service.
+	// MaximumBodyBytes limits the request bodies of every service.
 	MaximumBodyBytes int
-	// MaximumConnections bounds connections of callers.
+	// MaximumConnections limits the connections of callers.
 	MaximumConnections int
-	// DrainDelay is how long a stopping node refuses new requests before it
+	// DrainDelay is how long a stopping node rejects new requests before it
 	// closes its listeners.
 	DrainDelay time.Duration
-	// StopTimeout bounds how long a stopping node waits for requests under way.
+	// StopTimeout limits how long a stopping node waits for requests in flight.
 	StopTimeout time.Duration
 	// LogVerbosity is klog's verbosity: 0 to 4.
 	LogVerbosity int
@@ -51,10 +52,10 @@
 
 // Load reads the settings of driftstaged.
 func Load(args []string) (Request[Settings], error) {
-	return program[Settings]{name: "driftstaged", table: table, finish: finish}.load(args)
+	return program[Settings]{name: "driftstaged", table: table, finish: finishSettings}.load(args)
 }
 
-func finish(loaded *Settings) []error {
+func finishSettings(loaded *Settings) []error {
 	if loaded.Name == "" {
 		loaded.Name = loaded.WireAddress
 	}
@@ -65,10 +66,10 @@
 	})
 }
 
-// listener is a setting that names an address to listen on.
+// listener is a setting whose value is a listen address.
 type listener struct{ key, address string }
 
-// checkAddressesDiffer finds listeners that would take each other's port.
+// checkAddressesDiffer returns an error for each pair of listeners with the same address.
 func checkAddressesDiffer(listeners []listener) []error {
 	var problems []error
 	for index, current := range listeners {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// required are the flags without which nothing starts.
+// required holds the mandatory flags of driftstaged.
 var required = []string{"--zone=a", "--region=r", "--platform-address=127.0.0.1:7070"}
 
 func TestFlagsGoBeforeEnvironmentBeforeFile(t *testing.T) {
@@ -29,7 +29,7 @@
 	is.Equal(request.Settings.Name, request.Settings.WireAddress)
 }
 
-func TestEveryWrongValueIsNamedAtOnce(t *testing.T) {
+func TestAllInvalidValuesAreReported(t *testing.T) {
 	is := is.New(t)
 	_, err := Load([]string{"--region=a b", "--gateway-address=localhost:80", "--join=127.0.0.1:1,x", "--maximum-body-bytes=0", "--drain-delay=soon", "--wire-address=127.0.0.1:7082"})
 	is.True(err != nil)
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestUnknownKeysAndArgumentsAreRefused(t *testing.T) {
+func TestUnknownKeysAndArgumentsAreRejected(t *testing.T) {
 	is := is.New(t)
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	is.NoErr(os.WriteFile(file, []byte("zome: a\n"), 0o600))
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// watchInterval is how often a settings file is read without a signal.
+// watchInterval is how often the settings file is polled.
 const watchInterval = 2 * time.Second
 
-// Watch calls changed when the content of the settings file is another one than
-// before, until ctx ends. It looks at each value of the signal channel and
-// regularly besides, since files also change without a signal. A file that cannot
-// be read is looked at again later.
+// Watch calls changed whenever the content of the settings file changes, until ctx
+// ends. It reads the file on each value of the signal channel and every
+// watchInterval, since files also change without a signal. A file that cannot be
+// read is retried at the next read.
 func Watch(ctx context.Context, path string, signals <-chan os.Signal, changed func()) {
 	known, _ := os.ReadFile(path)
 	ticker := time.NewTicker(watchInterval)
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -11,11 +11,11 @@
 	"github.com/matryer/is"
 )
 
-func TestWatchTellsOfChangesOnly(t *testing.T) {
+func TestWatchReportsOnlyChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) { is.New(t).NoErr(os.WriteFile(path, []byte(text), 0o600)) }
-	// rest lets time pass. The look at the end of it is over when it returns: a file
-	// that is read while it is written looks like one more change.
+	// rest advances the clock and waits for the read at its end: a file that is read
+	// while it is being written would count as one more change.
 	rest := func(pause time.Duration) {
 		time.Sleep(pause)
 		synctest.Wait()
@@ -30,17 +30,17 @@
 		synctest.Wait()
 		signals <- os.Interrupt
 		rest(3 * watchInterval)
-		is.Equal(calls, 0) // a signal alone is no change
+		is.Equal(calls, 0) // a signal without a changed file
 		write("zone: b")
 		signals <- os.Interrupt
 		synctest.Wait()
-		is.Equal(calls, 1) // at once
+		is.Equal(calls, 1) // read immediately on the signal
 		write("zone: c")
 		rest(watchInterval)
-		is.Equal(calls, 2) // without a signal
+		is.Equal(calls, 2) // polled without a signal
 		is.NoErr(os.Remove(path))
 		rest(2 * watchInterval)
-		is.Equal(calls, 2) // it is being replaced
+		is.Equal(calls, 2) // a missing file is being replaced
 		write("zone: d")
 		rest(watchInterval)
 		is.Equal(calls, 3)
