--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,5 +1,6 @@
-// Package boottime reads a clock that goes on while the machine is suspended. The clock of
-// time.Now and of timers stands still then, and the time of day may step.
+// Package boottime provides a monotonic clock that includes the time during which the machine
+// is suspended. The monotonic clock of time.Now and of timers stops during suspension, and the
+// wall clock may step.
 package boottime
 
 import (
@@ -8,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a moment: the time since the machine was booted, suspensions included. Instants
-// of different machines can't be compared.
+// Instant is the time since the machine booted, including suspension. Instants of different
+// machines cannot be compared.
 type Instant time.Duration
 
-// Now returns the present moment.
+// Now returns the current instant.
 func Now() Instant {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
@@ -22,8 +23,8 @@
 	return Instant(now.Nano())
 }
 
-// Add returns the moment that is so much later.
+// Add returns the instant that is span later.
 func (i Instant) Add(span time.Duration) Instant { return i + Instant(span) }
 
-// Sub returns the time since an earlier moment.
+// Sub returns the time since an earlier instant.
 func (i Instant) Sub(earlier Instant) time.Duration { return time.Duration(i - earlier) }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestMeterCountsSuspensionsAlone(t *testing.T) {
+func TestMeterCountsOnlySuspensions(t *testing.T) {
 	is := is.New(t)
 	boot, steady := Instant(time.Hour), time.Duration(0)
 	meter := &Meter{Boot: func() Instant { return boot }, Steady: func() time.Duration { return steady }}
@@ -16,12 +16,12 @@
 	is.Equal(meter.Suspended(), time.Duration(0))
 	boot = boot.Add(3 * time.Second)
 	is.Equal(meter.Suspended(), 3*time.Second)
-	// The processor was lost between the readings: what is known stays.
+	// The process was descheduled between the two readings: the longer value is kept.
 	steady += time.Second
 	is.Equal(meter.Suspended(), 3*time.Second)
 }
 
-func TestClocksOfTheProcess(t *testing.T) {
+func TestProcessClocks(t *testing.T) {
 	is := is.New(t)
 	before := Now()
 	is.True(Suspended() < time.Second)
--- a/internal/boottime/suspended.go
+++ b/internal/boottime/suspended.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Meter measures for how long the machine has been suspended. Its zero value measures from
-// the first call of Suspended. It is safe for concurrent use.
+// Meter measures how long the machine has been suspended, starting with the first call of
+// Suspended. It is safe for concurrent use.
 type Meter struct {
-	// Boot and Steady replace the clocks in tests.
+	// Boot includes suspension, Steady does not. Both can be replaced in tests.
 	Boot   func() Instant
 	Steady func() time.Duration
 
-	base     atomic.Pointer[time.Duration]
-	measured atomic.Int64
+	base    atomic.Pointer[time.Duration]
+	longest atomic.Int64
 }
 
-// process measures for the process.
-var process = startedMeter()
+// processMeter measures since the start of the process.
+var processMeter = newProcessMeter()
 
-func startedMeter() *Meter {
+func newProcessMeter() *Meter {
 	started := time.Now()
 	meter := &Meter{Boot: Now, Steady: func() time.Duration { return time.Since(started) }}
 	meter.Suspended()
 	return meter
 }
 
-// Suspended returns for how long the machine has been suspended since the process started.
-func Suspended() time.Duration { return process.Suspended() }
+// Suspended returns how long the machine has been suspended since the process started.
+func Suspended() time.Duration { return processMeter.Suspended() }
 
-// Time returns time.Now moved on by Suspended: the difference of two such times counts
-// suspensions, that of two of time.Now does not. It is no deadline for connections and
-// timers, which run by the steady clock.
+// Time returns time.Now plus Suspended, so that the difference of two such times includes
+// suspension, unlike that of two results of time.Now. It must not be used as a deadline of
+// connections or timers, which follow the monotonic clock.
 func Time() time.Time { return time.Now().Add(Suspended()) }
 
-// Suspended returns for how long the machine has been suspended since the first call. The
-// process may lose the processor between the readings of the two clocks: each measurement is
-// too short by that, never too long, and the longest one so far counts.
+// Suspended returns how long the machine has been suspended since the first call. The process
+// may be descheduled between reading the two clocks, which makes a measurement too short but
+// never too long, so the longest one so far is returned.
 func (m *Meter) Suspended() time.Duration {
 	if m.base.Load() == nil {
 		steady := m.Steady()
@@ -46,11 +46,11 @@
 	boot := time.Duration(m.Boot())
 	seen := boot - m.Steady() - *m.base.Load()
 	for {
-		known := m.measured.Load()
+		known := m.longest.Load()
 		if int64(seen) <= known {
 			return time.Duration(known)
 		}
-		if m.measured.CompareAndSwap(known, int64(seen)) {
+		if m.longest.CompareAndSwap(known, int64(seen)) {
 			return seen
 		}
 	}
