--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -1,4 +1,4 @@
-// Package records merges the fixed-width records of the shards' answers.
+// Package records merges the fixed-width records in the responses of shards.
 package records
 
 import (
@@ -8,26 +8,27 @@
 )
 
 // Width is the size of a record in bytes. A shorter remainder at the end of a
-// part is no record.
+// part is ignored.
 const Width = 16
 
-// Greatest returns the count greatest records of all parts in falling order,
-// compared byte by byte. Equal records all count.
+// Greatest returns the count greatest records of all parts in descending order,
+// compared byte by byte. Duplicates are kept.
 func Greatest(parts [][]byte, count int) []byte {
 	if count <= 0 {
 		return nil
 	}
-	kept := make(smallestFirst, 0, count)
+	kept := make(minHeap, 0, count)
 	for _, part := range parts {
 		for ; len(part) >= Width; part = part[Width:] {
-			kept = keep(kept, part[:Width], count)
+			kept = pushBounded(kept, part[:Width], count)
 		}
 	}
 	slices.SortFunc(kept, func(a, b []byte) int { return bytes.Compare(b, a) })
 	return bytes.Join(kept, nil)
 }
 
-func keep(kept smallestFirst, record []byte, count int) smallestFirst {
+// pushBounded adds the record to the heap, which keeps the count greatest ones.
+func pushBounded(kept minHeap, record []byte, count int) minHeap {
 	if len(kept) < count {
 		heap.Push(&kept, record)
 		return kept
@@ -39,18 +40,18 @@
 	return kept
 }
 
-// smallestFirst is a heap with the smallest record at its root.
-type smallestFirst [][]byte
+// minHeap is a heap.Interface with the smallest record at its root.
+type minHeap [][]byte
 
-func (s smallestFirst) Len() int           { return len(s) }
-func (s smallestFirst) Less(i, j int) bool { return bytes.Compare(s[i], s[j]) < 0 }
-func (s smallestFirst) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
+func (s minHeap) Len() int           { return len(s) }
+func (s minHeap) Less(i, j int) bool { return bytes.Compare(s[i], s[j]) < 0 }
+func (s minHeap) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
 
 // Push implements heap.Interface.
-func (s *smallestFirst) Push(record any) { *s = append(*s, record.([]byte)) }
+func (s *minHeap) Push(record any) { *s = append(*s, record.([]byte)) }
 
 // Pop implements heap.Interface.
-func (s *smallestFirst) Pop() any {
+func (s *minHeap) Pop() any {
 	last := len(*s) - 1
 	record := (*s)[last]
 	*s = (*s)[:last]
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -18,13 +18,14 @@
 		parts := rapid.SliceOfN(part, 0, 5).Draw(t, "parts")
 		count := rapid.IntRange(0, 12).Draw(t, "count")
 		got := Greatest(parts, count)
-		if want := sortedReference(parts, count); !bytes.Equal(got, want) {
+		if want := greatestBySorting(parts, count); !bytes.Equal(got, want) {
 			t.Fatalf("got %x, want %x", got, want)
 		}
 	})
 }
 
-func sortedReference(parts [][]byte, count int) []byte {
+// greatestBySorting is the reference implementation of Greatest.
+func greatestBySorting(parts [][]byte, count int) []byte {
 	var all [][]byte
 	for _, part := range parts {
 		for chunk := range slices.Chunk(part, Width) {
