--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback finds addresses for processes that are started for tests, the demo
+// Package loopback allocates loopback addresses for processes started by tests, the demo
 // and experiments.
 package loopback
 
@@ -8,29 +8,29 @@
 	"sync"
 )
 
-// given are the addresses that this process has handed out: until they are used, the
-// system may choose them again.
-var given sync.Map
+// handedOut holds the addresses already returned by this process: until one is in use, the
+// kernel may choose it again.
+var handedOut sync.Map
 
-// FreeAddress returns an address (IP:port) at which nothing listens, another one each
-// time. It is for a process that is started later, and again after it was killed: its IP
-// belongs to this process alone, so that neither the connections of others nor a second
-// run of the same program take the port meanwhile, as happens at 127.0.0.1.
+// FreeAddress returns an unused address (IP:port), a different one on each call. It is
+// meant for a process that is started later, or restarted after it was killed. The IP is
+// specific to this process, so that neither outgoing connections of others nor a second
+// run of the same program take the port in the meantime, as happens with 127.0.0.1.
 func FreeAddress() (string, error) {
 	for {
-		address, err := chosen()
+		address, err := systemAddress()
 		if err != nil {
 			return "", err
 		}
-		if _, taken := given.LoadOrStore(address, true); !taken {
+		if _, taken := handedOut.LoadOrStore(address, true); !taken {
 			return address, nil
 		}
 	}
 }
 
-// chosen returns an address that the system chooses.
-func chosen() (string, error) {
-	listener, err := net.Listen("tcp4", net.JoinHostPort(ownIP(os.Getpid()).String(), "0"))
+// systemAddress returns an address whose port the kernel chooses.
+func systemAddress() (string, error) {
+	listener, err := net.Listen("tcp4", net.JoinHostPort(processIP(os.Getpid()).String(), "0"))
 	if err != nil {
 		return "", err
 	}
@@ -38,9 +38,8 @@
 	return address, listener.Close()
 }
 
-// ownIP returns an IP of the loopback network for a process id: 127.64.0.0 and up. Ids
-// have 22 bits at most; connections that are opened without a choice come from
-// 127.0.0.1.
-func ownIP(pid int) net.IP {
+// processIP maps a process id, which has at most 22 bits, to a loopback IP from 127.64.0.0
+// up. Outgoing connections without an explicit source address use 127.0.0.1.
+func processIP(pid int) net.IP {
 	return net.IPv4(127, byte(64+pid>>16&0x3f), byte(pid>>8), byte(pid))
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestFreeAddressIsThisProcessesOwn(t *testing.T) {
+func TestFreeAddressIsUniqueToProcess(t *testing.T) {
 	is := is.New(t)
 	first, err := FreeAddress()
 	is.NoErr(err)
@@ -17,11 +17,11 @@
 	second, err := FreeAddress()
 	is.NoErr(err)
 	is.True(first != second)
-	is.True(!ownIP(1).Equal(ownIP(2)))
-	is.True(ownIP(1).IsLoopback() && ownIP(1<<22-1).IsLoopback())
+	is.True(!processIP(1).Equal(processIP(2)))
+	is.True(processIP(1).IsLoopback() && processIP(1<<22-1).IsLoopback())
 }
 
-func TestNoAddressIsGivenTwice(t *testing.T) {
+func TestFreeAddressNeverRepeats(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[string]bool)
 	for range 2000 {
