--- a/internal/standin/backend/admin.go
+++ b/internal/standin/backend/admin.go
@@ -12,11 +12,11 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// headerOverflowed carries Record.Overflowed on the reply to GET /record.
+// headerOverflowed carries Record.Overflowed in the response to GET /record.
 const headerOverflowed = "Driftstage-Record-Overflowed"
 
-// Description is the body of GET /fleet, and the line that `driftlab backends`
-// prints when it has started.
+// Description is the response body of GET /fleet, and the line that `driftlab
+// backends` prints once it has started.
 type Description struct {
 	Admin    string      `json:"admin"`
 	Service  string      `json:"service"`
@@ -43,9 +43,9 @@
 
 // AdvanceRequest is the body of POST /versions.
 type AdvanceRequest struct {
-	// Partitions is the number of shards of the new version; zero keeps it.
+	// Partitions is the number of shards of the new version; zero leaves it unchanged.
 	Partitions int `json:"partitions,omitempty"`
-	// StaggerMillis is the delay between one server and the next.
+	// StaggerMillis is the delay between consecutive servers.
 	StaggerMillis int `json:"staggerMillis,omitempty"`
 }
 
@@ -54,10 +54,10 @@
 //	GET  /fleet     addresses, zones, shard map, newest version
 //	GET  /resource  the QueryService for the newest version
 //	GET  /record    executions as JSON lines; ?requestId=, ?queryHash=, ?server=
-//	DELETE /record  forget all executions
+//	DELETE /record  delete all executions
 //	GET  /counters  counters of each server
-//	POST /versions  AdvanceRequest: bring out the next index version
-//	POST /faults    Fault: set or end a fault of one server
+//	POST /versions  AdvanceRequest: publish the next index version
+//	POST /faults    Fault: set or clear a fault of one server
 func (fleet *Fleet) AdminHandler() fasthttp.RequestHandler {
 	routes := router.New()
 	routes.GET("/fleet", func(ctx *fasthttp.RequestCtx) {
@@ -85,7 +85,7 @@
 		encoder := json.NewEncoder(writer)
 		for _, execution := range selected {
 			if encoder.Encode(execution) != nil {
-				return // The client has gone.
+				return // The client disconnected.
 			}
 		}
 	})
--- a/internal/standin/backend/client.go
+++ b/internal/standin/backend/client.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// clientTimeout bounds one call to the admin port.
+	// clientTimeout limits one call to the admin port.
 	clientTimeout = 30 * time.Second
-	// clientReadBufferBytes bounds the header of a reply.
-	clientReadBufferBytes = 16 << 10
+	// clientReadBufferSize limits the header of a response, in bytes.
+	clientReadBufferSize = 16 << 10
 )
 
-// Client talks to the admin port of a fleet.
+// Client is a client of the admin port of a fleet.
 type Client struct {
 	address string
 	http    *fasthttp.Client
@@ -30,11 +30,11 @@
 func NewClient(address string) *Client {
 	return &Client{
 		address: address,
-		http:    &fasthttp.Client{ReadTimeout: clientTimeout, ReadBufferSize: clientReadBufferBytes},
+		http:    &fasthttp.Client{ReadTimeout: clientTimeout, ReadBufferSize: clientReadBufferSize},
 	}
 }
 
-// Fleet returns addresses, zones, shard map and newest version.
+// Fleet returns the addresses, zones, shard map and newest version of the fleet.
 func (client *Client) Fleet() (Description, error) {
 	var description Description
 	err := client.call(fasthttp.MethodGet, "/fleet", nil, &description)
@@ -55,20 +55,20 @@
 	return counters, err
 }
 
-// Advance brings out the next index version.
+// Advance publishes the next index version.
 func (client *Client) Advance(request AdvanceRequest) (Version, error) {
 	var version Version
 	err := client.call(fasthttp.MethodPost, "/versions", request, &version)
 	return version, err
 }
 
-// SetFault sets or ends a fault of one server.
+// SetFault sets or clears a fault of one server.
 func (client *Client) SetFault(fault Fault) error {
 	return client.call(fasthttp.MethodPost, "/faults", fault, nil)
 }
 
-// Record returns the selected executions. It fails when the record overflowed,
-// since a comparison with it would then be worth nothing.
+// Record returns the selected executions. It fails if the record overflowed,
+// since an incomplete record cannot be compared with.
 func (client *Client) Record(filter RecordFilter) ([]Execution, error) {
 	query := url.Values{}
 	query.Set("requestId", filter.RequestID)
--- a/internal/standin/backend/doc.go
+++ b/internal/standin/backend/doc.go
@@ -1,3 +1,3 @@
-// Package backend is a stand-in for the sharded back ends, with a record of what
-// each server really ran.
+// Package backend is a stand-in for the sharded back ends. It records which
+// requests each server actually ran.
 package backend
--- a/internal/standin/backend/fault.go
+++ b/internal/standin/backend/fault.go
@@ -11,33 +11,32 @@
 
 // The values of FaultKind.
 const (
-	// FaultNone ends all faults of the server; a dead one listens again.
+	// FaultNone clears the fault of the server; a stopped one listens again.
 	FaultNone FaultKind = "none"
 	// FaultDie closes the listener and all connections.
 	FaultDie FaultKind = "die"
-	// FaultFreeze stops the server as SIGSTOP would: connections are accepted
-	// by the kernel, nothing is answered, nothing notices a cancellation.
+	// FaultFreeze stops the server as SIGSTOP would: the kernel accepts
+	// connections, but nothing is answered and cancellations go unnoticed.
 	FaultFreeze FaultKind = "freeze"
-	// FaultDrain announces on every reply that the server is leaving. Once
-	// Delay has passed it refuses new work.
+	// FaultDrain marks every reply as coming from a draining server. After the
+	// delay, the server rejects new work.
 	FaultDrain FaultKind = "drain"
 	// FaultTruncate sends half of the reply and closes the connection.
 	FaultTruncate FaultKind = "truncate"
 	// FaultReset sends half of the reply and resets the connection.
 	FaultReset FaultKind = "reset"
 	// FaultTwice sends the reply twice, so that the next request on the
-	// connection meets the second copy.
+	// connection reads the second copy.
 	FaultTwice FaultKind = "twice"
 	// FaultForeign answers with the body of another request.
 	FaultForeign FaultKind = "foreign"
-	// FaultLate holds a finished reply back for Delay, and ignores deadline and
-	// cancellation.
+	// FaultLate delays a finished reply, and ignores deadline and cancellation.
 	FaultLate FaultKind = "late"
-	// FaultWrongVersion answers from another index version and says so.
+	// FaultWrongVersion answers from another index version, as header and body state.
 	FaultWrongVersion FaultKind = "wrong-version"
-	// FaultWrongBodyVersion answers from another index version; only the body says so.
+	// FaultWrongBodyVersion answers from another index version, as only the body states.
 	FaultWrongBodyVersion FaultKind = "wrong-body-version"
-	// FaultError answers 500 after it has run the request.
+	// FaultError runs the request and responds 500.
 	FaultError FaultKind = "error"
 )
 
@@ -52,11 +51,11 @@
 	// Server is the name of the server.
 	Server string    `json:"server"`
 	Kind   FaultKind `json:"kind"`
-	// OneIn makes only one reply in so many faulty; zero or one means each.
+	// OneIn makes one in this many replies faulty; zero or one means every reply.
 	OneIn int `json:"oneIn,omitempty"`
-	// Count ends the fault after so many faulty replies; zero means never.
+	// Count clears the fault after this many faulty replies; zero means never.
 	Count int `json:"count,omitempty"`
-	// DelayMillis belongs to FaultLate and FaultDrain.
+	// DelayMillis is the delay of FaultLate and FaultDrain.
 	DelayMillis int `json:"delayMillis,omitempty"`
 }
 
@@ -76,12 +75,12 @@
 
 // faultState holds the fault of one server.
 type faultState struct {
-	mutex   sync.Mutex
-	fault   Fault
-	since   time.Time
-	replies int
-	used    int
-	// thaw is closed when a frozen server goes on; nil unless frozen.
+	mutex         sync.Mutex
+	fault         Fault
+	setAt         time.Time
+	replies       int
+	faultyReplies int
+	// thaw is closed when a frozen server resumes; nil unless frozen.
 	thaw chan struct{}
 }
 
@@ -96,13 +95,13 @@
 		state.thaw = make(chan struct{})
 	}
 	state.fault = fault
-	state.since = now
+	state.setAt = now
 	state.replies = 0
-	state.used = 0
+	state.faultyReplies = 0
 }
 
-// waitThawed blocks while the server is frozen.
-func (state *faultState) waitThawed() {
+// waitUntilThawed blocks while the server is frozen.
+func (state *faultState) waitUntilThawed() {
 	state.mutex.Lock()
 	thaw := state.thaw
 	state.mutex.Unlock()
@@ -111,29 +110,29 @@
 	}
 }
 
-// draining tells whether the server announces that it is leaving, and whether
-// it refuses new work already.
+// draining reports whether the server announces that it is draining, and whether
+// it already rejects new work.
 func (state *faultState) draining(now time.Time) (announced, refusing bool) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	if state.fault.Kind != FaultDrain {
 		return false, false
 	}
-	return true, now.Sub(state.since) >= state.fault.delay()
+	return true, now.Sub(state.setAt) >= state.fault.delay()
 }
 
-// drainingSince returns when draining began; zero when the server is not draining.
+// drainingSince returns when draining began; zero if the server is not draining.
 func (state *faultState) drainingSince() time.Time {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	if state.fault.Kind != FaultDrain {
 		return time.Time{}
 	}
-	return state.since
+	return state.setAt
 }
 
-// next returns the fault that the next reply shows.
-func (state *faultState) next() Fault {
+// nextReply returns the fault of the next reply.
+func (state *faultState) nextReply() Fault {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	fault := state.fault
@@ -141,9 +140,9 @@
 	if fault.OneIn > 1 && state.replies%fault.OneIn != 0 {
 		return Fault{Kind: FaultNone}
 	}
-	if fault.Count > 0 && state.used >= fault.Count {
+	if fault.Count > 0 && state.faultyReplies >= fault.Count {
 		return Fault{Kind: FaultNone}
 	}
-	state.used++
+	state.faultyReplies++
 	return fault
 }
--- a/internal/standin/backend/fleet.go
+++ b/internal/standin/backend/fleet.go
@@ -11,7 +11,7 @@
 // firstSnapshot is the number of the first index version.
 const firstSnapshot = 1
 
-// Fleet is the stand-in of all servers of one query service.
+// Fleet holds the stand-in servers of one query service.
 type Fleet struct {
 	options Options
 	record  *Record
@@ -57,7 +57,7 @@
 	}
 }
 
-// Record returns what the servers really ran.
+// Record returns the record of what the servers ran.
 func (fleet *Fleet) Record() *Record {
 	return fleet.record
 }
@@ -66,7 +66,7 @@
 func (fleet *Fleet) Counters() []Counters {
 	counts := make([]Counters, len(fleet.servers))
 	for index, server := range fleet.servers {
-		counts[index] = server.count()
+		counts[index] = server.currentCounters()
 	}
 	return counts
 }
@@ -78,8 +78,8 @@
 	return fleet.newest
 }
 
-// Advance brings out the next index version. Server n gets it after n times
-// stagger. Partitions of zero keep the number of shards; another number
+// Advance publishes the next index version. Server n receives it after n times
+// stagger. Zero partitions leave the number of shards unchanged; another number
 // repartitions the index.
 func (fleet *Fleet) Advance(partitions int, stagger time.Duration) Version {
 	fleet.mutex.Lock()
@@ -100,7 +100,7 @@
 	return version
 }
 
-// SetFault sets or ends a fault of one server.
+// SetFault sets or clears a fault of one server.
 func (fleet *Fleet) SetFault(fault Fault) error {
 	if err := fault.validate(); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	return fmt.Errorf("server: unknown server %q", fault.Server)
 }
 
-// Servers describes the servers as a resource lists them.
+// Servers describes the servers in the form used by a resource.
 func (fleet *Fleet) Servers() []v1.Server {
 	described := make([]v1.Server, len(fleet.servers))
 	for index, server := range fleet.servers {
@@ -122,7 +122,7 @@
 	return described
 }
 
-// Shards returns the shard map of an index of so many partitions.
+// Shards returns the shard map of an index with the given number of partitions.
 func (fleet *Fleet) Shards(partitions int) []v1.Shard {
 	placement := layout{servers: fleet.options.Servers, replicas: fleet.options.Replicas}
 	shards := make([]v1.Shard, partitions)
@@ -135,8 +135,8 @@
 	return shards
 }
 
-// Resource returns a QueryService for the newest index version. Only what the
-// fleet knows is set; the rest is left to the defaults of the resource.
+// Resource returns a QueryService for the newest index version. Fields unknown
+// to the fleet are left to the defaults of the resource.
 func (fleet *Fleet) Resource() v1.QueryService {
 	return v1.QueryService{
 		APIVersion: v1.APIVersion,
--- a/internal/standin/backend/fleet_test.go
+++ b/internal/standin/backend/fleet_test.go
@@ -19,8 +19,8 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// generous bounds how long a test waits for something that must come.
-const generous = 20 * time.Second
+// testTimeout limits how long a test waits for an expected event.
+const testTimeout = 20 * time.Second
 
 func startFleet(t *testing.T, change func(*Options)) *Fleet {
 	t.Helper()
@@ -64,7 +64,7 @@
 func newClient(t *testing.T) *http.Client {
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
-	return &http.Client{Transport: transport, Timeout: generous}
+	return &http.Client{Transport: transport, Timeout: testTimeout}
 }
 
 func (fleet *Fleet) do(t *testing.T, call call) (*http.Response, []byte, error) {
@@ -78,7 +78,7 @@
 	return response, body, err
 }
 
-func TestAnswerNamesRequestShardVersionAndQuery(t *testing.T) {
+func TestReplyIdentifiesRequestShardVersionAndQuery(t *testing.T) {
 	is := is.New(t)
 	fleet := startFleet(t, nil)
 	response, body, err := fleet.do(t, call{id: "r1", shards: "0,3", partitions: 8, snapshot: 1})
@@ -96,8 +96,7 @@
 	is.Equal(ran[0].Outcome, OutcomeCompleted)
 }
 
-// TestRefusalsAreNotRun shows that whatever is refused as not run left no
-// trace in the record.
+// A sub-request rejected as not run must have no execution in the record.
 func TestRefusalsAreNotRun(t *testing.T) {
 	fleet := startFleet(t, nil)
 	refused := map[string]struct {
@@ -151,7 +150,7 @@
 	is.Equal(response.Header.Get(headerNotRun), headerTrue)
 	is.True(response.Header.Get(headerRetryAfter) != "")
 
-	cancel() // Closes both connections: the running one ends, the waiting one never runs.
+	cancel() // Closes both connections: the running request ends, the queued one never runs.
 	waitFor(t, func() bool { return server.slots.running() == 0 && server.slots.waiting.Load() == 0 })
 	for _, execution := range fleet.Record().Executions(RecordFilter{}) {
 		is.Equal(execution.Outcome, OutcomeCanceled)
@@ -184,7 +183,7 @@
 	is.Equal(response.StatusCode, http.StatusOK)
 }
 
-func TestFaultsBreakReplies(t *testing.T) {
+func TestReplyFaults(t *testing.T) {
 	tests := map[FaultKind]func(is *is.I, response *http.Response, body []byte, err error){
 		FaultTruncate: func(is *is.I, _ *http.Response, _ []byte, err error) { is.True(err != nil) },
 		FaultReset:    func(is *is.I, _ *http.Response, _ []byte, err error) { is.True(err != nil) },
@@ -225,16 +224,16 @@
 	}
 }
 
-// TestSecondCopyMeetsNextRequest shows that a reply sent twice comes to the
-// next request on the same connection.
-func TestSecondCopyMeetsNextRequest(t *testing.T) {
+// The second copy of a reply sent twice must be read by the next request on the
+// same connection.
+func TestDuplicateReplyIsReadByNextRequest(t *testing.T) {
 	is := is.New(t)
 	fleet := startFleet(t, nil)
 	is.NoErr(fleet.SetFault(Fault{Server: "sample-0", Kind: FaultTwice, Count: 1}))
 	connection, err := net.Dial("tcp", fleet.Servers()[0].Address)
 	is.NoErr(err)
 	defer connection.Close()
-	is.NoErr(connection.SetDeadline(time.Now().Add(generous)))
+	is.NoErr(connection.SetDeadline(time.Now().Add(testTimeout)))
 	reader := bufio.NewReader(connection)
 	for _, id := range []string{"first", "second"} {
 		is.NoErr(fleet.request(t.Context(), call{id: id, shards: "0", partitions: 8}).Write(connection))
@@ -246,7 +245,7 @@
 	}
 }
 
-func TestFrozenServerRunsWhatItReceivedOnceItWakes(t *testing.T) {
+func TestFrozenServerRunsReceivedRequestsAfterThaw(t *testing.T) {
 	is := is.New(t)
 	fleet := startFleet(t, nil)
 	is.NoErr(fleet.SetFault(Fault{Server: "sample-0", Kind: FaultFreeze}))
@@ -259,7 +258,7 @@
 	waitFor(t, func() bool { return len(fleet.Record().Executions(RecordFilter{RequestID: "frozen"})) == 1 })
 }
 
-func TestConnectionsOverTheLimitAreClosed(t *testing.T) {
+func TestConnectionsOverLimitAreClosed(t *testing.T) {
 	is := is.New(t)
 	fleet := startFleet(t, func(options *Options) { options.Connections = 1 })
 	address := fleet.Servers()[0].Address
@@ -269,15 +268,15 @@
 	second, err := net.Dial("tcp", address)
 	is.NoErr(err)
 	defer second.Close()
-	is.NoErr(second.SetReadDeadline(time.Now().Add(generous)))
+	is.NoErr(second.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = second.Read(make([]byte, 1))
 	is.True(err != nil)
 	waitFor(t, func() bool { return fleet.Counters()[0].ConnectionsClosed == 1 })
 }
 
-// TestEachShardHasItsReplicas shows that every shard lies on as many different
-// servers as asked, whatever the sizes.
-func TestEachShardHasItsReplicas(t *testing.T) {
+// Every shard must be on as many different servers as configured, for any number of
+// servers, replicas and partitions.
+func TestLayoutPlacesEveryReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 40).Draw(t, "servers")
 		placement := layout{servers: servers, replicas: rapid.IntRange(1, servers).Draw(t, "replicas")}
@@ -297,7 +296,7 @@
 
 func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(generous)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatal("condition did not come true")
--- a/internal/standin/backend/handler.go
+++ b/internal/standin/backend/handler.go
@@ -13,15 +13,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash returns the hash of a query body by which PartBody and Execution name it.
+// Hash returns the hash by which PartBody and Execution identify a query body.
 func Hash(body []byte) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(body))
 }
 
-// serveQuery runs one sub-request. Everything before the slot is taken is
-// refused as not run; from there on it counts as run.
+// serveQuery runs one sub-request. A rejection before a slot is acquired counts
+// as not run; from then on the sub-request counts as run.
 func (server *Server) serveQuery(writer http.ResponseWriter, request *http.Request) {
-	server.faults.waitThawed()
+	server.faults.waitUntilThawed()
 	arrived := time.Now()
 	server.counters.arrive(arrived)
 	if request.Method != http.MethodPost {
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithDeadline(request.Context(), arrived.Add(parsed.deadline))
 	defer cancel()
 	if err := server.slots.acquire(ctx); err != nil {
-		server.refuseSlot(writer, err)
+		server.rejectSlot(writer, err)
 		return
 	}
 	reply, err := server.execute(ctx, parsed, version, body)
@@ -55,7 +55,7 @@
 	server.answer(writer, reply, version, err)
 }
 
-// admit refuses what the server can not run at all.
+// admit rejects sub-requests that the server cannot run.
 func (server *Server) admit(writer http.ResponseWriter, request subRequest, now time.Time) (Version, bool) {
 	if _, refusing := server.faults.draining(now); refusing {
 		server.counters.refuse(refusedDraining)
@@ -76,7 +76,7 @@
 	return version, true
 }
 
-func (server *Server) refuseSlot(writer http.ResponseWriter, err error) {
+func (server *Server) rejectSlot(writer http.ResponseWriter, err error) {
 	reason := refusedDeadline
 	if errors.Is(err, errShed) {
 		reason = refusedShed
@@ -91,7 +91,7 @@
 	http.Error(writer, reason, status)
 }
 
-// execute takes the service time and returns the body of the reply.
+// execute waits for the service time and returns the body of the reply.
 func (server *Server) execute(ctx context.Context, request subRequest, version Version, body []byte) (Reply, error) {
 	hash := Hash(body)
 	execution := server.record.begin(Execution{
@@ -104,7 +104,7 @@
 	})
 	server.counters.run()
 	err := server.work(ctx)
-	server.record.end(execution, outcomeOf(err), time.Now())
+	server.record.end(execution, outcomeFor(err), time.Now())
 	if err != nil {
 		return Reply{}, err
 	}
@@ -116,15 +116,15 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		server.faults.waitThawed()
+		server.faults.waitUntilThawed()
 		return nil
 	case <-ctx.Done():
-		server.faults.waitThawed()
+		server.faults.waitUntilThawed()
 		return ctx.Err()
 	}
 }
 
-func outcomeOf(err error) Outcome {
+func outcomeFor(err error) Outcome {
 	switch {
 	case err == nil:
 		return OutcomeCompleted
@@ -150,10 +150,10 @@
 	return reply
 }
 
-// serveHealth answers from a lagging view: a server that drains or is overloaded
-// reports itself well for a while.
+// serveHealth reports a lagging view: a draining or overloaded server still
+// reports itself healthy for a while.
 func (server *Server) serveHealth(writer http.ResponseWriter, _ *http.Request) {
-	server.faults.waitThawed()
+	server.faults.waitUntilThawed()
 	if server.status.view(server, time.Now()).Draining {
 		http.Error(writer, "draining", http.StatusServiceUnavailable)
 		return
@@ -162,12 +162,12 @@
 }
 
 func (server *Server) serveLoad(writer http.ResponseWriter, _ *http.Request) {
-	server.faults.waitThawed()
+	server.faults.waitUntilThawed()
 	writer.Header().Set("Content-Type", "application/json")
-	// The client has gone when this fails; there is no one to tell.
+	// An error means that the client disconnected, so there is nowhere to report it.
 	_ = json.NewEncoder(writer).Encode(server.status.view(server, time.Now()))
 }
 
-func paddingOf(size int) string {
+func makePadding(size int) string {
 	return strings.Repeat("x", size)
 }
--- a/internal/standin/backend/layout.go
+++ b/internal/standin/backend/layout.go
@@ -7,8 +7,8 @@
 )
 
 // layout places shards on servers by chained declustering (Hsiao and DeWitt,
-// 1990): replica r of shard s is on server (s + r) mod servers. Neighbours
-// have different zones, so a lost zone leaves a replica of every shard.
+// 1990): replica r of shard s is on server (s + r) mod servers. Neighboring
+// servers are in different zones, so every shard keeps a replica if a zone fails.
 type layout struct {
 	servers  int
 	replicas int
@@ -27,7 +27,8 @@
 	return holders
 }
 
-// holds tells whether the server holds the shard of an index of so many partitions.
+// holds reports whether the server holds the shard of an index with the given
+// number of partitions.
 func (placement layout) holds(server int, shard v1.ShardID, partitions int) bool {
 	if shard < 0 || int(shard) >= partitions {
 		return false
--- a/internal/standin/backend/listener.go
+++ b/internal/standin/backend/listener.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// limitedListener closes connections over a limit as soon as it accepted them.
+// limitedListener closes connections over a limit right after accepting them.
 type limitedListener struct {
 	net.Listener
 	limit  int64
@@ -34,7 +34,7 @@
 	}
 }
 
-// countedConnection gives its place back when it is closed.
+// countedConnection decrements the number of open connections when it is closed.
 type countedConnection struct {
 	*net.TCPConn
 	open *atomic.Int64
--- a/internal/standin/backend/options.go
+++ b/internal/standin/backend/options.go
@@ -10,44 +10,44 @@
 
 // Options describe one stand-in fleet: the servers of one query service.
 type Options struct {
-	// Service is the name of the QueryService that Resource gives.
+	// Service is the name of the QueryService that Resource returns.
 	Service string
 	// Path is the HTTP path of sub-requests.
 	Path string
-	// Servers is the number of servers, each with a listener of its own.
+	// Servers is the number of servers, each with its own listener.
 	Servers int
 	// Shards is the number of partitions of the first index version.
 	Shards int
 	// Replicas is the number of servers that hold each shard.
 	Replicas int
-	// Zones are given to the servers in turn.
+	// Zones are assigned to the servers round-robin.
 	Zones []string
-	// Slots is how many sub-requests one server runs at a time.
+	// Slots is how many sub-requests one server runs concurrently.
 	Slots int
-	// Queue is how many more may wait before the server sheds.
+	// Queue is how many more may wait before the server sheds load.
 	Queue int
-	// Connections is how many connections one server accepts; it closes others.
+	// Connections is the connection limit of one server; it closes others.
 	Connections int
-	// VersionsHeld is how many index versions a server keeps.
+	// VersionsHeld is how many index versions a server retains.
 	VersionsHeld int
 	// Time is the distribution of the service time of one sub-request.
 	Time ServiceTime
-	// ColdFor is how long a started server stays slow; zero starts it warm.
+	// ColdFor is the warm-up time of a started server; zero starts it warm.
 	ColdFor time.Duration
 	// ColdFactor multiplies the service time of a server that just started. It
 	// falls to 1 over ColdFor.
 	ColdFactor float64
-	// StatusLag is the age of what /healthz and /load report.
+	// StatusLag is the maximum age of what /healthz and /load report.
 	StatusLag time.Duration
 	// ResultBytes pads the body of each part to about this size; zero pads nothing.
 	ResultBytes int
-	// RecordLimit bounds the number of executions kept in the record.
+	// RecordLimit limits the number of executions in the record.
 	RecordLimit int
 	// Seed makes the service times repeatable.
 	Seed uint64
 }
 
-// DefaultOptions are a service of the size of the renter app in the brief.
+// DefaultOptions describe a service of the size of the renter app in the requirements.
 func DefaultOptions() Options {
 	return Options{
 		Service:      "sample",
@@ -102,7 +102,7 @@
 	Median time.Duration
 	// Sigma is the standard deviation of the logarithm of the service time.
 	Sigma float64
-	// StragglerOneIn makes one sub-request in so many a straggler; zero makes none.
+	// StragglerOneIn makes one in this many sub-requests a straggler; zero makes none.
 	StragglerOneIn int
 	// StragglerFactor multiplies the service time of a straggler.
 	StragglerFactor float64
@@ -125,7 +125,7 @@
 	return failures
 }
 
-// Draw returns one service time.
+// Draw returns a random service time.
 func (distribution ServiceTime) Draw(source *rand.Rand) time.Duration {
 	factor := math.Exp(distribution.Sigma * source.NormFloat64())
 	if distribution.StragglerOneIn > 0 && source.IntN(distribution.StragglerOneIn) == 0 {
--- a/internal/standin/backend/protocol.go
+++ b/internal/standin/backend/protocol.go
@@ -26,13 +26,13 @@
 	headerTrue  = "true"
 	defaultPath = "/query"
 
-	// maxBodyBytes bounds the body of a sub-request.
+	// maxBodyBytes limits the body of a sub-request.
 	maxBodyBytes = 16 << 20
-	// defaultDeadline holds for sub-requests that give none.
+	// defaultDeadline applies to sub-requests without a deadline.
 	defaultDeadline = 30 * time.Second
 )
 
-// subRequest is the parsed head of one sub-request.
+// subRequest holds the parsed headers of one sub-request.
 type subRequest struct {
 	id         string
 	shards     []v1.ShardID
@@ -74,7 +74,7 @@
 	return request, nil
 }
 
-// Reply is the body of an answer with status 200.
+// Reply is the body of a response with status 200.
 type Reply struct {
 	RequestID string `json:"requestId"`
 	Snapshot  int64  `json:"snapshot"`
@@ -87,8 +87,8 @@
 	Body  PartBody   `json:"body"`
 }
 
-// PartBody is the result itself. It names everything by which a checker can
-// tell that it belongs to another request, shard or version.
+// PartBody is the result itself. It identifies request, shard and version, so that
+// a checker can detect a result that belongs to another one.
 type PartBody struct {
 	RequestID string     `json:"requestId"`
 	Shard     v1.ShardID `json:"shard"`
--- a/internal/standin/backend/record.go
+++ b/internal/standin/backend/record.go
@@ -7,7 +7,7 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// Outcome says how an execution ended.
+// Outcome is how an execution ended.
 type Outcome string
 
 // The values of Outcome.
@@ -20,8 +20,8 @@
 	OutcomeDeadline Outcome = "deadline"
 )
 
-// Execution is one sub-request that took a slot of a server: it has run, at
-// least in part, whatever its outcome. Refusals are no executions.
+// Execution is one sub-request that acquired a slot of a server: it has run, at
+// least in part, whatever its outcome. Rejected sub-requests have no execution.
 type Execution struct {
 	RequestID string       `json:"requestId"`
 	QueryHash string       `json:"queryHash"`
@@ -34,7 +34,7 @@
 	Outcome Outcome   `json:"outcome"`
 }
 
-// RecordFilter selects executions; empty fields select all.
+// RecordFilter selects executions; empty fields match all.
 type RecordFilter struct {
 	RequestID string
 	QueryHash string
@@ -55,12 +55,12 @@
 	return !execution.Start.Before(filter.Since)
 }
 
-// Record keeps what the servers of a fleet really ran.
+// Record holds the executions of all servers of a fleet.
 type Record struct {
 	mutex      sync.Mutex
 	limit      int
 	executions []*Execution
-	// overflowed counts executions that were not kept.
+	// overflowed counts executions dropped because of the limit.
 	overflowed int
 }
 
@@ -84,8 +84,7 @@
 	execution.End = now
 }
 
-// Executions returns copies of the selected executions in the order of their
-// start.
+// Executions returns copies of the selected executions, ordered by start time.
 func (record *Record) Executions(filter RecordFilter) []Execution {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
@@ -98,15 +97,15 @@
 	return selected
 }
 
-// Overflowed returns the number of executions over the limit of the record. A
-// comparison with the record is worth nothing unless it is zero.
+// Overflowed returns the number of executions over the limit of the record.
+// Unless it is zero, the record is incomplete and cannot be compared with.
 func (record *Record) Overflowed() int {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
 	return record.overflowed
 }
 
-// Reset forgets all executions.
+// Reset deletes all executions.
 func (record *Record) Reset() {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
--- a/internal/standin/backend/reply.go
+++ b/internal/standin/backend/reply.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// secondReplyLinger is how long a connection on which a reply was sent twice
-// stays open, so that its next request meets the second copy.
-const secondReplyLinger = 5 * time.Second
+// duplicateReplyLinger is how long a connection on which a reply was sent twice
+// stays open, so that its next request reads the second copy.
+const duplicateReplyLinger = 5 * time.Second
 
-// answer sends the reply, or shows the fault that is set.
+// answer sends the reply, subject to the current fault.
 func (server *Server) answer(writer http.ResponseWriter, reply Reply, version Version, failure error) {
-	fault := server.faults.next()
+	fault := server.faults.nextReply()
 	if fault.Kind == FaultLate {
 		time.Sleep(fault.delay())
 	}
@@ -28,7 +28,7 @@
 		return
 	}
 	if failure != nil {
-		return // The sender has closed the connection.
+		return // The sender closed the connection.
 	}
 	switch fault.Kind {
 	case FaultError:
@@ -49,7 +49,7 @@
 	}
 }
 
-// withSnapshot returns a copy of the reply that is of another version.
+// withSnapshot returns a copy of the reply with another index version.
 func withSnapshot(reply Reply, snapshot int64) Reply {
 	other := Reply{RequestID: reply.RequestID, Snapshot: snapshot}
 	for _, part := range reply.Parts {
@@ -93,11 +93,11 @@
 		writer.Header()[name] = values
 	}
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	// The client has gone when this fails; there is no one to tell.
+	// An error means that the client disconnected, so there is nowhere to report it.
 	_, _ = writer.Write(body)
 }
 
-// sendRaw writes the reply to the connection itself and breaks it as told.
+// sendRaw writes the reply directly to the connection, with the given fault.
 func (server *Server) sendRaw(writer http.ResponseWriter, reply Reply, kind FaultKind) {
 	whole, err := server.rawReply(reply, writer.Header().Get(headerAttemptID))
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	hijacker, ok := writer.(http.Hijacker)
 	if !ok {
-		http.Error(writer, "connection can not be taken over", http.StatusInternalServerError)
+		http.Error(writer, "connection cannot be hijacked", http.StatusInternalServerError)
 		return
 	}
 	connection, _, err := hijacker.Hijack()
@@ -128,7 +128,7 @@
 	if _, err := connection.Write(append(whole, whole...)); err != nil {
 		return
 	}
-	_ = connection.SetReadDeadline(time.Now().Add(secondReplyLinger))
+	_ = connection.SetReadDeadline(time.Now().Add(duplicateReplyLinger))
 	_, _ = io.Copy(io.Discard, connection)
 }
 
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -13,11 +13,10 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// Server is one stand-in server with a loopback listener of its own.
+// Server is one stand-in server with its own loopback listener.
 //
-// It is built on net/http and not on fasthttp: the stand-in must notice that
-// a client closed its connection while the request runs, which fasthttp does
-// not tell its handlers.
+// It uses net/http instead of fasthttp, because fasthttp does not notify handlers
+// when the client closes its connection while the request runs.
 type Server struct {
 	name     string
 	zone     string
@@ -34,7 +33,7 @@
 	padding  string
 
 	mutex   sync.Mutex
-	source  *rand.Rand
+	rng     *rand.Rand
 	started time.Time
 	address string
 	http    *http.Server
@@ -51,13 +50,13 @@
 		slots:    newSlots(options.Slots, options.Queue),
 		versions: versionSet{limit: options.VersionsHeld},
 		status:   laggingStatus{lag: options.StatusLag},
-		padding:  paddingOf(options.ResultBytes),
-		source:   rand.New(rand.NewPCG(options.Seed, uint64(index))),
+		padding:  makePadding(options.ResultBytes),
+		rng:      rand.New(rand.NewPCG(options.Seed, uint64(index))),
 		address:  "127.0.0.1:0",
 	}
 }
 
-// start listens: first on a free port, after a stop on the same one.
+// start listens on a free port, or, after a stop, on the previous one.
 func (server *Server) start(now time.Time) error {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -86,7 +85,7 @@
 	}
 }
 
-// stop closes the listener and every connection at once, as a crash would.
+// stop closes the listener and all connections immediately, as a crash would.
 func (server *Server) stop() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -105,7 +104,7 @@
 	return mux
 }
 
-// setFault sets or ends the fault of this server.
+// setFault sets or clears the fault of this server.
 func (server *Server) setFault(fault Fault, now time.Time) error {
 	server.faults.set(fault, now)
 	if fault.Kind == FaultDie {
@@ -115,11 +114,11 @@
 	return server.start(now)
 }
 
-// drawServiceTime draws the service time of one sub-request.
+// drawServiceTime returns a random service time for one sub-request.
 func (server *Server) drawServiceTime(now time.Time) time.Duration {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	drawn := server.options.Time.Draw(server.source)
+	drawn := server.options.Time.Draw(server.rng)
 	return time.Duration(float64(drawn) * server.coldFactor(now))
 }
 
@@ -142,7 +141,7 @@
 	}
 }
 
-func (server *Server) count() Counters {
+func (server *Server) currentCounters() Counters {
 	counts := server.counters.snapshot()
 	counts.Server = server.name
 	counts.DrainingSince = server.faults.drainingSince()
--- a/internal/standin/backend/slots.go
+++ b/internal/standin/backend/slots.go
@@ -8,22 +8,22 @@
 
 var errShed = errors.New("slots and queue are full")
 
-// slots are the places of one server: running, and a bounded number waiting.
+// slots is the concurrency limit of one server, with a bounded queue.
 type slots struct {
-	places  chan struct{}
+	sem     chan struct{}
 	waiting atomic.Int64
 	queue   int64
 }
 
 func newSlots(count, queue int) *slots {
-	return &slots{places: make(chan struct{}, count), queue: int64(queue)}
+	return &slots{sem: make(chan struct{}, count), queue: int64(queue)}
 }
 
-// acquire takes a slot. It returns errShed when the queue is full, or the
-// error of ctx when that ended first.
+// acquire takes a slot, waiting in the queue if necessary. It returns errShed if
+// the queue is full, or the error of ctx if that ends first.
 func (slots *slots) acquire(ctx context.Context) error {
 	select {
-	case slots.places <- struct{}{}:
+	case slots.sem <- struct{}{}:
 		return nil
 	default:
 	}
@@ -33,7 +33,7 @@
 	}
 	defer slots.waiting.Add(-1)
 	select {
-	case slots.places <- struct{}{}:
+	case slots.sem <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -41,9 +41,9 @@
 }
 
 func (slots *slots) release() {
-	<-slots.places
+	<-slots.sem
 }
 
 func (slots *slots) running() int {
-	return len(slots.places)
+	return len(slots.sem)
 }
--- a/internal/standin/backend/status.go
+++ b/internal/standin/backend/status.go
@@ -13,25 +13,25 @@
 	Draining  bool    `json:"draining"`
 }
 
-// laggingStatus answers with a view that is up to lag old.
+// laggingStatus caches the load for the duration lag.
 type laggingStatus struct {
-	mutex sync.Mutex
-	lag   time.Duration
-	taken time.Time
-	last  Load
+	mutex   sync.Mutex
+	lag     time.Duration
+	takenAt time.Time
+	cached  Load
 }
 
 func (status *laggingStatus) view(server *Server, now time.Time) Load {
 	status.mutex.Lock()
 	defer status.mutex.Unlock()
-	if status.taken.IsZero() || now.Sub(status.taken) >= status.lag {
-		status.last = server.load(now)
-		status.taken = now
+	if status.takenAt.IsZero() || now.Sub(status.takenAt) >= status.lag {
+		status.cached = server.load(now)
+		status.takenAt = now
 	}
-	return status.last
+	return status.cached
 }
 
-// refusal names why a server refused a sub-request as not run.
+// refusal is the reason why a server rejected a sub-request as not run.
 type refusal string
 
 const (
@@ -46,15 +46,15 @@
 	Server string `json:"server"`
 	// Arrived counts all sub-requests that reached the server.
 	Arrived int `json:"arrived"`
-	// Ran counts those that took a slot.
+	// Ran counts those that acquired a slot.
 	Ran int `json:"ran"`
-	// Refused counts those that were refused as not run, by reason.
+	// Refused counts those that were rejected as not run, by reason.
 	Refused map[refusal]int `json:"refused"`
-	// ConnectionsClosed counts connections over the limit.
+	// ConnectionsClosed counts connections closed because of the limit.
 	ConnectionsClosed int `json:"connectionsClosed"`
 	// LastArrival is when the last sub-request reached the server.
 	LastArrival time.Time `json:"lastArrival,omitzero"`
-	// DrainingSince is when the server began to announce that it is leaving.
+	// DrainingSince is when the server began to announce that it is draining.
 	DrainingSince time.Time `json:"drainingSince,omitzero"`
 }
 
@@ -102,14 +102,14 @@
 	return copied
 }
 
-// previousReply keeps the last reply, to answer another request with it.
+// previousReply keeps the last reply, for use as the answer to another request.
 type previousReply struct {
 	mutex sync.Mutex
 	reply Reply
 }
 
-// swap keeps the reply and returns the one before. With none before, it returns
-// one of a request that never was.
+// swap stores the reply and returns the previous one, or, if there is none, one for
+// a request that does not exist.
 func (previous *previousReply) swap(reply Reply, server string) Reply {
 	previous.mutex.Lock()
 	defer previous.mutex.Unlock()
--- a/internal/standin/backend/version.go
+++ b/internal/standin/backend/version.go
@@ -8,20 +8,20 @@
 
 // Version is one version of the index.
 type Version struct {
-	// Snapshot is its number, from 1.
+	// Snapshot is the version number, starting at 1.
 	Snapshot int64 `json:"snapshot"`
-	// Partitions is its number of shards.
+	// Partitions is the number of shards.
 	Partitions int `json:"partitions"`
 }
 
-// versionSet is what one server holds, oldest first.
+// versionSet holds the versions of one server, oldest first.
 type versionSet struct {
 	mutex sync.Mutex
 	limit int
 	held  []Version
 }
 
-// add takes a version in and drops the oldest over the limit.
+// add appends a version and drops the oldest over the limit.
 func (set *versionSet) add(version Version) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -31,8 +31,8 @@
 	}
 }
 
-// find returns the version of that number and partition count. Number 0 means
-// the newest of that partition count.
+// find returns the version with the given number and partition count. Number 0
+// selects the newest with that partition count.
 func (set *versionSet) find(snapshot int64, partitions int) (Version, bool) {
 	set.mutex.Lock()
 	defer set.mutex.Unlock()
@@ -45,7 +45,7 @@
 	return Version{}, false
 }
 
-// other returns the number of a version that is not the given one.
+// other returns the number of a version other than the given one.
 func (set *versionSet) other(snapshot int64) int64 {
 	for _, held := range set.snapshots() {
 		if held != snapshot {
