--- a/internal/standin/platform/admin.go
+++ b/internal/standin/platform/admin.go
@@ -44,7 +44,7 @@
 	writeJSON(request, http.StatusOK, server.Stats())
 }
 
-// decodeAdmin reads the body, refusing fields that do not exist.
+// decodeAdmin decodes the body and rejects unknown fields.
 func decodeAdmin(request *fasthttp.RequestCtx, value any) bool {
 	decoder := json.NewDecoder(bytes.NewReader(request.PostBody()))
 	decoder.DisallowUnknownFields()
--- a/internal/standin/platform/admin_test.go
+++ b/internal/standin/platform/admin_test.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// TestAdminSwitches sets faults and machines over HTTP and reads the counts.
-func TestAdminSwitches(t *testing.T) {
+// TestAdminEndpoints sets faults and machines over HTTP and reads the counters.
+func TestAdminEndpoints(t *testing.T) {
 	is := is.New(t)
 	server := NewServer(Options{})
 	defer func() { _ = server.Stop() }()
--- a/internal/standin/platform/doc.go
+++ b/internal/standin/platform/doc.go
@@ -1,2 +1,2 @@
-// Package platform is a stand-in for the platform: Object API and machine list.
+// Package platform is a stand-in for the platform's Object API and machine list.
 package platform
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -7,48 +7,49 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// Faults are the faults in force. The zero value is a healthy platform.
+// Faults are the injected faults. The zero value is a healthy platform.
 type Faults struct {
 	// Resource restricts the faults to "queryservices" or "leases"; empty means both.
 	Resource string `json:"resource,omitempty"`
-	// Client restricts the faults to the client of that name; empty means all.
+	// Client restricts the faults to the client with that name; empty means all.
 	Client string `json:"client,omitempty"`
-	// Refuse answers every request with 503, nothing applied.
+	// Refuse responds 503 to every request without applying it.
 	Refuse bool `json:"refuse,omitempty"`
 	// Hang accepts requests and neither applies nor answers them until cleared.
 	Hang bool `json:"hang,omitempty"`
 	// HangWrites is Hang for writes only.
 	HangWrites bool `json:"hangWrites,omitempty"`
-	// HoldWatches keeps events back, though not bookmarks, until cleared.
+	// HoldWatches holds back events, but not bookmarks, until cleared.
 	HoldWatches bool `json:"holdWatches,omitempty"`
-	// Delay passes before a request is applied; a client may have given up by then.
+	// Delay is the time before a request is applied; the client may have timed out by then.
 	Delay v1.Duration `json:"delay,omitempty"`
-	// DropReplies closes the connection in place of the reply to the next so
-	// many writes, after they took effect.
+	// DropReplies is the number of writes to apply, closing the connection instead of
+	// responding.
 	DropReplies int `json:"dropReplies,omitempty"`
-	// DropRequests closes the connection on the next so many writes, nothing applied.
+	// DropRequests is the number of writes to drop by closing the connection without
+	// applying them.
 	DropRequests int `json:"dropRequests,omitempty"`
-	// CutWatches ends every open watch once.
+	// CutWatches ends all open watches once.
 	CutWatches bool `json:"cutWatches,omitempty"`
-	// CompactHistory drops the history once: older watches get 410.
+	// CompactHistory drops the history once: watches from older versions get 410.
 	CompactHistory bool `json:"compactHistory,omitempty"`
 }
 
-// faultSwitch holds the faults and what is needed to act on them.
-type faultSwitch struct {
+// faultControl holds the faults and signals their changes.
+type faultControl struct {
 	mutex  sync.Mutex
 	faults Faults
-	// replaced is closed when other faults come into force.
-	replaced chan struct{}
+	// changed is closed when the faults change.
+	changed chan struct{}
 	// cut is closed to end the open watches.
 	cut chan struct{}
 }
 
-func newFaultSwitch() *faultSwitch {
-	return &faultSwitch{replaced: make(chan struct{}), cut: make(chan struct{})}
+func newFaultControl() *faultControl {
+	return &faultControl{changed: make(chan struct{}), cut: make(chan struct{})}
 }
 
-func (control *faultSwitch) set(faults Faults) {
+func (control *faultControl) set(faults Faults) {
 	control.mutex.Lock()
 	defer control.mutex.Unlock()
 	if faults.CutWatches {
@@ -58,23 +59,23 @@
 	faults.CutWatches = false
 	faults.CompactHistory = false
 	control.faults = faults
-	close(control.replaced)
-	control.replaced = make(chan struct{})
+	close(control.changed)
+	control.changed = make(chan struct{})
 }
 
-func (control *faultSwitch) current() Faults {
+func (control *faultControl) current() Faults {
 	control.mutex.Lock()
 	defer control.mutex.Unlock()
 	return control.faults
 }
 
-func (control *faultSwitch) watchesCut() <-chan struct{} {
+func (control *faultControl) watchCut() <-chan struct{} {
 	control.mutex.Lock()
 	defer control.mutex.Unlock()
 	return control.cut
 }
 
-// faultPlan is what happens to one request.
+// faultPlan is the fault injected into one request.
 type faultPlan struct {
 	refuse      bool
 	delay       time.Duration
@@ -82,9 +83,9 @@
 	dropReply   bool
 }
 
-// plan waits while the platform hangs, and uses up one of the counted faults
-// for a write.
-func (control *faultSwitch) plan(resource, client string, write bool) faultPlan {
+// plan blocks while the platform hangs. For a write, it consumes one of the
+// counted faults.
+func (control *faultControl) plan(resource, client string, write bool) faultPlan {
 	for {
 		plan, wait := control.try(resource, client, write)
 		if wait == nil {
@@ -94,15 +95,15 @@
 	}
 }
 
-func (control *faultSwitch) try(resource, client string, write bool) (faultPlan, <-chan struct{}) {
+func (control *faultControl) try(resource, client string, write bool) (faultPlan, <-chan struct{}) {
 	control.mutex.Lock()
 	defer control.mutex.Unlock()
 	faults := &control.faults
-	if !faults.concern(resource, client) {
+	if !faults.matches(resource, client) {
 		return faultPlan{}, nil
 	}
 	if faults.Hang || (faults.HangWrites && write) {
-		return faultPlan{}, control.replaced
+		return faultPlan{}, control.changed
 	}
 	plan := faultPlan{refuse: faults.Refuse, delay: time.Duration(faults.Delay)}
 	if plan.refuse || !write {
@@ -119,16 +120,16 @@
 	return plan, nil
 }
 
-// holdsWatch tells whether events are kept back, and returns a channel closed
-// when other faults come into force.
-func (control *faultSwitch) holdsWatch(resource, client string) (bool, <-chan struct{}) {
+// watchHeld reports whether events are held back, and returns a channel that is
+// closed when the faults change.
+func (control *faultControl) watchHeld(resource, client string) (bool, <-chan struct{}) {
 	control.mutex.Lock()
 	defer control.mutex.Unlock()
 	faults := &control.faults
-	return faults.HoldWatches && faults.concern(resource, client), control.replaced
+	return faults.HoldWatches && faults.matches(resource, client), control.changed
 }
 
-func (faults *Faults) concern(resource, client string) bool {
+func (faults *Faults) matches(resource, client string) bool {
 	if faults.Resource != "" && faults.Resource != resource {
 		return false
 	}
--- a/internal/standin/platform/machines.go
+++ b/internal/standin/platform/machines.go
@@ -23,16 +23,16 @@
 	State   MachineState `json:"state"`
 }
 
-// MachineList is the answer of GET /machines.
+// MachineList is the response body of GET /machines.
 type MachineList struct {
 	Machines []Machine `json:"machines"`
 }
 
-// laggingMachines shows a new list only after the lag.
+// laggingMachines publishes a new list only after the lag.
 type laggingMachines struct {
 	mutex   sync.Mutex
 	lag     time.Duration
-	shown   []Machine
+	current []Machine
 	pending []pendingMachines
 }
 
@@ -51,10 +51,10 @@
 	list.mutex.Lock()
 	defer list.mutex.Unlock()
 	for len(list.pending) > 0 && !list.pending[0].visibleAt.After(now) {
-		list.shown = list.pending[0].machines
+		list.current = list.pending[0].machines
 		list.pending = list.pending[1:]
 	}
-	machines := list.shown
+	machines := list.current
 	if machines == nil {
 		machines = []Machine{}
 	}
--- a/internal/standin/platform/object.go
+++ b/internal/standin/platform/object.go
@@ -8,8 +8,8 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// object is any resource: the stand-in looks at the metadata only, and tells a
-// change of the spec by its bytes.
+// object is a resource of any kind: the stand-in interprets only the metadata, and
+// compares specs byte by byte.
 type object struct {
 	APIVersion string          `json:"apiVersion"`
 	Kind       string          `json:"kind"`
@@ -18,7 +18,7 @@
 	Status     json.RawMessage `json:"status,omitempty"`
 }
 
-// list is the answer to a request for all objects of one kind.
+// list is the response to a list request.
 type list struct {
 	Kind     string       `json:"kind"`
 	Metadata listMetadata `json:"metadata"`
@@ -45,7 +45,7 @@
 	eventError    eventType = "ERROR"
 )
 
-// statusError is a refusal in the form of the Kubernetes conventions.
+// statusError is an error response that follows the Kubernetes conventions.
 type statusError struct {
 	Kind    string `json:"kind"`
 	Code    int    `json:"code"`
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -18,24 +18,24 @@
 	pathObject            = pathResource + "/{name}"
 	pathStatus            = pathObject + "/status"
 	maxBodyBytes          = 8 << 20
-	// DefaultBookmarkInterval is the time between bookmarks on a silent watch.
+	// DefaultBookmarkInterval is the time between bookmarks on an idle watch.
 	DefaultBookmarkInterval = time.Second
 )
 
 // Options configure a Server.
 type Options struct {
-	// Machines is the first machine list, visible at once.
+	// Machines is the initial machine list, visible immediately.
 	Machines []Machine
-	// MachineLag passes until a later machine list is visible.
+	// MachineLag is the delay until a later machine list is visible.
 	MachineLag time.Duration
 	// BookmarkInterval is the time between bookmarks; zero means the default.
 	BookmarkInterval time.Duration
 }
 
-// Server is the stand-in. It keeps everything in memory.
+// Server is the stand-in. It keeps all state in memory.
 type Server struct {
 	store     *store
-	faults    *faultSwitch
+	faults    *faultControl
 	stats     *statistics
 	machines  *laggingMachines
 	bookmarks time.Duration
@@ -44,16 +44,16 @@
 	stopped   chan struct{}
 }
 
-// NewServer returns a stand-in that serves nothing yet.
+// NewServer returns a stand-in that does not listen yet.
 func NewServer(options Options) *Server {
 	server := &Server{
 		store: newStore(map[string]string{
 			resourceQueryServices: "QueryService",
 			resourceLeases:        "Lease",
 		}),
-		faults:    newFaultSwitch(),
+		faults:    newFaultControl(),
 		stats:     newStatistics(),
-		machines:  &laggingMachines{lag: options.MachineLag, shown: options.Machines},
+		machines:  &laggingMachines{lag: options.MachineLag, current: options.Machines},
 		bookmarks: options.BookmarkInterval,
 		stopped:   make(chan struct{}),
 	}
@@ -75,24 +75,24 @@
 	}
 }
 
-// Serve answers clients until Stop.
+// Serve handles client requests until Stop.
 func (server *Server) Serve(listener net.Listener) error {
 	return server.public.Serve(listener)
 }
 
-// ServeAdmin answers the fault switches until Stop.
+// ServeAdmin handles requests to inject faults until Stop.
 func (server *Server) ServeAdmin(listener net.Listener) error {
 	return server.admin.Serve(listener)
 }
 
-// Stop ends the watches and closes the listeners. It is called once.
+// Stop ends the watches and closes the listeners. It must be called only once.
 func (server *Server) Stop() error {
 	close(server.stopped)
 	server.SetFaults(Faults{})
 	return errors.Join(server.public.Shutdown(), server.admin.Shutdown())
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (server *Server) SetFaults(faults Faults) {
 	if faults.CompactHistory {
 		server.store.compact()
@@ -100,12 +100,12 @@
 	server.faults.set(faults)
 }
 
-// Faults returns the faults in force, counted ones with what is left of them.
+// Faults returns the current faults, with the remaining counts of counted ones.
 func (server *Server) Faults() Faults {
 	return server.faults.current()
 }
 
-// Stats returns the counts by client name.
+// Stats returns the counters by client name.
 func (server *Server) Stats() map[string]ClientStats {
 	return server.stats.snapshot()
 }
@@ -184,7 +184,7 @@
 	writeJSON(request, http.StatusOK, server.machines.visible(time.Now()))
 }
 
-// answer applies the faults, runs the operation, counts it and writes its result.
+// answer applies the faults, runs and counts the operation, and writes its result.
 func (server *Server) answer(request *fasthttp.RequestCtx, write bool, operate func(resource string) (any, *statusError)) {
 	resource := pathValue(request, "resource")
 	client := string(request.Request.Header.Peek(ClientHeader))
@@ -198,7 +198,7 @@
 	})
 	plan := server.faults.plan(resource, client, write)
 	server.stats.record(client, func(stats *ClientStats) { stats.Waiting-- })
-	if !server.pass(request, plan) {
+	if !server.applyPlan(request, plan) {
 		return
 	}
 	result, failure := operate(resource)
@@ -213,8 +213,9 @@
 	writeJSON(request, http.StatusOK, result)
 }
 
-// pass tells whether the operation may run; if not, it has been answered.
-func (server *Server) pass(request *fasthttp.RequestCtx, plan faultPlan) bool {
+// applyPlan injects the planned fault. It reports whether the operation may run; if
+// not, the request has been handled.
+func (server *Server) applyPlan(request *fasthttp.RequestCtx, plan faultPlan) bool {
 	if plan.refuse {
 		writeJSON(request, http.StatusServiceUnavailable,
 			newStatusError(http.StatusServiceUnavailable, "ServiceUnavailable", "the store is down"))
@@ -237,8 +238,8 @@
 	writeJSON(request, failure.Code, failure)
 }
 
-// decodeObject reads a resource, with its spec in one canonical form so that
-// a mere change of notation is no change of the spec.
+// decodeObject decodes a resource. Spec and status are brought into canonical form,
+// so that different formatting does not count as a change.
 func decodeObject(body []byte) (object, *statusError) {
 	var wanted object
 	if err := json.Unmarshal(body, &wanted); err != nil {
--- a/internal/standin/platform/stats.go
+++ b/internal/standin/platform/stats.go
@@ -2,25 +2,25 @@
 
 import "sync"
 
-// ClientHeader is the request header by which a client gives its name.
+// ClientHeader is the request header that carries the client's name.
 const ClientHeader = "Driftstage-Client"
 
-// ClientStats counts what one client did.
+// ClientStats are the counters of one client.
 type ClientStats struct {
-	// Reads counts lists and gets, Watches the watches begun.
+	// Reads counts lists and gets, Watches the watches started.
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
-	// OpenWatches is the number of watches open now. A watch that the client
-	// left is noticed at the next event or bookmark.
+	// OpenWatches is the number of open watches. A watch closed by the client
+	// is counted until the next event or bookmark.
 	OpenWatches int `json:"openWatches"`
-	// Waiting is the number of requests held by a hang now.
+	// Waiting is the number of requests currently blocked by Hang or HangWrites.
 	Waiting int `json:"waiting"`
-	// Conflicts counts refusals with 409.
+	// Conflicts counts responses with 409.
 	Conflicts int64 `json:"conflicts"`
 }
 
-// statistics counts by the client's name.
+// statistics holds the counters by client name.
 type statistics struct {
 	mutex   sync.Mutex
 	clients map[string]*ClientStats
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -9,8 +9,7 @@
 	"time"
 )
 
-// store holds every object with its history. Versions are one counter over all
-// kinds.
+// store holds all objects and their history. All kinds share one version counter.
 type store struct {
 	mutex   sync.Mutex
 	version int64
@@ -23,9 +22,9 @@
 	kind    string
 	objects map[string]*object
 	history []change
-	// floor is the version up to which the history was dropped.
-	floor int64
-	// changed is closed, and made anew, at every change.
+	// compactedThrough is the version up to which the history was dropped.
+	compactedThrough int64
+	// changed is closed and replaced at every change.
 	changed chan struct{}
 }
 
@@ -96,7 +95,7 @@
 	return store.put(kind, &wanted, eventAdded), nil
 }
 
-// update replaces spec and finalizers; the status stays as it is.
+// update replaces spec and finalizers, and leaves the status unchanged.
 func (store *store) update(resource, name string, wanted object) (*object, *statusError) {
 	return store.replace(resource, name, wanted, func(current object) object {
 		if !bytes.Equal(current.Spec, wanted.Spec) {
@@ -108,7 +107,7 @@
 	})
 }
 
-// updateStatus replaces the status alone.
+// updateStatus replaces only the status.
 func (store *store) updateStatus(resource, name string, wanted object) (*object, *statusError) {
 	return store.replace(resource, name, wanted, func(current object) object {
 		current.Status = wanted.Status
@@ -151,8 +150,8 @@
 	return nil
 }
 
-// delete removes the object, or marks it while it has finalizers. An empty
-// version deletes whatever is there.
+// delete removes the object, or marks it as deleted while it has finalizers. An
+// empty version matches any.
 func (store *store) delete(resource, name, version string, now time.Time) (*object, *statusError) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -194,27 +193,27 @@
 	return edited
 }
 
-// maxHistory bounds the events kept for watches.
+// maxHistory is the number of events per kind kept for watches.
 const maxHistory = 10_000
 
-func (kind *collection) record(version int64, happened event) {
-	kind.history = append(kind.history, change{version: version, event: happened})
+func (kind *collection) record(version int64, e event) {
+	kind.history = append(kind.history, change{version: version, event: e})
 	if len(kind.history) > maxHistory {
-		kind.floor = kind.history[0].version
+		kind.compactedThrough = kind.history[0].version
 		kind.history = kind.history[1:]
 	}
 	close(kind.changed)
 	kind.changed = make(chan struct{})
 }
 
-// since returns the events after a version, the newest version, and a channel
-// closed at the next change. It fails when the version is too old.
-func (store *store) since(resource string, version int64) ([]event, int64, <-chan struct{}, *statusError) {
+// eventsSince returns the events after a version, the newest version, and a channel
+// closed at the next change. It fails if the version is too old.
+func (store *store) eventsSince(resource string, version int64) ([]event, int64, <-chan struct{}, *statusError) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	kind := store.kinds[resource]
-	if version < kind.floor {
-		return nil, 0, nil, gone("version %d is too old, the oldest is %d", version, kind.floor)
+	if version < kind.compactedThrough {
+		return nil, 0, nil, gone("version %d is too old, the oldest is %d", version, kind.compactedThrough)
 	}
 	first := sort.Search(len(kind.history), func(i int) bool { return kind.history[i].version > version })
 	events := make([]event, 0, len(kind.history)-first)
@@ -224,14 +223,14 @@
 	return events, store.version, kind.changed, nil
 }
 
-// compact drops the whole history, so that a watch from before fails with 410.
+// compact drops the whole history, so that a watch from an earlier version gets 410.
 func (store *store) compact() {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.version++
 	for _, kind := range store.kinds {
 		kind.history = nil
-		kind.floor = store.version
+		kind.compactedThrough = store.version
 	}
 }
 
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -10,12 +10,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// handleWatch streams the events after a version, one JSON object a line.
+// handleWatch streams the events after a version, one JSON object per line.
 func (server *Server) handleWatch(request *fasthttp.RequestCtx) {
 	resource := pathValue(request, "resource")
 	client := string(request.Request.Header.Peek(ClientHeader))
 	server.stats.record(client, func(stats *ClientStats) { stats.Watches++ })
-	if !server.pass(request, server.faults.plan(resource, client, false)) {
+	if !server.applyPlan(request, server.faults.plan(resource, client, false)) {
 		return
 	}
 	version, err := strconv.ParseInt(string(request.QueryArgs().Peek("resourceVersion")), 10, 64)
@@ -23,11 +23,11 @@
 		server.writeFailure(request, client, badRequest("resourceVersion must be a number"))
 		return
 	}
-	if _, _, _, failure := server.store.since(resource, version); failure != nil {
+	if _, _, _, failure := server.store.eventsSince(resource, version); failure != nil {
 		server.writeFailure(request, client, failure)
 		return
 	}
-	cut := server.faults.watchesCut()
+	cut := server.faults.watchCut()
 	request.SetStatusCode(http.StatusOK)
 	request.SetContentType("application/json")
 	request.SetConnectionClose()
@@ -52,12 +52,12 @@
 func (stream *watchStream) run() {
 	bookmarks := time.NewTicker(stream.server.bookmarks)
 	defer bookmarks.Stop()
-	// The first bookmark carries the headers out at once.
+	// The first bookmark flushes the response headers immediately.
 	if !stream.sendBookmark() {
 		return
 	}
 	for {
-		changed, open := stream.sendNew()
+		changed, open := stream.sendEvents()
 		if !open {
 			return
 		}
@@ -75,13 +75,14 @@
 	}
 }
 
-// sendNew sends what is new, and returns false when the stream is over.
-func (stream *watchStream) sendNew() (<-chan struct{}, bool) {
-	stream.awaitFaults()
-	if held, replaced := stream.server.faults.holdsWatch(stream.resource, stream.client); held {
+// sendEvents sends new events. It returns a channel closed at the next change, and
+// false if the stream has ended.
+func (stream *watchStream) sendEvents() (<-chan struct{}, bool) {
+	stream.applyFaults()
+	if held, replaced := stream.server.faults.watchHeld(stream.resource, stream.client); held {
 		return replaced, true
 	}
-	events, version, changed, failure := stream.server.store.since(stream.resource, stream.version)
+	events, version, changed, failure := stream.server.store.eventsSince(stream.resource, stream.version)
 	if failure != nil {
 		stream.send(event{Type: eventError, Object: failure})
 		return nil, false
@@ -95,8 +96,8 @@
 	return changed, true
 }
 
-// awaitFaults holds events back while the platform hangs or is slow.
-func (stream *watchStream) awaitFaults() {
+// applyFaults delays events while the platform hangs or is slow.
+func (stream *watchStream) applyFaults() {
 	plan := stream.server.faults.plan(stream.resource, stream.client, false)
 	time.Sleep(plan.delay)
 }
