--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -12,48 +12,48 @@
 	"time"
 )
 
-// result is what a caller saw of one request.
-type result struct {
+// callResult is the outcome of one request as seen by its caller.
+type callResult struct {
 	id     string
 	path   string
 	node   *node
 	sent   time.Time
 	ended  time.Time
-	status int // 0 without an answer
+	status int // 0 for no response
 	header http.Header
 	body   []byte
-	// dialed tells whether the connection came up, reused whether it had carried another
+	// dialed is set if the connection was established, reused if it had carried another
 	// request before.
 	dialed, reused bool
 }
 
-// callers send requests and keep what they saw.
+// callers send requests and store the results.
 type callers struct {
 	nodes  []*node
 	random *lockedRandom
 
 	mutex   sync.Mutex
 	count   int
-	results []result
+	results []callResult
 }
 
 const (
 	callerWait    = 4 * time.Second
 	callerPause   = 15 * time.Millisecond
 	callerWorkers = 6
-	// badInterval is the time between two requests under which servers end, of badRequests
-	// different ones.
-	badInterval = 300 * time.Millisecond
-	badRequests = 3
+	// crashingInterval is the time between two requests that crash servers, crashingRequests the
+	// number of different ones.
+	crashingInterval = 300 * time.Millisecond
+	crashingRequests = 3
 )
 
-// run sends requests until done is closed. Each worker keeps its connections as long as the
-// nodes do, and opens a new one for every fourth request.
+// run sends requests until done is closed. Each worker reuses its connections until the nodes
+// close them, and opens a new one for every fourth request.
 func (callers *callers) run(done <-chan struct{}) {
 	var group sync.WaitGroup
 	for range callerWorkers {
 		group.Go(func() {
-			kept := make(keptConnections)
+			kept := make(connectionPool)
 			defer kept.close()
 			for {
 				select {
@@ -68,7 +68,7 @@
 	group.Wait()
 }
 
-func (callers *callers) send(kept keptConnections) {
+func (callers *callers) send(kept connectionPool) {
 	callers.mutex.Lock()
 	callers.count++
 	count := callers.count
@@ -82,51 +82,51 @@
 	callers.keep(kept.ask(target, path, id))
 }
 
-// runBad sends a few requests under which servers end, again and again, until done is closed.
-func (callers *callers) runBad(done <-chan struct{}, random *lockedRandom) {
+// runCrashing repeatedly sends a few requests that crash servers until done is closed.
+func (callers *callers) runCrashing(done <-chan struct{}, random *lockedRandom) {
 	for count := 0; ; count++ {
 		select {
 		case <-done:
 			return
-		case <-time.After(badInterval):
+		case <-time.After(crashingInterval):
 		}
-		path := fmt.Sprint(pathGather, lethalPrefix, random.IntN(badRequests))
+		path := fmt.Sprint(pathGather, crashPrefix, random.IntN(crashingRequests))
 		target := callers.nodes[random.IntN(len(callers.nodes))]
 		callers.keep(ask(target, path, fmt.Sprint("bad-", count)))
 	}
 }
 
-func (callers *callers) keep(seen result) {
+func (callers *callers) keep(seen callResult) {
 	callers.mutex.Lock()
 	defer callers.mutex.Unlock()
 	callers.results = append(callers.results, seen)
 }
 
-// keptConnection is one that a caller has to a node.
-type keptConnection struct {
+// pooledConnection is a keep-alive connection of a caller to a node.
+type pooledConnection struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// keptConnections are those of one worker.
-type keptConnections map[*node]*keptConnection
+// connectionPool holds the connections of one worker by node.
+type connectionPool map[*node]*pooledConnection
 
-func (k keptConnections) drop(target *node) {
+func (k connectionPool) drop(target *node) {
 	if conn := k[target]; conn != nil {
 		conn.Close()
 		delete(k, target)
 	}
 }
 
-func (k keptConnections) close() {
+func (k connectionPool) close() {
 	for target := range k {
 		k.drop(target)
 	}
 }
 
-// ask sends one request on the connection that is kept to the node, or on a new one.
-func (k keptConnections) ask(target *node, path, id string) (seen result) {
-	seen = result{id: id, path: path, node: target, sent: time.Now()}
+// ask sends one request on the pooled connection to the node, or on a new one.
+func (k connectionPool) ask(target *node, path, id string) (seen callResult) {
+	seen = callResult{id: id, path: path, node: target, sent: time.Now()}
 	defer func() { seen.ended = time.Now() }()
 	conn := k[target]
 	seen.reused = conn != nil
@@ -135,7 +135,7 @@
 		if err != nil {
 			return seen
 		}
-		conn = &keptConnection{Conn: opened, reader: bufio.NewReader(opened)}
+		conn = &pooledConnection{Conn: opened, reader: bufio.NewReader(opened)}
 		k[target] = conn
 	}
 	seen.dialed = true
@@ -145,9 +145,9 @@
 	return seen
 }
 
-// exchange sends the request and reads its answer. It reports whether the connection may
-// carry another one.
-func (c *keptConnection) exchange(seen *result) bool {
+// exchange sends the request and reads the response. It reports whether the connection can be
+// reused.
+func (c *pooledConnection) exchange(seen *callResult) bool {
 	_ = c.SetDeadline(time.Now().Add(callerWait))
 	_, err := fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Identifier: %s\r\nX-Request-Deadline: %s\r\n\r\n",
 		seen.path, host, seen.id, strconv.FormatInt(callerWait.Milliseconds(), 10))
@@ -167,9 +167,9 @@
 	return !response.Close
 }
 
-// ask sends one request on a connection of its own.
-func ask(target *node, path, id string) result {
-	kept := make(keptConnections)
+// ask sends one request on a new connection.
+func ask(target *node, path, id string) callResult {
+	kept := make(connectionPool)
 	defer kept.close()
 	return kept.ask(target, path, id)
 }
--- a/test/soak/doc_test.go
+++ b/test/soak/doc_test.go
@@ -1,9 +1,9 @@
 // Package soak runs driftrouter as separate processes between callers and
-// stand-ins of the platform, injects faults from outside (signals, a store and
-// servers that misbehave) at random, and checks the promises of the pages by what
-// callers and servers see.
+// stand-ins for the platform, injects random faults from outside (signals, and
+// faults of the store, the servers and the links), and checks the documented
+// guarantees against what callers received and servers ran.
 //
-//	go test ./test/soak                                    a short run, fixed seed
-//	go test ./test/soak -run 'TestSoak$' -soak 5m -seed 0  a long one, fresh seed
-//	go test ./test/soak -run TestServersEnd -ending-full   all rows of requests under which servers end
+//	go test ./test/soak                                    a short run with a fixed seed
+//	go test ./test/soak -run 'TestSoak$' -soak 5m -seed 0  a long run with a random seed
+//	go test ./test/soak -run TestServersEnd -ending-full   all rows of the crash tables
 package soak
--- a/test/soak/drill_test.go
+++ b/test/soak/drill_test.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// drillAge is how old the copy is from which the store comes back, drillServers how many servers
-	// start in that time.
-	drillAge     = 3 * time.Second
-	drillServers = 3
-	// drillBound is the time from the operator's word in the new era until all nodes have it in force.
-	drillBound = 3 * time.Second
-	// drillRetries is the part of all requests that may be sent once more, as the nodes' settings have
-	// it, drillSlack how many besides.
-	drillRetries = 0.3
-	drillSlack   = 60
+	// backupAge is the age of the backup when the store is restored from it, serversSinceBackup the
+	// number of servers started since the backup.
+	backupAge          = 3 * time.Second
+	serversSinceBackup = 3
+	// convergenceBound is the time from the operator's write in the new era until all nodes have
+	// applied it.
+	convergenceBound = 3 * time.Second
+	// retryRatio and retrySlack are the retry budget in the nodes' settings: extra sends allowed per
+	// request, and in addition to that.
+	retryRatio = 0.3
+	retrySlack = 60
 )
 
-// TestRestoredStoreCostsNothing plays one drill with nodes and servers that have no other trouble. Guards
-// against requests that are refused or fail because of it, retries beyond the budget, and configurations
-// that are late.
+// TestRestoredStoreCostsNothing restores the store from a backup, without other faults. Guards against
+// requests that are rejected or fail because of it, retries beyond the budget, and late
+// configurations.
 func TestRestoredStoreCostsNothing(t *testing.T) {
 	sizes := []int{5}
 	if *tableFull {
@@ -32,13 +33,13 @@
 	}
 	for _, nodes := range sizes {
 		for _, away := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
-			t.Run(fmt.Sprintf("%d nodes, away %v", nodes, away), func(t *testing.T) { drill(t, nodes, away) })
+			t.Run(fmt.Sprintf("%d nodes, away %v", nodes, away), func(t *testing.T) { restoreUnderLoad(t, nodes, away) })
 		}
 	}
 }
 
-func drill(t *testing.T, nodes int, away time.Duration) {
-	world := newEndingWorld(t, endingLayout{nodes: nodes, shards: 10, oneRegion: nodes > 9})
+func restoreUnderLoad(t *testing.T, nodes int, away time.Duration) {
+	world := newCrashWorld(t, crashTopology{nodes: nodes, shards: 10, oneRegion: nodes > 9})
 	defer world.close()
 	world.store.TellEra()
 	senders := &callers{nodes: world.nodes, random: newRandom(1)}
@@ -47,42 +48,42 @@
 	group.Go(func() { senders.run(done) })
 	time.Sleep(2 * time.Second)
 	from := world.store.Copy()
-	world.operate(2)
-	for zone := range drillServers {
-		world.serve(whole, zone, "")
+	world.writeVersion(2)
+	for zone := range serversSinceBackup {
+		world.serve(singleService, zone, "")
 	}
-	time.Sleep(drillAge)
+	time.Sleep(backupAge)
 	world.awaitVersion(2)
 	calls := world.store.Calls("list") + world.store.Calls("watch") + world.store.Calls("stale watch")
 	world.store.SetFaults(standin.StoreFaults{Unavailable: true})
 	time.Sleep(away)
 	world.store.Restore(from)
 	world.store.SetFaults(standin.StoreFaults{})
-	world.operate(3)
+	world.writeVersion(3)
 	took := world.awaitVersion(3)
-	time.AfterFunc(serversSay/2, func() { world.store.SayAgain("servers") })
+	time.AfterFunc(serversRewriteWithin/2, func() { world.store.SayAgain("servers") })
 	time.Sleep(5*time.Second - took)
 	calls = world.store.Calls("list") + world.store.Calls("watch") + world.store.Calls("stale watch") - calls
 	close(done)
 	group.Wait()
-	world.reportDrill(senders.results, took, calls)
+	world.checkRestore(senders.results, took, calls)
 }
 
-// operate writes a version that has a route of its own.
-func (w *endingWorld) operate(version uint64) {
+// writeVersion writes a configuration version with a route specific to it.
+func (w *crashWorld) writeVersion(version uint64) {
 	own := &world{version: version}
-	route := standin.Route{Name: "own", Host: host, PathPrefix: own.versionPath(), Kind: "safe", TimeoutMs: 4000, TargetLatencyMs: 250, MaxAttempts: 3, Service: whole}
+	route := standin.Route{Name: "own", Host: host, PathPrefix: own.versionPath(), Kind: "safe", TimeoutMs: 4000, TargetLatencyMs: 250, MaxAttempts: 3, Service: singleService}
 	w.configureWith(version, route)
 }
 
 // awaitVersion waits until all nodes serve the version and returns how long that took.
-func (w *endingWorld) awaitVersion(version uint64) time.Duration {
+func (w *crashWorld) awaitVersion(version uint64) time.Duration {
 	begun := time.Now()
 	own := &world{version: version}
 	var group sync.WaitGroup
 	for _, node := range w.nodes {
 		group.Go(func() {
-			for time.Since(begun) < 2*drillBound && ask(node, own.versionPath(), "version").status != 200 {
+			for time.Since(begun) < 2*convergenceBound && ask(node, own.versionPath(), "version").status != 200 {
 				time.Sleep(5 * time.Millisecond)
 			}
 		})
@@ -91,7 +92,7 @@
 	return time.Since(begun)
 }
 
-func (w *endingWorld) reportDrill(seen []result, took time.Duration, calls int) {
+func (w *crashWorld) checkRestore(seen []callResult, took time.Duration, calls int) {
 	byAnswer := make(map[string]int)
 	for _, result := range seen {
 		if result.status != 200 {
@@ -104,16 +105,16 @@
 	if len(byAnswer) > 0 {
 		w.Errorf("requests were not served: %v", byAnswer)
 	}
-	if took > drillBound {
+	if took > convergenceBound {
 		w.Errorf("the version was in force everywhere after %v", took)
 	}
-	if float64(runs) > (1+drillRetries)*float64(asked)+drillSlack {
+	if float64(runs) > (1+retryRatio)*float64(asked)+retrySlack {
 		w.Errorf("%d sends for %d parts", runs, asked)
 	}
 }
 
-// runsOf returns how many requests servers ran, and how many parts callers asked for.
-func (w *endingWorld) runsOf(seen []result) (runs, parts int) {
+// runsOf returns how many of the requests servers ran, and how many parts callers requested.
+func (w *crashWorld) runsOf(seen []callResult) (runs, parts int) {
 	known := make(map[string]bool, len(seen))
 	for _, result := range seen {
 		known[result.id] = true
--- a/test/soak/ending_table_test.go
+++ b/test/soak/ending_table_test.go
@@ -13,126 +13,127 @@
 )
 
 var (
-	tableSeeds = flag.Int("ending-seeds", 1, "seeds of each row of the tables of requests under which servers end")
-	tableFull  = flag.Bool("ending-full", false, "play all rows of these tables, large fleets too")
+	tableSeeds = flag.Int("ending-seeds", 1, "seeds for each row of the crash tables")
+	tableFull  = flag.Bool("ending-full", false, "run all rows of the crash tables, including large fleets")
 )
 
 const (
-	// badPause is that between two tries of the caller of a bad request.
-	badPause = 100 * time.Millisecond
-	// againCallers send the same sound request again and again, each againPause.
-	againCallers = 6
-	againPause   = 40 * time.Millisecond
+	// crashingPause is the pause between two attempts of the caller of a crashing request.
+	crashingPause = 100 * time.Millisecond
+	// repeatCallers is the number of callers that send the same harmless request repeatedly, with
+	// repeatPause between two attempts.
+	repeatCallers = 6
+	repeatPause   = 40 * time.Millisecond
 )
 
-// endingRow is one row: what is about while callers send.
-type endingRow struct {
-	name   string
-	layout endingLayout
-	// bad are the paths of the requests under which servers end.
-	bad []string
-	// oneNode sends them to one node alone.
+// crashRow is one test case: the faults injected while callers send requests.
+type crashRow struct {
+	name     string
+	topology crashTopology
+	// crashingPaths are the paths of the requests that crash servers.
+	crashingPaths []string
+	// oneNode sends them to a single node.
 	oneNode bool
-	// again begins the paths of sound requests that come again and again; empty for ones
-	// that share nothing with the bad.
-	again string
-	// trouble is brought about once callers send; it may be nil.
-	trouble func(world *endingWorld, random *lockedRandom)
-	// unbound rows have nodes that are not in touch when the bound would count.
-	unbound bool
-	// short rows are played in the tests.
+	// repeatPrefix is the path prefix of the repeated harmless requests; empty for one that
+	// shares nothing with the crashing requests.
+	repeatPrefix string
+	// disturb injects faults after callers have started; it may be nil.
+	disturb func(world *crashWorld, random *lockedRandom)
+	// unbounded rows have disturbed nodes at the time from which the limit on sends would apply.
+	unbounded bool
+	// short rows also run without -ending-full.
 	short bool
 }
 
-func gatherBad(number int) string { return fmt.Sprint(pathGather, lethalPrefix, number) }
+func crashingGather(number int) string { return fmt.Sprint(pathGather, crashPrefix, number) }
 
-// endingLayouts are the fleets.
+// Topologies of the rows.
 var (
-	smallFleet = endingLayout{nodes: 3, shards: 4, manner: standin.EndReset}
-	wholeFleet = endingLayout{nodes: 9, shards: 10, manner: standin.EndReset}
+	smallTopology = crashTopology{nodes: 3, shards: 4, crashKind: standin.EndReset}
+	fullTopology  = crashTopology{nodes: 9, shards: 10, crashKind: standin.EndReset}
 )
 
-func withManner(layout endingLayout, manner standin.End) endingLayout {
-	layout.manner = manner
-	return layout
+func withCrashKind(topo crashTopology, manner standin.End) crashTopology {
+	topo.crashKind = manner
+	return topo
 }
 
-func withNodes(nodes int) endingLayout {
-	layout := wholeFleet
-	layout.nodes, layout.oneRegion = nodes, nodes > 9
-	return layout
+func withNodes(nodes int) crashTopology {
+	topo := fullTopology
+	topo.nodes, topo.oneRegion = nodes, nodes > 9
+	return topo
 }
 
-func onlyShard(layout endingLayout, struck string) endingLayout {
-	layout.struck = func(service string) bool { return service == struck }
-	return layout
+func onlyShard(topo crashTopology, affected string) crashTopology {
+	topo.affected = func(service string) bool { return service == affected }
+	return topo
 }
 
-// badRows have requests under which servers end.
-var badRows = []endingRow{
-	{name: "3 nodes, any node", layout: smallFleet, bad: []string{gatherBad(1)}, short: true},
-	{name: "3 nodes, one node", layout: smallFleet, bad: []string{gatherBad(1)}, oneNode: true},
-	{name: "27 nodes, any node", layout: withNodes(27), bad: []string{gatherBad(1)}},
-	{name: "65 nodes, any node", layout: withNodes(65), bad: []string{gatherBad(1)}},
-	{name: "65 nodes, one node", layout: withNodes(65), bad: []string{gatherBad(1)}, oneNode: true},
-	{name: "one shard of ten", layout: onlyShard(wholeFleet, "shard-c"), bad: []string{gatherBad(1)}, short: true},
-	{name: "one server, may be repeated", layout: wholeFleet, bad: []string{pathSafe + lethalPrefix + "1"}, short: true},
-	{name: "one server, must not be repeated", layout: wholeFleet, bad: []string{pathUnsafe + lethalPrefix + "1"}},
-	{name: "three bad requests", layout: wholeFleet, bad: []string{gatherBad(1), gatherBad(2), pathSafe + lethalPrefix + "3"}},
-	{name: "others with the same path", layout: wholeFleet, bad: []string{pathGather + "shared?" + lethalPrefix + "1"}, again: "shared?sound-"},
-	{name: "servers close", layout: withManner(wholeFleet, standin.EndClose), bad: []string{gatherBad(1)}},
-	{name: "half an answer", layout: withManner(wholeFleet, standin.EndHalfAnswer), bad: []string{gatherBad(1)}},
-	{name: "servers fall silent", layout: withManner(wholeFleet, standin.EndSilent), bad: []string{gatherBad(1)}},
-	{name: "store away for 6 s", layout: wholeFleet, bad: []string{gatherBad(1)}, trouble: storeAway, unbound: true},
-	{name: "a third of the nodes cut from the store", layout: wholeFleet, bad: []string{gatherBad(1)}, trouble: cutFromStore, unbound: true},
-	{name: "nodes killed and started", layout: wholeFleet, bad: []string{gatherBad(1)}, trouble: restartNodes},
-	{name: "nodes frozen for 3 s", layout: wholeFleet, bad: []string{gatherBad(1)}, trouble: freezeNodes, unbound: true},
+// crashingRows have requests that crash servers.
+var crashingRows = []crashRow{
+	{name: "3 nodes, any node", topology: smallTopology, crashingPaths: []string{crashingGather(1)}, short: true},
+	{name: "3 nodes, one node", topology: smallTopology, crashingPaths: []string{crashingGather(1)}, oneNode: true},
+	{name: "27 nodes, any node", topology: withNodes(27), crashingPaths: []string{crashingGather(1)}},
+	{name: "65 nodes, any node", topology: withNodes(65), crashingPaths: []string{crashingGather(1)}},
+	{name: "65 nodes, one node", topology: withNodes(65), crashingPaths: []string{crashingGather(1)}, oneNode: true},
+	{name: "one shard of ten", topology: onlyShard(fullTopology, "shard-c"), crashingPaths: []string{crashingGather(1)}, short: true},
+	{name: "one server, may be repeated", topology: fullTopology, crashingPaths: []string{pathSafe + crashPrefix + "1"}, short: true},
+	{name: "one server, must not be repeated", topology: fullTopology, crashingPaths: []string{pathUnsafe + crashPrefix + "1"}},
+	{name: "three bad requests", topology: fullTopology, crashingPaths: []string{crashingGather(1), crashingGather(2), pathSafe + crashPrefix + "3"}},
+	{name: "others with the same path", topology: fullTopology, crashingPaths: []string{pathGather + "shared?" + crashPrefix + "1"}, repeatPrefix: "shared?sound-"},
+	{name: "servers close", topology: withCrashKind(fullTopology, standin.EndClose), crashingPaths: []string{crashingGather(1)}},
+	{name: "half an answer", topology: withCrashKind(fullTopology, standin.EndHalfAnswer), crashingPaths: []string{crashingGather(1)}},
+	{name: "servers fall silent", topology: withCrashKind(fullTopology, standin.EndSilent), crashingPaths: []string{crashingGather(1)}},
+	{name: "store away for 6 s", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: storeAway, unbounded: true},
+	{name: "a third of the nodes cut from the store", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: cutFromStore, unbounded: true},
+	{name: "nodes killed and started", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: restartNodes},
+	{name: "nodes frozen for 3 s", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: freezeNodes, unbounded: true},
 }
 
-// soundRows have no bad request: whatever is refused as one is refused wrongly.
-var soundRows = []endingRow{
-	{name: "a seventh of the servers crash", layout: wholeFleet, trouble: func(w *endingWorld, random *lockedRandom) {
-		w.crash(func(string, int) bool { return random.IntN(7) == 0 }, 0, random)
+// harmlessRows have no crashing request, so every quarantine is a false positive.
+var harmlessRows = []crashRow{
+	{name: "a seventh of the servers crash", topology: fullTopology, disturb: func(w *crashWorld, random *lockedRandom) {
+		w.crashServers(func(string, int) bool { return random.IntN(7) == 0 }, 0, random)
 	}},
-	{name: "a zone crashes", layout: wholeFleet, short: true, trouble: func(w *endingWorld, random *lockedRandom) {
-		w.crash(func(_ string, zone int) bool { return zone == 1 }, 0, random)
+	{name: "a zone crashes", topology: fullTopology, short: true, disturb: func(w *crashWorld, random *lockedRandom) {
+		w.crashServers(func(_ string, zone int) bool { return zone == 1 }, 0, random)
 	}},
-	{name: "all servers crash", layout: wholeFleet, trouble: func(w *endingWorld, random *lockedRandom) {
-		w.crash(func(string, int) bool { return true }, 0, random)
+	{name: "all servers crash", topology: fullTopology, disturb: func(w *crashWorld, random *lockedRandom) {
+		w.crashServers(func(string, int) bool { return true }, 0, random)
 	}},
-	{name: "all servers crash within a second", layout: wholeFleet, short: true, trouble: func(w *endingWorld, random *lockedRandom) {
-		w.crash(func(string, int) bool { return true }, time.Second, random)
+	{name: "all servers crash within a second", topology: fullTopology, short: true, disturb: func(w *crashWorld, random *lockedRandom) {
+		w.crashServers(func(string, int) bool { return true }, time.Second, random)
 	}},
-	{name: "all servers crash twice within five seconds", layout: wholeFleet, trouble: func(w *endingWorld, random *lockedRandom) {
+	{name: "all servers crash twice within five seconds", topology: fullTopology, disturb: func(w *crashWorld, random *lockedRandom) {
 		for range 2 {
-			w.crash(func(string, int) bool { return true }, time.Second, random)
+			w.crashServers(func(string, int) bool { return true }, time.Second, random)
 			time.Sleep(3500 * time.Millisecond)
 		}
 	}},
-	{name: "servers crash one after the other for 6 s", layout: wholeFleet, trouble: func(w *endingWorld, random *lockedRandom) {
-		w.crash(func(string, int) bool { return true }, 6*time.Second, random)
+	{name: "servers crash one after the other for 6 s", topology: fullTopology, disturb: func(w *crashWorld, random *lockedRandom) {
+		w.crashServers(func(string, int) bool { return true }, 6*time.Second, random)
 	}},
-	{name: "connections are reset each 200 ms", layout: wholeFleet, trouble: func(w *endingWorld, _ *lockedRandom) {
+	{name: "connections are reset each 200 ms", topology: fullTopology, disturb: func(w *crashWorld, _ *lockedRandom) {
 		for range 25 {
 			w.resetConnections()
 			time.Sleep(200 * time.Millisecond)
 		}
 	}},
-	{name: "a zone crashes, the store is away", layout: wholeFleet, trouble: func(w *endingWorld, random *lockedRandom) {
+	{name: "a zone crashes, the store is away", topology: fullTopology, disturb: func(w *crashWorld, random *lockedRandom) {
 		w.store.SetFaults(standin.StoreFaults{Silent: true})
-		w.crash(func(_ string, zone int) bool { return zone == 1 }, 0, random)
+		w.crashServers(func(_ string, zone int) bool { return zone == 1 }, 0, random)
 		time.Sleep(4 * time.Second)
 		w.store.SetFaults(standin.StoreFaults{})
 	}},
 }
 
-func storeAway(w *endingWorld, _ *lockedRandom) {
+func storeAway(w *crashWorld, _ *lockedRandom) {
 	w.store.SetFaults(standin.StoreFaults{Silent: true})
 	time.Sleep(6 * time.Second)
 	w.store.SetFaults(standin.StoreFaults{})
 }
 
-func cutFromStore(w *endingWorld, _ *lockedRandom) {
+func cutFromStore(w *crashWorld, _ *lockedRandom) {
 	cut := standin.LinkFault{HoldRequests: true, HoldAnswers: true}
 	for index := 0; index < len(w.nodes); index += 3 {
 		w.nodes[index].storeLink.Set(cut)
@@ -144,7 +145,7 @@
 	}
 }
 
-func restartNodes(w *endingWorld, random *lockedRandom) {
+func restartNodes(w *crashWorld, random *lockedRandom) {
 	for range 4 {
 		time.Sleep(time.Second)
 		target := w.nodes[random.IntN(len(w.nodes))]
@@ -156,58 +157,59 @@
 	}
 }
 
-func freezeNodes(w *endingWorld, random *lockedRandom) {
+func freezeNodes(w *crashWorld, random *lockedRandom) {
 	target := w.nodes[random.IntN(len(w.nodes))]
 	target.signal(syscall.SIGSTOP)
 	time.Sleep(3 * time.Second)
 	target.signal(syscall.SIGCONT)
 }
 
-// TestServersEndUnderRequests plays the rows with requests under which servers end.
-func TestServersEndUnderRequests(t *testing.T) { playRows(t, badRows) }
+// TestServersEndUnderRequests runs the rows with requests that crash servers: nodes must stop sending
+// them.
+func TestServersEndUnderRequests(t *testing.T) { runRows(t, crashingRows) }
 
-// TestServersEndForOtherReasons plays the rows without: no request may be refused as one
-// that ends servers.
-func TestServersEndForOtherReasons(t *testing.T) { playRows(t, soundRows) }
+// TestServersEndForOtherReasons runs the rows in which servers crash independently of requests: no
+// request may be quarantined.
+func TestServersEndForOtherReasons(t *testing.T) { runRows(t, harmlessRows) }
 
-func playRows(t *testing.T, rows []endingRow) {
+func runRows(t *testing.T, rows []crashRow) {
 	for _, row := range rows {
 		if !row.short && !*tableFull {
 			continue
 		}
 		t.Run(row.name, func(t *testing.T) {
 			for seed := range *tableSeeds {
-				row.play(t, uint64(seed+1))
+				row.run(t, uint64(seed+1))
 			}
 		})
 	}
 }
 
-// play plays a row once and logs what it measured.
-func (row endingRow) play(t *testing.T, seed uint64) {
+// run runs a row once and logs the measurements.
+func (row crashRow) run(t *testing.T, seed uint64) {
 	random := newRandom(seed)
-	world := newEndingWorld(t, row.layout)
+	world := newCrashWorld(t, row.topology)
 	defer world.close()
 	others := &callers{nodes: world.nodes, random: random}
 	again := &callers{nodes: world.nodes, random: newRandom(seed + 1)}
-	until := time.Now().Add(inTouch + 4*time.Second)
+	until := time.Now().Add(convergenceTime + 4*time.Second)
 	done := make(chan struct{})
 	time.AfterFunc(time.Until(until), func() { close(done) })
 	var group sync.WaitGroup
 	group.Go(func() { others.run(done) })
-	for number := range againCallers {
-		group.Go(func() { again.insistOn(fmt.Sprint(pathGather, cmp.Or(row.again, "again-"), number), done) })
+	for number := range repeatCallers {
+		group.Go(func() { again.repeat(fmt.Sprint(pathGather, cmp.Or(row.repeatPrefix, "again-"), number), done) })
 	}
 	time.Sleep(500 * time.Millisecond)
-	for number, path := range row.bad {
+	for number, path := range row.crashingPaths {
 		nodes := world.nodes
 		if row.oneNode {
 			nodes = nodes[:1]
 		}
-		group.Go(func() { world.insistAt(nodes, fmt.Sprint("bad-", number, "-"), path, until) })
+		group.Go(func() { world.repeatUntil(nodes, fmt.Sprint("bad-", number, "-"), path, until) })
 	}
-	if row.trouble != nil {
-		group.Go(func() { row.trouble(world, random) })
+	if row.disturb != nil {
+		group.Go(func() { row.disturb(world, random) })
 	}
 	group.Wait()
 	row.report(t, world, append(others.results, again.results...), seed)
@@ -217,10 +219,10 @@
 	}
 }
 
-func (row endingRow) report(t *testing.T, world *endingWorld, sound []result, seed uint64) {
+func (row crashRow) report(t *testing.T, world *crashWorld, harmless []callResult, seed uint64) {
 	t.Helper()
 	wrong, served := 0, 0
-	for _, seen := range sound {
+	for _, seen := range harmless {
 		switch {
 		case seen.status == 200:
 			served++
@@ -228,27 +230,27 @@
 			wrong++
 		}
 	}
-	t.Logf("seed %d: of %d sound requests %d served, %d refused as bad", seed, len(sound), served, wrong)
+	t.Logf("seed %d: of %d harmless requests, %d served, %d quarantined", seed, len(harmless), served, wrong)
 	if wrong > 0 {
-		t.Errorf("seed %d: %d sound requests were refused as if they ended servers", seed, wrong)
+		t.Errorf("seed %d: %d harmless requests were quarantined", seed, wrong)
 	}
-	for _, path := range row.bad {
-		sends, ends := world.sendsAfter(path), len(world.endsOf(path))
-		known, all := world.knownAfter(path)
-		t.Logf("seed %d: %s: %d servers ended, %d sends after the bound counts, all nodes know after %v (%v)", seed, path, ends, sends, known.Round(time.Millisecond), all)
-		if sends > mostSends && !row.unbound {
-			t.Errorf("seed %d: %s was sent to servers %d times after the bound counts", seed, path, sends)
+	for _, path := range row.crashingPaths {
+		sends, ends := world.sendsAfterBound(path), len(world.crashesOf(path))
+		known, all := world.quarantinedAfter(path)
+		t.Logf("seed %d: %s: %d servers crashed, %d sends after the bound, quarantined by all nodes after %v (%v)", seed, path, ends, sends, known.Round(time.Millisecond), all)
+		if sends > maxSends && !row.unbounded {
+			t.Errorf("seed %d: %s was sent to servers %d times after the bound", seed, path, sends)
 		}
 	}
 }
 
-// insistOn sends one request again and again to nodes drawn at random.
-func (callers *callers) insistOn(path string, done <-chan struct{}) {
+// repeat sends one request repeatedly to random nodes.
+func (callers *callers) repeat(path string, done <-chan struct{}) {
 	for count := 0; ; count++ {
 		select {
 		case <-done:
 			return
-		case <-time.After(againPause):
+		case <-time.After(repeatPause):
 		}
 		seen := ask(callers.nodes[callers.random.IntN(len(callers.nodes))], path, fmt.Sprint(path[len(pathGather):], "-", count))
 		callers.keep(seen)
--- a/test/soak/ending_test.go
+++ b/test/soak/ending_test.go
@@ -10,40 +10,38 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// Seen: one service of ten shards was down for eight seconds at a time, all of its servers
-// again and again, while every node and every other service was well; the same request was
-// sent to servers long after it had ended three.
+// Guards against an outage caused by a single request: all servers of a service with ten shards
+// crashed repeatedly, for eight seconds at a time, while all nodes and other services were
+// healthy, and the request was still sent to servers long after it had crashed three.
 //
-// How it came about: a request ended each server that began to run it. The node that had sent
-// it took that for the servers' failure, sent it to the next server of each shard, and answered
-// 502; its caller came back, each time at another node.
+// Each server that start to run the request crashed. The node counted that as a failure of the
+// server, retried the request on the next server of each shard and responded 502; the caller
+// retried at another node. Nodes recorded failures only against servers: they kept nothing about
+// the request and shared nothing with other nodes.
 //
-// Cause: what came of a request was held against servers alone. Nothing about the request
-// outlived it, and no node told another.
-//
-// Proof: with the digest of requests in the log, the same one stands under the ends of a wave,
-// and no server ever answers it; here it does so with servers that end for no other reason.
+// With request digests in the log, the crashes of a wave all had the same digest, which no server
+// ever answered. Here, servers crash for no other reason.
 func TestRequestThatEndsServersIsSentNoFurther(t *testing.T) {
-	world := newEndingWorld(t, endingLayout{nodes: 9, shards: 10, manner: standin.EndReset})
-	path := pathGather + lethalPrefix + "1"
+	world := newCrashWorld(t, crashTopology{nodes: 9, shards: 10, crashKind: standin.EndReset})
+	path := pathGather + crashPrefix + "1"
 	callers := &callers{nodes: world.nodes, random: newRandom(1)}
 	done := make(chan struct{})
 	var group sync.WaitGroup
 	group.Go(func() { callers.run(done) })
-	began := time.Now()
-	last := world.insistAt(world.nodes, "insist-", path, began.Add(inTouch+6*time.Second))
+	start := time.Now()
+	last := world.repeatUntil(world.nodes, "insist-", path, start.Add(convergenceTime+6*time.Second))
 	close(done)
 	group.Wait()
-	sends, ends := world.sendsAfter(path), len(world.endsOf(path))
-	t.Logf("%d servers ended, %d sends later than the bound; the caller's last answer: %d %q", ends, sends, last.status, last.body)
-	if sends > mostSends {
-		t.Errorf("a request under which %d servers had ended was sent to servers %d times more", leastEnds, sends)
+	sends, crashes := world.sendsAfterBound(path), len(world.crashesOf(path))
+	t.Logf("%d servers crashed, %d sends after the bound; the caller's last response: %d %q", crashes, sends, last.status, last.body)
+	if sends > maxSends {
+		t.Errorf("a request that had crashed %d servers was sent to servers %d more times", minCrashes, sends)
 	}
-	checkServed(t, callers.results, began.Add(inTouch+time.Second))
+	checkAllServed(t, callers.results, start.Add(convergenceTime+time.Second))
 }
 
-// checkServed: all requests sent after a moment are served.
-func checkServed(t *testing.T, results []result, from time.Time) {
+// checkAllServed checks that all requests sent after the given time were served.
+func checkAllServed(t *testing.T, results []callResult, from time.Time) {
 	t.Helper()
 	byAnswer := make(map[string]int)
 	for _, seen := range results {
@@ -51,28 +49,28 @@
 			byAnswer[fmt.Sprintf("%d %s", seen.status, failureText(seen))]++
 		}
 	}
-	t.Logf("other requests sent after that, by answer: %v", byAnswer)
+	t.Logf("other requests sent after that, by response: %v", byAnswer)
 	delete(byAnswer, "200 ")
 	if len(byAnswer) > 0 {
 		t.Errorf("other requests were not served: %v", byAnswer)
 	}
 }
 
-// failureText returns what an answer that is no success says.
-func failureText(seen result) string {
+// failureText returns the body of a response other than 200.
+func failureText(seen callResult) string {
 	if seen.status == 200 {
 		return ""
 	}
 	return strings.TrimSpace(string(seen.body))
 }
 
-// insistAt sends the request again and again, to one of the nodes after the other, until the
-// given time. It returns the last answer.
-func (w *endingWorld) insistAt(nodes []*node, id, path string, until time.Time) result {
-	var last result
+// repeatUntil sends the request repeatedly, to the nodes in turn, until the given time. It returns
+// the last response.
+func (w *crashWorld) repeatUntil(nodes []*node, id, path string, until time.Time) callResult {
+	var last callResult
 	for count := 0; time.Now().Before(until); count++ {
 		last = ask(nodes[count%len(nodes)], path, fmt.Sprint(id, count))
-		time.Sleep(badPause)
+		time.Sleep(crashingPause)
 	}
 	return last
 }
--- a/test/soak/ending_world_test.go
+++ b/test/soak/ending_world_test.go
@@ -16,92 +16,92 @@
 )
 
 const (
-	// inTouch is how long a node must have been undisturbed for a bound to hold, and how
-	// long all have to learn what one has found.
-	inTouch = 5 * time.Second
-	// leastEnds is how many servers a request may end before the bound on its sends counts,
-	// mostSends how many sends after that the platform allows.
-	leastEnds = 3
-	mostSends = 3
-	// serverWork is how long a server works on a request.
+	// convergenceTime is how long a node must have been undisturbed for a bound to hold, and how
+	// long all nodes have to learn what one has detected.
+	convergenceTime = 5 * time.Second
+	// minCrashes is the number of servers a request may crash before the limit on its sends
+	// applies, maxSends the number of sends that the platform allows after that.
+	minCrashes = 3
+	maxSends   = 3
+	// serverWork is the service time of a request.
 	serverWork = 20 * time.Millisecond
-	// serverAway is how long a server that has ended is away, entryLapse how long its entry
-	// stays: three heartbeats.
-	serverAway = 2 * time.Second
-	entryLapse = 3600 * time.Millisecond
+	// crashRestartDelay is the time until a crashed server restarts, entryExpiry is how long its
+	// entry remains: three heartbeats.
+	crashRestartDelay = 2 * time.Second
+	entryExpiry       = 3600 * time.Millisecond
 )
 
-// lethalPrefix begins the names of requests under which servers end.
-const lethalPrefix = "lethal-"
+// crashPrefix is the prefix of the names of requests that crash servers.
+const crashPrefix = "lethal-"
 
-// endingLayout is what a run consists of.
-type endingLayout struct {
+// crashTopology is the size of a run, and which of its servers crash and how.
+type crashTopology struct {
 	nodes, shards int
 	oneRegion     bool
-	// manner is how servers end.
-	manner standin.End
-	// struck tells which services' servers end; nil for all.
-	struck func(service string) bool
+	// crashKind is how servers crash.
+	crashKind standin.End
+	// affected reports whether the servers of a service crash; nil for all.
+	affected func(service string) bool
 }
 
-// endingWorld are servers that end under some requests and come back under new ids.
-type endingWorld struct {
+// crashWorld holds nodes and servers that crash on some requests and restart with new ids.
+type crashWorld struct {
 	*testing.T
-	layout endingLayout
-	store  *standin.Store
-	shards []string
-	nodes  []*node
+	topology crashTopology
+	store    *standin.Store
+	shards   []string
+	nodes    []*node
 
-	mutex   sync.Mutex
-	started int
-	servers []*standin.Server
-	// running is the latest server of each place.
+	mutex       sync.Mutex
+	serverCount int
+	servers     []*standin.Server
+	// running is the latest incarnation of the server in each place.
 	places  []serverPlace
 	running map[serverPlace]*standin.Server
-	// ends are the times at which servers ended, by the path of the request.
-	ends map[string][]time.Time
-	// closed is set once no server comes back any more.
+	// crashes are the times at which servers crashed, by the path of the request.
+	crashes map[string][]time.Time
+	// closed is set when crashed servers no longer restart.
 	closed bool
 }
 
-// serverPlace is a server's, whichever incarnation has it.
+// serverPlace identifies a server across its incarnations.
 type serverPlace struct {
 	service string
 	zone    int
 }
 
-func newEndingWorld(t *testing.T, layout endingLayout) *endingWorld {
+func newCrashWorld(t *testing.T, topology crashTopology) *crashWorld {
 	t.Helper()
 	store, err := standin.NewStore()
 	if err != nil {
 		t.Fatal(err)
 	}
-	built := &endingWorld{T: t, layout: layout, store: store, ends: make(map[string][]time.Time), running: make(map[serverPlace]*standin.Server)}
-	for index := range layout.shards {
+	built := &crashWorld{T: t, topology: topology, store: store, crashes: make(map[string][]time.Time), running: make(map[serverPlace]*standin.Server)}
+	for index := range topology.shards {
 		built.shards = append(built.shards, fmt.Sprintf("shard-%c", 'a'+index))
 	}
 	t.Cleanup(store.Close)
 	t.Cleanup(built.close)
 	built.configure()
-	for _, service := range append([]string{whole}, built.shards...) {
+	for _, service := range append([]string{singleService}, built.shards...) {
 		for zone := range 3 {
 			built.places = append(built.places, serverPlace{service, zone})
 			built.serve(service, zone, "")
 		}
 	}
-	built.nodes = startNodes(t, &world{store: store}, nodesOf(layout))
+	built.nodes = startNodes(t, &world{store: store}, nodeTopology(topology))
 	return built
 }
 
-// nodesOf returns how the nodes stand.
-func nodesOf(l endingLayout) layout { return layout{nodes: l.nodes, oneRegion: l.oneRegion} }
+// nodeTopology returns the topology of the nodes.
+func nodeTopology(l crashTopology) topology { return topology{nodes: l.nodes, oneRegion: l.oneRegion} }
 
-func (w *endingWorld) configure() { w.configureWith(1) }
+func (w *crashWorld) configure() { w.configureWith(1) }
 
-// configureWith writes a version with further routes.
-func (w *endingWorld) configureWith(version uint64, further ...standin.Route) {
+// configureWith writes a configuration version with additional routes.
+func (w *crashWorld) configureWith(version uint64, further ...standin.Route) {
 	route := func(path, kind string) standin.Route {
-		return standin.Route{Name: "r" + path, Host: host, PathPrefix: path, Kind: kind, TimeoutMs: 4000, TargetLatencyMs: 250, MaxAttempts: 3, Service: whole}
+		return standin.Route{Name: "r" + path, Host: host, PathPrefix: path, Kind: kind, TimeoutMs: 4000, TargetLatencyMs: 250, MaxAttempts: 3, Service: singleService}
 	}
 	gather := route(pathGather, "safe")
 	gather.Service, gather.Gather, gather.ResultCount, gather.MinVersion = "", w.shards, resultCount, 0.74
@@ -115,9 +115,9 @@
 	}
 }
 
-// serve starts a server of a service; without an address it gets a new one, which the connections of
-// others don't take while it is away.
-func (w *endingWorld) serve(service string, zone int, address string) {
+// serve starts a server of a service. Without an address it gets one from package loopback, whose port
+// outgoing connections of other processes do not take while the server is down.
+func (w *crashWorld) serve(service string, zone int, address string) {
 	if address == "" {
 		var err error
 		if address, err = loopback.FreeAddress(); err != nil {
@@ -130,13 +130,13 @@
 	if w.closed {
 		return
 	}
-	w.started++
-	id := fmt.Sprintf("i-%s-%d-%d", service, zone, w.started)
+	w.serverCount++
+	id := fmt.Sprintf("i-%s-%d-%d", service, zone, w.serverCount)
 	server, err := standin.NewServer(standin.ServerOptions{
 		ID: id, Service: service, Zone: zoneName(zone), Work: serverWork, Address: address,
 		Body:      []byte(record(service, "common") + record(service, "own")),
-		EndsUnder: func(request *http.Request, _ string) standin.End { return w.endUnder(service, request) },
-		HasEnded:  func(ended *standin.Server) { w.replace(ended, service, zone) },
+		EndsUnder: func(request *http.Request, _ string) standin.End { return w.crashOn(service, request) },
+		HasEnded:  func(ended *standin.Server) { w.restartServer(ended, service, zone) },
 	})
 	if err != nil {
 		w.Error(err)
@@ -149,32 +149,32 @@
 	}
 }
 
-// endUnder tells how a server of the service ends under the request.
-func (w *endingWorld) endUnder(service string, request *http.Request) standin.End {
-	if !lethal(request.RequestURI) || w.layout.struck != nil && !w.layout.struck(service) {
+// crashOn returns how a server of the service crashes on the request.
+func (w *crashWorld) crashOn(service string, request *http.Request) standin.End {
+	if !crashesServers(request.RequestURI) || w.topology.affected != nil && !w.topology.affected(service) {
 		return standin.EndNone
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.ends[request.RequestURI] = append(w.ends[request.RequestURI], time.Now())
-	return w.layout.manner
+	w.crashes[request.RequestURI] = append(w.crashes[request.RequestURI], time.Now())
+	return w.topology.crashKind
 }
 
-func lethal(path string) bool { return strings.Contains(path, lethalPrefix) }
+func crashesServers(path string) bool { return strings.Contains(path, crashPrefix) }
 
-// replace lets a server that has ended come back under another id, and its entry lapse.
-func (w *endingWorld) replace(ended *standin.Server, service string, zone int) {
-	time.AfterFunc(entryLapse, func() { w.store.Remove("servers", ended.ID()) })
-	time.AfterFunc(serverAway, func() {
+// restartServer restarts a crashed server with another id, and removes the earlier entry on expiry.
+func (w *crashWorld) restartServer(ended *standin.Server, service string, zone int) {
+	time.AfterFunc(entryExpiry, func() { w.store.Remove("servers", ended.ID()) })
+	time.AfterFunc(crashRestartDelay, func() {
 		address := ended.Address()
-		if w.layout.manner == standin.EndSilent {
+		if w.topology.crashKind == standin.EndSilent {
 			address = ""
 		}
 		w.serve(service, zone, address)
 	})
 }
 
-func (w *endingWorld) close() {
+func (w *crashWorld) close() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.closed = true
@@ -183,21 +183,21 @@
 	}
 }
 
-// endsOf returns when servers ended under the request.
-func (w *endingWorld) endsOf(path string) []time.Time {
+// crashesOf returns the times at which servers crashed on the request.
+func (w *crashWorld) crashesOf(path string) []time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]time.Time(nil), w.ends[path]...)
+	return append([]time.Time(nil), w.crashes[path]...)
 }
 
-// sendsAfter returns how many times the request reached servers later than the moment from
-// which the bound counts: inTouch after it has ended leastEnds servers.
-func (w *endingWorld) sendsAfter(path string) int {
-	ends := w.endsOf(path)
-	if len(ends) < leastEnds {
+// sendsAfterBound returns how many times the request reached servers after the limit on its sends
+// applies: convergenceTime after it has crashed minCrashes servers.
+func (w *crashWorld) sendsAfterBound(path string) int {
+	ends := w.crashesOf(path)
+	if len(ends) < minCrashes {
 		return 0
 	}
-	from := ends[leastEnds-1].Add(inTouch)
+	from := ends[minCrashes-1].Add(convergenceTime)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	count := 0
@@ -211,23 +211,23 @@
 	return count
 }
 
-// crash ends servers for another reason than a request, spread over a time; they come back
-// like others that ended.
-func (w *endingWorld) crash(struck func(service string, zone int) bool, spread time.Duration, random *lockedRandom) {
+// crashServers crashes servers independently of requests, at random times within spread. They
+// restart like servers that crashed on a request.
+func (w *crashWorld) crashServers(affected func(service string, zone int) bool, spread time.Duration, random *lockedRandom) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, place := range w.places {
-		if server := w.running[place]; server != nil && struck(place.service, place.zone) {
+		if server := w.running[place]; server != nil && affected(place.service, place.zone) {
 			time.AfterFunc(time.Duration(random.IntN(int(spread)+1)), func() {
 				server.Close()
-				w.replace(server, place.service, place.zone)
+				w.restartServer(server, place.service, place.zone)
 			})
 		}
 	}
 }
 
-// resetConnections resets the connections of servers, which live on.
-func (w *endingWorld) resetConnections() {
+// resetConnections resets the connections of all servers, which keep running.
+func (w *crashWorld) resetConnections() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for _, server := range w.running {
@@ -235,11 +235,11 @@
 	}
 }
 
-// knownAfter returns how long after the third end under a request the last node refused it;
-// false if some node never did.
-func (w *endingWorld) knownAfter(path string) (time.Duration, bool) {
-	ends := w.endsOf(path)
-	if len(ends) < leastEnds {
+// quarantinedAfter returns the time from the third crash on a request until the last node
+// quarantined it; false if some node never did.
+func (w *crashWorld) quarantinedAfter(path string) (time.Duration, bool) {
+	ends := w.crashesOf(path)
+	if len(ends) < minCrashes {
 		return 0, false
 	}
 	last := time.Time{}
@@ -252,10 +252,10 @@
 			last = at
 		}
 	}
-	return last.Sub(ends[leastEnds-1]), true
+	return last.Sub(ends[minCrashes-1]), true
 }
 
-// firstLine returns the time of a node's first log line that holds the text.
+// firstLine returns the time of a node's first log line that contains the text.
 func firstLine(t *testing.T, node *node, text string) (time.Time, bool) {
 	t.Helper()
 	log, err := os.ReadFile(node.log.Name())
--- a/test/soak/node_test.go
+++ b/test/soak/node_test.go
@@ -40,7 +40,7 @@
 	return m.Run()
 }
 
-// node is one machine's process, which may be started many times.
+// node is a driftrouter process, which may be restarted.
 type node struct {
 	name      string
 	arguments []string
@@ -50,22 +50,22 @@
 	// storeLink is the proxy through which this node reaches the store.
 	storeLink *standin.Proxy
 
-	// injecting is held while a fault or a planned stop is under way.
+	// injecting is held during a fault or a graceful restart.
 	injecting sync.Mutex
 
 	mutex     sync.Mutex
 	process   *exec.Cmd
 	startedAt time.Time
 	ended     chan struct{}
-	// disturbed are the spans in which requests may be lost.
+	// disturbed are the time spans in which requests may be lost.
 	disturbed []span
 }
 
-// span is a time from a fault until its effects are over.
+// span is the time from the start of a fault until its effects are over.
 type span struct{ from, to time.Time }
 
-// settle is how long a fault may have effects after its end.
-const settle = 1500 * time.Millisecond
+// settleTime is how long the effects of a fault may last after its end.
+const settleTime = 1500 * time.Millisecond
 
 func freeAddress(t *testing.T) string {
 	t.Helper()
@@ -76,19 +76,19 @@
 	return address
 }
 
-// place is where a node stands and whom it can reach.
-type place struct {
+// nodeOptions are the placement of a node and the addresses it uses.
+type nodeOptions struct {
 	index int
-	// regions are the zones and their regions, as the settings take them.
+	// regions is the value of the setting zones: all zones and their regions.
 	regions string
-	// region is the node's own.
+	// region is the region of this node.
 	region string
 	store  string
-	// seeds are the peer addresses of all nodes, peer is the own one.
+	// seeds are the peer addresses of all nodes, peer is that of this node.
 	seeds, peer string
 }
 
-func newNode(t *testing.T, place place, directory string) *node {
+func newNode(t *testing.T, place nodeOptions, directory string) *node {
 	t.Helper()
 	index := place.index
 	built := &node{name: fmt.Sprintf("node-%d", index), address: freeAddress(t), readiness: freeAddress(t)}
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// signal sends the signal to the node's own process.
+// signal sends a signal to the node's process.
 func (node *node) signal(signal syscall.Signal) {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -155,15 +155,15 @@
 	return node.process.ProcessState
 }
 
-// age returns how long ago the process was started.
+// age returns the time since the process was started.
 func (node *node) age() time.Duration {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	return time.Since(node.startedAt)
 }
 
-// disturb notes that requests may be lost from now until the effects of what is
-// done are over.
+// disturb injects a fault by calling do, and records that requests may be lost until its
+// effects are over.
 func (node *node) disturb(do func()) {
 	from := time.Now()
 	node.mutex.Lock()
@@ -173,11 +173,11 @@
 	do()
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	node.disturbed[index].to = time.Now().Add(settle)
+	node.disturbed[index].to = time.Now().Add(settleTime)
 }
 
-// calm reports whether no fault touched the node in the span.
-func (node *node) calm(from, to time.Time) bool {
+// undisturbed reports whether no fault affected the node during the time span.
+func (node *node) undisturbed(from, to time.Time) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	for _, fault := range node.disturbed {
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -6,7 +6,7 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// newProxy starts a proxy that ends with the test.
+// newProxy starts a proxy that is closed at the end of the test.
 func newProxy(t *testing.T, target string) *standin.Proxy {
 	t.Helper()
 	started, err := standin.NewProxy(target)
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -9,82 +9,83 @@
 )
 
 const (
-	// copyInterval is the time between two copies of the store, mostCopies how many are kept.
-	copyInterval = 500 * time.Millisecond
-	mostCopies   = 40
-	// longestAway is how long the store is away before it comes back from a copy, at the most.
-	longestAway = 5 * time.Second
-	// serversSay and operatorSays are how long after that the servers, and the operator, have written
-	// again what was lost, at the most.
-	serversSay   = 2 * time.Second
-	operatorSays = 3 * time.Second
+	// backupInterval is the time between two copies of the store, maxBackups the number kept.
+	backupInterval = 500 * time.Millisecond
+	maxBackups     = 40
+	// maxStoreOutage is the longest outage of the store before it is restored.
+	maxStoreOutage = 5 * time.Second
+	// serversRewriteWithin and operatorRewritesWithin limit the time from the restore until the
+	// servers, and the operator, have rewritten what was lost.
+	serversRewriteWithin   = 2 * time.Second
+	operatorRewritesWithin = 3 * time.Second
 )
 
-// Guards against what a store that comes back from a copy breaks under other faults: answers of no
-// server, requests lost, bad versions exposed, nodes that don't serve the newest configuration.
+// Guards against the effects of a store restored from a backup, combined with other faults:
+// responses that no server sent, lost requests, exposure to bad versions, and nodes that do not
+// serve the newest configuration.
 func TestSoakWithARestoredStore(t *testing.T) {
-	soak(t, seedOfRun(), *soakTime, restoreStore)
+	soak(t, chosenSeed(), *soakTime, restoreRepeatedly)
 }
 
-// restoredSeedsThatFailed are the seeds of TestSoakWithARestoredStore that ever failed, with the cause.
+// restoredSeedsThatFailed are seeds of TestSoakWithARestoredStore that once failed, with the cause.
 var restoredSeedsThatFailed = []struct {
 	seed  uint64
 	cause string
 }{
-	{2, "servers of an order that was written again, after their entries, counted as ordinary ones"},
-	{21, "the same"},
-	{10, "the same"},
-	{13, "the same, with a bad version beyond its bound"},
-	{14, "the same"},
-	{35, "servers that were listed before their lost order was written again got ordinary traffic"},
-	{46, "the same"},
+	{2, "an order was rewritten after the entries of its servers, which then counted as ordinary servers"},
+	{21, "same as 2"},
+	{10, "same as 2"},
+	{13, "same as 2, and a bad version exceeded its exposure bound"},
+	{14, "same as 13"},
+	{35, "servers listed before their lost order was rewritten received ordinary traffic"},
+	{46, "same as 35"},
 }
 
 func TestRestoredSeedsThatFailed(t *testing.T) {
 	for _, failed := range restoredSeedsThatFailed {
 		t.Run(strconv.FormatUint(failed.seed, 10), func(t *testing.T) {
 			t.Log(failed.cause)
-			soak(t, failed.seed, 20*time.Second, restoreStore)
+			soak(t, failed.seed, 20*time.Second, restoreRepeatedly)
 		})
 	}
 }
 
-// restoreStore lets the store come back from copies of drawn ages until done is closed, at times several
-// in a row.
-func restoreStore(world *world, random *lockedRandom, done <-chan struct{}) {
+// restoreRepeatedly restores the store from backups of random age, at random intervals, until done
+// is closed.
+func restoreRepeatedly(world *world, random *lockedRandom, done <-chan struct{}) {
 	world.store.TellEra()
-	drawn := func(longest time.Duration) time.Duration {
+	randomDuration := func(longest time.Duration) time.Duration {
 		return time.Duration(random.IntN(int(longest/time.Millisecond))) * time.Millisecond
 	}
 	var copies []standin.Copy
-	due := time.Now().Add(drawn(8 * time.Second))
+	due := time.Now().Add(randomDuration(8 * time.Second))
 	for {
 		select {
 		case <-done:
 			return
-		case <-time.After(copyInterval):
+		case <-time.After(backupInterval):
 		}
 		copies = append(copies, world.store.Copy())
-		copies = copies[max(len(copies)-mostCopies, 0):]
+		copies = copies[max(len(copies)-maxBackups, 0):]
 		if time.Now().Before(due) {
 			continue
 		}
-		due = time.Now().Add(drawn(8 * time.Second))
+		due = time.Now().Add(randomDuration(8 * time.Second))
 		faults := []standin.StoreFaults{{Silent: true}, {Unavailable: true}}
 		world.store.SetFaults(faults[random.IntN(len(faults))])
 		if random.IntN(3) > 0 {
-			time.Sleep(drawn(longestAway))
+			time.Sleep(randomDuration(maxStoreOutage))
 		}
 		world.store.Restore(copies[random.IntN(len(copies))])
 		copies = nil
 		world.store.SetFaults(standin.StoreFaults{})
-		sayAgain(world, drawn)
+		rewriteLost(world, randomDuration)
 	}
 }
 
-// sayAgain lets the servers and the operator write again what was lost, each in a time of its own.
-func sayAgain(world *world, drawn func(longest time.Duration) time.Duration) {
-	servers, operator := drawn(serversSay), drawn(operatorSays)
+// rewriteLost makes the servers and the operator rewrite what was lost, each after a random delay.
+func rewriteLost(world *world, randomDuration func(longest time.Duration) time.Duration) {
+	servers, operator := randomDuration(serversRewriteWithin), randomDuration(operatorRewritesWithin)
 	time.Sleep(min(servers, operator))
 	if servers < operator {
 		world.store.SayAgain("servers")
--- a/test/soak/rollout_test.go
+++ b/test/soak/rollout_test.go
@@ -10,55 +10,55 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// Bounds of roll-outs, as the nodes' settings have them.
+// The rollout limits in the nodes' settings.
 const (
-	exposeShare = 0.1
-	exposeSlack = 50
-	rollBack    = 5 * time.Second
+	exposureShare = 0.1
+	exposureSlack = 50
+	rollbackTime  = 5 * time.Second
 )
 
 var rolloutArguments = []string{
-	"--expose-share", fmt.Sprint(exposeShare), "--expose-slack", fmt.Sprint(exposeSlack), "--rollback-time", rollBack.String(),
+	"--expose-share", fmt.Sprint(exposureShare), "--expose-slack", fmt.Sprint(exposureSlack), "--rollback-time", rollbackTime.String(),
 }
 
 const (
-	// orderPatience is how long after an order's time its end is waited for: the faults of
-	// the soak may take longer than the order has.
-	orderPatience = 15 * time.Second
-	// newServers is how many servers an order starts.
-	newServers = 3
+	// orderGrace is how long to wait for the end of an order after its deadline, since
+	// the injected faults may last longer than the order.
+	orderGrace = 15 * time.Second
+	// serversPerOrder is the number of servers started for an order.
+	serversPerOrder = 3
 )
 
-// order is one order of the operator, and what became of it.
-type order struct {
+// rolloutOrder is one rollout order of the operator and its outcome.
+type rolloutOrder struct {
 	service string
 	version string
 	flaw    standin.Flaw
 	servers []*standin.Server
-	// placed, deadline and ended are when the order came, when its time was over, and when
-	// its end was seen; state is that end, empty if there was none.
-	placed, deadline, ended time.Time
-	state                   string
+	// placedAt, deadline and endedAt are when the order was written, when its duration expired,
+	// and when its end was observed; state is its final state, empty if it did not end.
+	placedAt, deadline, endedAt time.Time
+	state                       string
 }
 
-func (o *order) bad() bool { return o.flaw != standin.Flaw{} }
+func (o *rolloutOrder) bad() bool { return o.flaw != standin.Flaw{} }
 
-// operator orders one roll-out after the other, of good and bad versions.
+// operator orders rollouts of good and bad versions one after the other.
 type operator struct {
 	t      *testing.T
 	world  *world
 	random *lockedRandom
 
 	mutex  sync.Mutex
-	orders []*order
-	// started are all servers that the orders have started.
+	orders []*rolloutOrder
+	// started are all servers started for orders.
 	started []*standin.Server
 }
 
-// run places orders until done is closed; an order that has begun goes to its end.
+// run places orders until done is closed, and waits for the end of the current one.
 func (o *operator) run(done <-chan struct{}) {
-	inUse := map[string][]*standin.Server{whole: o.serversOf(whole), shards[0]: o.serversOf(shards[0])}
-	services := []string{whole, shards[0]}
+	inUse := map[string][]*standin.Server{singleService: o.serversOf(singleService), shards[0]: o.serversOf(shards[0])}
+	services := []string{singleService, shards[0]}
 	for number := 0; ; number++ {
 		select {
 		case <-done:
@@ -76,8 +76,8 @@
 		if placed.state == "" {
 			o.world.store.Remove(standin.KindRollouts, service)
 		}
-		// What a node sends after a roll-back has to be seen before the servers go.
-		time.Sleep(rollBack + time.Second)
+		// Keep the servers running, to record what nodes send after the rollback.
+		time.Sleep(rollbackTime + time.Second)
 		o.retire(placed.servers)
 	}
 }
@@ -94,23 +94,23 @@
 	return servers
 }
 
-// place writes an order and starts its servers a moment later.
-func (o *operator) place(service string, number int) *order {
+// place writes an order and starts its servers after a short random delay.
+func (o *operator) place(service string, number int) *rolloutOrder {
 	flaws := []standin.Flaw{{}, {Share: 0.5, Behavior: standin.Fail}, {}, {Share: 0.4, Behavior: standin.LoseAnswer}, {Share: 1, Behavior: standin.Fail, After: 3 * time.Second}}
-	placed := &order{
-		service: service,
-		version: fmt.Sprintf("v%d", number+2),
-		flaw:    flaws[o.random.IntN(len(flaws))],
-		placed:  time.Now(),
+	placed := &rolloutOrder{
+		service:  service,
+		version:  fmt.Sprintf("v%d", number+2),
+		flaw:     flaws[o.random.IntN(len(flaws))],
+		placedAt: time.Now(),
 	}
 	duration := time.Duration(8+o.random.IntN(8)) * time.Second
-	placed.deadline = placed.placed.Add(duration)
+	placed.deadline = placed.placedAt.Add(duration)
 	if err := o.world.store.Order(standin.Rollout{Service: service, TargetVersion: placed.version, DurationS: duration.Seconds()}); err != nil {
 		o.t.Error(err)
 	}
 	time.Sleep(time.Duration(o.random.IntN(500)) * time.Millisecond)
-	for index := range newServers {
-		o.start(placed, number*newServers+index)
+	for index := range serversPerOrder {
+		o.start(placed, number*serversPerOrder+index)
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -119,7 +119,7 @@
 }
 
 // start starts one server of an order and lists it.
-func (o *operator) start(placed *order, index int) {
+func (o *operator) start(placed *rolloutOrder, index int) {
 	id := fmt.Sprintf("i-%s-new%d", placed.service, index)
 	body := []byte(record(placed.service, "common") + record(placed.service, fmt.Sprint(index)))
 	server, err := standin.NewServer(standin.ServerOptions{
@@ -140,18 +140,18 @@
 }
 
 // await waits for the end of an order.
-func (o *operator) await(placed *order) {
-	for time.Now().Before(placed.deadline.Add(orderPatience)) {
+func (o *operator) await(placed *rolloutOrder) {
+	for time.Now().Before(placed.deadline.Add(orderGrace)) {
 		status := o.world.store.RolloutStatus(placed.service)
 		if status.TargetVersion == placed.version && status.State != "running" && status.State != "" {
-			placed.state, placed.ended = status.State, time.Now()
+			placed.state, placed.endedAt = status.State, time.Now()
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// retire ends servers at once, as the platform does with the old ones.
+// retire stops servers immediately, as the platform does with old ones.
 func (o *operator) retire(servers []*standin.Server) {
 	for _, server := range servers {
 		server.Close()
@@ -160,30 +160,30 @@
 }
 
 // check compares the orders with what their servers ran.
-func (o *operator) check(checker *checker, results []result) {
-	sent := make(map[string]result, len(results))
+func (o *operator) check(checker *checker, results []callResult) {
+	sent := make(map[string]callResult, len(results))
 	for _, seen := range results {
 		sent[seen.id] = seen
 	}
 	for _, placed := range o.orders {
-		o.t.Logf("order of %s for %s (bad: %v): %q after %.1f s", placed.version, placed.service, placed.bad(), placed.state, placed.ended.Sub(placed.placed).Seconds())
+		o.t.Logf("order of %s for %s (bad: %v): state %q after %.1f s", placed.version, placed.service, placed.bad(), placed.state, placed.endedAt.Sub(placed.placedAt).Seconds())
 		if !placed.bad() {
 			continue
 		}
 		if placed.state == "completed" {
-			checker.problems = append(checker.problems, fmt.Sprintf("%s of %s is bad and was completed", placed.version, placed.service))
+			checker.problems = append(checker.problems, fmt.Sprintf("the rollout of the bad version %s of %s was completed", placed.version, placed.service))
 		}
 		o.checkExposure(checker, placed, results)
-		o.checkRollBack(checker, placed, sent)
+		o.checkRollback(checker, placed, sent)
 	}
 }
 
-// checkExposure: a bad version gets its share of the requests and the slack, by whatever
-// node.
-func (o *operator) checkExposure(checker *checker, placed *order, results []result) {
+// checkExposure checks that a bad version receives no more than its share of the requests plus
+// the slack, over all nodes.
+func (o *operator) checkExposure(checker *checker, placed *rolloutOrder, results []callResult) {
 	requests, exposed := 0, 0
 	for _, seen := range results {
-		if reaches(seen.path, placed.service) && seen.sent.After(placed.placed) && seen.sent.Before(placed.deadline) {
+		if reaches(seen.path, placed.service) && seen.sent.After(placed.placedAt) && seen.sent.Before(placed.deadline) {
 			requests++
 		}
 	}
@@ -194,32 +194,32 @@
 			}
 		}
 	}
-	bound := exposeShare*float64(requests) + exposeSlack
+	bound := exposureShare*float64(requests) + exposureSlack
 	o.t.Logf("  exposed %d of %d requests, %.0f are allowed", exposed, requests, bound)
 	if float64(exposed) > bound {
 		checker.problems = append(checker.problems, fmt.Sprintf("%s of %s got %d requests, %.0f are allowed", placed.version, placed.service, exposed, bound))
 	}
 }
 
-// checkRollBack: nothing is sent to a version that was rolled back, but by nodes that a
-// fault has touched.
-func (o *operator) checkRollBack(checker *checker, placed *order, sent map[string]result) {
+// checkRollback checks that nothing is sent to a version that was rolled back, except by nodes
+// with an injected fault.
+func (o *operator) checkRollback(checker *checker, placed *rolloutOrder, sent map[string]callResult) {
 	if placed.state != "rolled_back" {
 		return
 	}
 	for _, server := range placed.servers {
 		for _, ran := range server.Runs() {
-			after := ran.At.Sub(placed.ended)
+			after := ran.At.Sub(placed.endedAt)
 			seen, known := sent[ran.ID]
-			if after > rollBack && known && seen.node.calm(seen.sent, seen.ended) {
-				checker.blame(seen, "%s of %s got it %v after it was rolled back", placed.version, placed.service, after)
+			if after > rollbackTime && known && seen.node.undisturbed(seen.sent, seen.ended) {
+				checker.report(seen, "sent to %s of %s %v after the rollback", placed.version, placed.service, after)
 			}
 		}
 	}
 }
 
-// reaches reports whether requests of the path go to the service.
+// reaches reports whether requests with the path are sent to the service.
 func reaches(path, service string) bool {
 	gathered := strings.HasPrefix(path, pathGather)
-	return gathered == (service != whole)
+	return gathered == (service != singleService)
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -16,42 +16,42 @@
 
 var (
 	soakTime = flag.Duration("soak", 12*time.Second, "how long faults are injected")
-	soakSeed = flag.Uint64("seed", 1, "seed of the faults; 0 draws one")
+	soakSeed = flag.Uint64("seed", 1, "seed of the faults; 0 for a random one")
 )
 
-// layout is how the nodes of a run stand.
-type layout struct {
+// topology is the number of nodes of a run and their placement in regions.
+type topology struct {
 	nodes int
-	// oneRegion puts all zones into one region.
+	// oneRegion puts all zones in one region.
 	oneRegion bool
 }
 
-// layoutOf returns the layout of a seed: for odd ones a few nodes in three regions,
-// which read the store by themselves; for even ones so many in one region that
-// they relay.
-func layoutOf(seed uint64) layout {
+// topologyOf returns the topology for a seed: a few nodes in three regions, which
+// read the store themselves, for an odd seed; enough nodes in one region that they
+// relay the store's content to each other, for an even seed.
+func topologyOf(seed uint64) topology {
 	if seed%2 == 0 {
-		return layout{nodes: 9, oneRegion: true}
+		return topology{nodes: 9, oneRegion: true}
 	}
-	return layout{nodes: 3}
+	return topology{nodes: 3}
 }
 
-func (layout layout) region(zone string) string {
-	if layout.oneRegion {
+func (topo topology) region(zone string) string {
+	if topo.oneRegion {
 		return "region"
 	}
 	return "region-" + zone
 }
 
-func (layout layout) regions() string {
+func (topo topology) regions() string {
 	var pairs []string
 	for index := range 3 {
-		pairs = append(pairs, zoneName(index)+"="+layout.region(zoneName(index)))
+		pairs = append(pairs, zoneName(index)+"="+topo.region(zoneName(index)))
 	}
 	return strings.Join(pairs, ",")
 }
 
-// injector disturbs nodes, store and servers at random.
+// injector injects random faults into nodes, store and servers.
 type injector struct {
 	t      *testing.T
 	world  *world
@@ -67,40 +67,41 @@
 		case <-done:
 			return
 		case <-time.After(time.Duration(100+injector.random.IntN(500)) * time.Millisecond):
-			injector.one(&group)
+			injector.injectOne(&group)
 		}
 	}
 }
 
-func (injector *injector) one(group *sync.WaitGroup) {
+func (injector *injector) injectOne(group *sync.WaitGroup) {
 	target := injector.nodes[injector.random.IntN(len(injector.nodes))]
 	span := time.Duration(200+injector.random.IntN(1500)) * time.Millisecond
 	switch injector.random.IntN(12) {
 	case 0:
-		injector.alone(group, target, func() { injector.kill(target, span) })
+		injector.exclusively(group, target, func() { injector.kill(target, span) })
 	case 1:
-		injector.alone(group, target, func() { injector.freeze(target, span) })
+		injector.exclusively(group, target, func() { injector.freeze(target, span) })
 	case 2:
-		injector.alone(group, target, func() { injector.replace(target) })
+		injector.exclusively(group, target, func() { injector.restart(target) })
 	case 3:
 		target.signal(syscall.SIGHUP)
 	case 4:
 		injector.world.configure(injector.t)
 	case 5, 6:
-		injector.store(span)
+		injector.disturbStore(span)
 	case 7:
 		server := injector.world.anyServer(injector.random)
 		resume := server.Pause()
 		time.AfterFunc(span, resume)
 	case 8, 9:
-		injector.link(injector.world.anyLink(injector.random), span)
+		injector.disturbLink(injector.world.anyLink(injector.random), span)
 	case 10, 11:
-		injector.link(target.storeLink, span)
+		injector.disturbLink(target.storeLink, span)
 	}
 }
 
-// link disturbs the connections that pass a proxy, for the span where that has one.
-func (injector *injector) link(link *standin.Proxy, span time.Duration) {
+// disturbLink injects a random fault into the connections of a proxy: a reset, or a fault that
+// lasts for the span.
+func (injector *injector) disturbLink(link *standin.Proxy, span time.Duration) {
 	faults := []standin.LinkFault{
 		{Delay: time.Duration(1+injector.random.IntN(100)) * time.Millisecond},
 		{HoldRequests: true}, {HoldAnswers: true}, {HoldRequests: true, HoldAnswers: true},
@@ -114,8 +115,8 @@
 	time.AfterFunc(span, func() { link.Set(standin.LinkFault{}) })
 }
 
-// alone does something to a node that nothing else is being done to.
-func (injector *injector) alone(group *sync.WaitGroup, target *node, do func()) {
+// exclusively injects a fault into a node unless another one is in progress there.
+func (injector *injector) exclusively(group *sync.WaitGroup, target *node, do func()) {
 	if !target.injecting.TryLock() {
 		return
 	}
@@ -148,11 +149,12 @@
 	})
 }
 
-// replace stops a node as planned: requests that were accepted are answered until
-// the process has ended, so only the time after that counts as disturbed.
-func (injector *injector) replace(target *node) {
+// restart stops a node gracefully and starts it again: accepted requests are answered
+// until the process exits, so only the time from the close of the listener counts as
+// disturbed.
+func (injector *injector) restart(target *node) {
 	target.signal(syscall.SIGTERM)
-	// New connections are refused from two seconds after the signal on.
+	// The node refuses new connections from 2 s after the signal.
 	time.Sleep(1900 * time.Millisecond)
 	target.disturb(func() {
 		if !target.wait(5 * time.Second) {
@@ -164,7 +166,7 @@
 	})
 }
 
-func (injector *injector) store(span time.Duration) {
+func (injector *injector) disturbStore(span time.Duration) {
 	faults := []standin.StoreFaults{{Silent: true}, {Unavailable: true}, {Throttled: true}, {LoseAnswers: true},
 		{StaleLag: time.Second}, {Delay: 200 * time.Millisecond}}
 	injector.world.store.SetFaults(faults[injector.random.IntN(len(faults))])
@@ -175,27 +177,27 @@
 	injector.world.store.SetFaults(standin.StoreFaults{})
 }
 
-func TestSoak(t *testing.T) { soak(t, seedOfRun(), *soakTime, nil) }
+func TestSoak(t *testing.T) { soak(t, chosenSeed(), *soakTime, nil) }
 
-// seedOfRun returns the seed of the flag, or draws one.
-func seedOfRun() uint64 {
+// chosenSeed returns the seed of the flag, or a random one.
+func chosenSeed() uint64 {
 	if *soakSeed == 0 {
 		return uint64(time.Now().UnixNano())
 	}
 	return *soakSeed
 }
 
-// failedSeeds are the seeds that ever failed, with the cause.
+// failedSeeds are seeds that once failed, with the cause.
 var failedSeeds = []struct {
 	seed  uint64
 	cause string
 }{
-	{1, "the soak itself: a node was killed while its planned stop was waited for; then, with the race detector on: " +
-		"requests that outlasted the stop timeout were cut"},
-	{3, "both of the same"},
-	{1796241673339394375, "the soak itself: another process took a node's address while it was down"},
-	{4, "the same: callers of one run reached the nodes of another"},
-	{11, "the same: a node could not start"},
+	{1, "test bug: a node was killed during its graceful stop; then, with the race detector: " +
+		"requests longer than the stop timeout were cut off"},
+	{3, "both causes of seed 1"},
+	{1796241673339394375, "test bug: another process took a node's address while it was down"},
+	{4, "same as 1796241673339394375: callers of one run reached the nodes of another"},
+	{11, "same as 1796241673339394375: a node could not start"},
 }
 
 func TestSeedsThatFailed(t *testing.T) {
@@ -208,19 +210,19 @@
 	}
 }
 
-// soak injects faults for the span and checks what callers and servers saw.
-// Besides, further faults go on until their channel is closed; nil for none.
+// soak injects faults for the span and checks the requests that callers sent and servers ran.
+// If further is not nil, it injects additional faults until its channel is closed.
 func soak(t *testing.T, seed uint64, span time.Duration, further func(world *world, random *lockedRandom, done <-chan struct{})) {
 	t.Helper()
 	t.Logf("seed %d, %v", seed, span)
 	random := newRandom(seed)
 	world := newWorld(t, random)
-	nodes := startNodes(t, world, layoutOf(seed))
+	nodes := startNodes(t, world, topologyOf(seed))
 	sending, injecting := make(chan struct{}), make(chan struct{})
 	callers := &callers{nodes: nodes, random: random}
 	var group sync.WaitGroup
 	group.Go(func() { callers.run(sending) })
-	group.Go(func() { callers.runBad(injecting, newRandom(seed+2)) })
+	group.Go(func() { callers.runCrashing(injecting, newRandom(seed+2)) })
 	operator := &operator{t: t, world: world, random: newRandom(seed + 1)}
 	ordering := make(chan struct{})
 	go func() {
@@ -234,7 +236,7 @@
 	stopInjecting := time.AfterFunc(span, func() { close(injecting) })
 	defer stopInjecting.Stop()
 	injector.run(injecting)
-	world.heal()
+	world.clearLinkFaults()
 	for _, node := range nodes {
 		node.storeLink.Set(standin.LinkFault{})
 	}
@@ -243,19 +245,19 @@
 	close(sending)
 	group.Wait()
 	world.close()
-	world.servers = append(append(world.servers, world.earlier...), operator.started...)
+	world.servers = append(append(world.servers, world.replaced...), operator.started...)
 	checker := newChecker(world)
 	checker.check(callers.results)
 	operator.check(checker, callers.results)
 	report(t, checker, callers.results)
-	checkRelay(t, layoutOf(seed), nodes)
+	checkRelay(t, topologyOf(seed), nodes)
 	if t.Failed() {
 		t.Logf("seed %d", seed)
 	}
 }
 
-// keptDirectory returns a directory for logs, which are kept if the test fails.
-func keptDirectory(t *testing.T) string {
+// logDirectory creates a directory for logs, which is kept if the test fails.
+func logDirectory(t *testing.T) string {
 	t.Helper()
 	directory, err := os.MkdirTemp("", "driftstage-soak-logs-")
 	if err != nil {
@@ -273,17 +275,17 @@
 	return directory
 }
 
-func startNodes(t *testing.T, world *world, layout layout) []*node {
+func startNodes(t *testing.T, world *world, topo topology) []*node {
 	t.Helper()
-	directory := keptDirectory(t)
-	peers := make([]string, layout.nodes)
+	directory := logDirectory(t)
+	peers := make([]string, topo.nodes)
 	for index := range peers {
 		peers[index] = freeAddress(t)
 	}
-	nodes := make([]*node, layout.nodes)
+	nodes := make([]*node, topo.nodes)
 	for index := range nodes {
-		nodes[index] = newNode(t, place{
-			index: index, region: layout.region(zoneName(index)), regions: layout.regions(),
+		nodes[index] = newNode(t, nodeOptions{
+			index: index, region: topo.region(zoneName(index)), regions: topo.regions(),
 			store: world.store.Address(), seeds: strings.Join(peers, ","), peer: peers[index],
 		}, directory)
 		if err := nodes[index].start(); err != nil {
@@ -310,23 +312,24 @@
 	}
 }
 
-// checkRecovery: after the last fault every node serves the newest configuration
-// within the bound of the pages.
+// checkRecovery checks that after the last fault every node serves the newest
+// configuration within the documented bound.
 func checkRecovery(t *testing.T, world *world, nodes []*node) {
 	t.Helper()
 	world.configure(t)
-	const bound = 8 * time.Second // five of contact and three for the configuration
+	const bound = 8 * time.Second // 5 s to reconnect, 3 s to apply the configuration
 	for index, recovered := range nodes {
 		eventually(t, bound, recovered.name+" serves the newest configuration", func() bool {
-			// A server may misbehave; any answer but 404 shows the route.
+			// A node without the newest configuration responds 404. A failure of a server
+			// is retried.
 			seen := ask(recovered, world.versionPath(), recoveryID(index))
 			return seen.status == 200
 		})
 	}
 }
 
-// checkRelay: where there are many nodes, most of them have followed another one.
-func checkRelay(t *testing.T, layout layout, nodes []*node) {
+// checkRelay checks that with many nodes in one region, at least half have followed another one.
+func checkRelay(t *testing.T, topo topology, nodes []*node) {
 	t.Helper()
 	followers := 0
 	for _, node := range nodes {
@@ -339,21 +342,21 @@
 		}
 	}
 	t.Logf("%d of %d nodes followed another one", followers, len(nodes))
-	if layout.oneRegion && followers < len(nodes)/2 {
+	if topo.oneRegion && followers < len(nodes)/2 {
 		t.Errorf("only %d of %d nodes ever followed another one", followers, len(nodes))
 	}
 }
 
-// recoveryID is not among the ids that callers use.
+// recoveryID returns a request id that callers do not use.
 func recoveryID(index int) string { return "recovery-" + string(rune('a'+index)) }
 
-func report(t *testing.T, checker *checker, results []result) {
+func report(t *testing.T, checker *checker, results []callResult) {
 	t.Helper()
 	byStatus := make(map[int]int)
 	for _, seen := range results {
 		byStatus[seen.status]++
 	}
-	t.Logf("%d requests by status (0: no answer): %v", len(results), byStatus)
+	t.Logf("%d requests by status (0: no response): %v", len(results), byStatus)
 	if served := byStatus[200]; served*2 < len(results) {
 		t.Errorf("only %d of %d requests were served", served, len(results))
 	}
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -15,11 +15,11 @@
 
 const host = "soak.example"
 
-// shards are the services that gathered requests reach.
+// shards are the services of the scatter-gather route.
 var shards = []string{"shard-a", "shard-b", "shard-c", "shard-d"}
 
-// whole is the service that whole requests reach.
-const whole = "whole"
+// singleService is the service of the routes without scatter-gather.
+const singleService = "whole"
 
 const (
 	pathGather = "/gather/"
@@ -27,32 +27,33 @@
 	pathUnsafe = "/unsafe/"
 )
 
-// world is what surrounds the nodes.
+// world holds the store, servers and links around the nodes.
 type world struct {
 	store   *standin.Store
 	servers []*standin.Server
-	// earlier are those that were born anew since, under the same id.
-	earlier []*standin.Server
+	// replaced are earlier incarnations of servers that were restarted with the same id.
+	replaced []*standin.Server
 	// records are the records of each server, by its id.
 	mutex   sync.Mutex
 	records map[string][]byte
 	version uint64
-	// links are the proxies before servers, reached their addresses by the servers' ids.
-	links   []*standin.Proxy
-	reached map[string]string
-	// closed is set once no server comes back any more.
+	// links are the proxies in front of servers, proxyAddresses their addresses by server id.
+	links          []*standin.Proxy
+	proxyAddresses map[string]string
+	// closed is set when crashed servers are no longer replaced.
 	closed bool
 }
 
-// lethalShards are the services whose servers end under some requests. The others have
-// roll-outs, whose servers the operator starts and ends.
-var lethalShards = shards[1:]
+// crashingShards are the services whose servers crash on some requests. The other services have
+// rollouts, whose servers the operator starts and stops.
+var crashingShards = shards[1:]
 
-// Servers that have ended are away for awayTime; their entries lapse within that.
-const awayTime = 1200 * time.Millisecond
+// serverRestartDelay is the time from the crash of a server until its entry is removed and a
+// replacement starts.
+const serverRestartDelay = 1200 * time.Millisecond
 
-// faulty draws a behavior for one request in twenty.
-func faulty(random *lockedRandom) func(int) standin.Behavior {
+// randomBehavior selects a random faulty behavior for one request in twenty.
+func randomBehavior(random *lockedRandom) func(int) standin.Behavior {
 	behaviors := []standin.Behavior{standin.Shed, standin.LoseAnswer, standin.ResetAfterRun, standin.BreakOff, standin.Garble,
 		standin.AnswerTwice, standin.Unframed, standin.UnframedReset, standin.ForeignFirst, standin.Fail, standin.CloseAfter, standin.Encoded}
 	return func(int) standin.Behavior {
@@ -63,7 +64,7 @@
 	}
 }
 
-// lockedRandom is a source of random numbers for several goroutines.
+// lockedRandom is a random source that is safe for concurrent use.
 type lockedRandom struct {
 	mutex  sync.Mutex
 	random *rand.Rand
@@ -73,7 +74,7 @@
 	return &lockedRandom{random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// IntN returns a number from 0 to n-1.
+// IntN returns a random number from 0 to n-1.
 func (locked *lockedRandom) IntN(n int) int {
 	locked.mutex.Lock()
 	defer locked.mutex.Unlock()
@@ -87,9 +88,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(store.Close)
-	built := &world{store: store, records: make(map[string][]byte), reached: make(map[string]string)}
+	built := &world{store: store, records: make(map[string][]byte), proxyAddresses: make(map[string]string)}
 	built.configure(t)
-	for _, service := range append([]string{whole}, shards...) {
+	for _, service := range append([]string{singleService}, shards...) {
 		for index := range 3 {
 			built.serve(t, random, service, index)
 		}
@@ -97,21 +98,21 @@
 	return built
 }
 
-// serve starts a server; its index tells its zone, and each incarnation has one of its own.
+// serve starts a server. Its index determines its zone and differs for each incarnation.
 func (world *world) serve(t *testing.T, random *lockedRandom, service string, index int) {
 	t.Helper()
 	id := fmt.Sprintf("i-%s-%d", service, index)
-	// Servers of a shard answer alike but for one record of their own.
+	// The responses of a shard's servers differ in one record.
 	body := []byte(record(service, "common") + record(service, id[len(id)-1:]))
 	server, err := standin.NewServer(standin.ServerOptions{
-		ID: id, Service: service, Zone: zoneName(index), Body: body, Behave: faulty(random),
+		ID: id, Service: service, Zone: zoneName(index), Body: body, Behave: randomBehavior(random),
 		EndsUnder: func(request *http.Request, _ string) standin.End {
-			if lethal(request.RequestURI) && slices.Contains(lethalShards, service) {
+			if crashesServers(request.RequestURI) && slices.Contains(crashingShards, service) {
 				return standin.EndReset
 			}
 			return standin.EndNone
 		},
-		HasEnded: func(ended *standin.Server) { world.revive(t, random, ended, service, index) },
+		HasEnded: func(ended *standin.Server) { world.replaceServer(t, random, ended, service, index) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -127,13 +128,13 @@
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	world.links = append(world.links, link)
-	world.reached[id] = link.Address()
+	world.proxyAddresses[id] = link.Address()
 	world.servers = append(world.servers, server)
 }
 
-// revive lets a server come back under another id, in the same zone.
-func (world *world) revive(t *testing.T, random *lockedRandom, ended *standin.Server, service string, index int) {
-	time.Sleep(awayTime)
+// replaceServer starts a replacement with another id in the same zone for a crashed server.
+func (world *world) replaceServer(t *testing.T, random *lockedRandom, ended *standin.Server, service string, index int) {
+	time.Sleep(serverRestartDelay)
 	world.store.Remove("servers", ended.ID())
 	world.mutex.Lock()
 	closed := world.closed
@@ -143,15 +144,15 @@
 	}
 }
 
-// close keeps servers from coming back.
+// close stops replacing crashed servers.
 func (world *world) close() {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	world.closed = true
 }
 
-// heal ends the faults of all links.
-func (world *world) heal() {
+// clearLinkFaults clears the faults of all links.
+func (world *world) clearLinkFaults() {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	for _, link := range world.links {
@@ -159,13 +160,14 @@
 	}
 }
 
-// anyServer and anyLink draw one.
+// anyServer returns a random server.
 func (world *world) anyServer(random *lockedRandom) *standin.Server {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
 	return world.servers[random.IntN(len(world.servers))]
 }
 
+// anyLink returns a random link.
 func (world *world) anyLink(random *lockedRandom) *standin.Proxy {
 	world.mutex.Lock()
 	defer world.mutex.Unlock()
@@ -178,17 +180,17 @@
 	world.records[id] = body
 }
 
-// record is sixteen bytes that begin with the end of the service's name.
+// record returns a record of 16 bytes that starts with the last letter of the service's name.
 func record(service, text string) string {
 	name := service[len(service)-1:] + "-" + text
 	return name + strings.Repeat(".", 16-len(name))
 }
 
-// resultCount is the number of records of a gathered answer.
+// resultCount is the number of records in the response of the scatter-gather route.
 const resultCount = 3
 
-// configure writes the next version; it has a route of its own by which a node
-// shows that the version is in force.
+// configure writes the next configuration version, with a route specific to it that
+// shows whether a node has applied the version.
 func (world *world) configure(t *testing.T) {
 	t.Helper()
 	world.version++
@@ -197,7 +199,7 @@
 	}
 	gather, safe, unsafe, own := route(pathGather, "safe"), route(pathSafe, "safe"), route(pathUnsafe, "unsafe"), route(world.versionPath(), "safe")
 	gather.Gather, gather.ResultCount, gather.MinVersion = shards, resultCount, 0.5
-	safe.Service, unsafe.Service, own.Service = whole, whole, whole
+	safe.Service, unsafe.Service, own.Service = singleService, singleService, singleService
 	err := world.store.Configure(standin.Configuration{
 		Version: world.version,
 		Routes:  []standin.Route{gather, safe, unsafe, own},
