--- a/test/e2e/ask_test.go
+++ b/test/e2e/ask_test.go
@@ -16,19 +16,19 @@
 	"github.com/driftstage/driftstage/internal/standin/backend"
 )
 
-// requireUseful fails unless at least the share of the queries had a useful
-// answer: a load that did nothing proves nothing.
-func (system *system) requireUseful(report *lab.Report, share float64) {
+// requireAnswered fails the test unless at least the share of the queries was answered with
+// status 200, since a load without answers proves nothing.
+func (system *system) requireAnswered(report *lab.Report, share float64) {
 	system.t.Helper()
 	system.t.Logf("sent %d, coverage %.4f, verdicts %v, statuses %v, failures %v, load %.4f",
 		report.Sent, report.Coverage, report.Verdicts, report.Statuses, report.Failures, report.BackEnds.Ratio)
 	useful := report.Statuses[http.StatusOK]
 	if float64(useful) < share*float64(report.Sent) {
-		system.t.Errorf("%d useful answers to %d queries, want a share of %.2f", useful, report.Sent, share)
+		system.t.Errorf("%d useful answers to %d queries, want a share of at least %.2f", useful, report.Sent, share)
 	}
 }
 
-// ask sends one repeatable query and returns the answer of status 200.
+// ask sends one repeatable query and returns the answer, which must have status 200.
 func (system *system) ask(gateway string) (lab.Answer, error) {
 	var answer lab.Answer
 	url := fmt.Sprintf("http://%s/v1/services/%s/query", gateway, service)
@@ -52,8 +52,8 @@
 	return answer, json.Unmarshal(body, &answer)
 }
 
-// awaitWhole waits until a gateway answers with all shards of the service.
-func (system *system) awaitWhole(gateway string, shards int) {
+// awaitFullCoverage waits until the answers of a gateway cover all shards of the service.
+func (system *system) awaitFullCoverage(gateway string, shards int) {
 	system.t.Helper()
 	system.await(func(context.Context) error {
 		answer, err := system.ask(gateway)
@@ -69,7 +69,7 @@
 	must(system.t, cluster.Await(testContext(system.t), condition))
 }
 
-// fleet describes the back ends.
+// fleet returns the description of the back ends.
 func (system *system) fleet() backend.Description {
 	system.t.Helper()
 	fleet, err := system.backends.Fleet()
@@ -82,8 +82,8 @@
 	must(system.t, system.backends.SetFault(fault))
 }
 
-// updateResource changes the resource on top of what is stored, as often as it
-// takes: a controller may write its status in between.
+// updateResource applies a change to the stored resource. It retries on conflicts, since a
+// controller may write the status in between.
 func (system *system) updateResource(change func(*v1.QueryService)) error {
 	client := platform.NewClient(platform.Options{Address: system.Platform.Address, Name: "test"})
 	defer client.Close()
--- a/test/e2e/change_test.go
+++ b/test/e2e/change_test.go
@@ -8,26 +8,25 @@
 	"github.com/driftstage/driftstage/internal/standin/backend"
 )
 
-// leavingBound is how long a leaving server may still get new work. The design
-// aims at 2 s; the rest is for a busy machine.
-const leavingBound = 4 * time.Second
+// drainBound is how long a draining server may still receive new work: the design goal of
+// 2 s, plus a margin for a busy machine.
+const drainBound = 4 * time.Second
 
-// TestVersionsAdvance brings out index versions all the time, each reaching the
-// servers one by one: no answer mixes two.
+// TestVersionsAdvance publishes index versions continuously, each to one server after the
+// other: no answer may mix two versions.
 func TestVersionsAdvance(t *testing.T) {
 	system := startSystem(t, 3, "--advance-every", "300ms")
 	report := system.underLoad(loadOptions(5*time.Second), system.gateways(), func() {})
-	system.requireUseful(report, 0.8)
+	system.requireAnswered(report, 0.8)
 	fleet, err := system.backends.Fleet()
 	must(t, err)
 	if fleet.Newest.Snapshot < 5 {
-		t.Errorf("only %d versions came out: the test shows nothing", fleet.Newest.Snapshot)
+		t.Errorf("only %d versions were published: the test is inconclusive", fleet.Newest.Snapshot)
 	}
 }
 
-// TestRepartitioning brings out a version with twice the shards during load,
-// and then the resource with its map: no answer mixes maps, and the new map
-// comes into force.
+// TestRepartitioning publishes a version with twice the shards during load, and then the
+// resource with its shard map: no answer may mix the maps, and the new map must be applied.
 func TestRepartitioning(t *testing.T) {
 	system := startSystem(t, 3)
 	report := system.underLoad(loadOptions(5*time.Second), system.gateways(), func() {
@@ -39,21 +38,21 @@
 		must(t, err)
 		must(t, system.updateResource(func(stored *v1.QueryService) { stored.Spec.Shards = resource.Spec.Shards }))
 	})
-	system.requireUseful(report, 0.95)
+	system.requireAnswered(report, 0.95)
 	for _, node := range system.Nodes {
-		system.awaitWhole(node.Gateway, 16)
+		system.awaitFullCoverage(node.Gateway, 16)
 	}
 }
 
-// TestDrainingBackEnd lets a server announce on its replies that it leaves,
-// while it would still take work: new work stops soon after.
+// TestDrainingBackEnd makes a server announce in its replies that it is draining, although
+// it still accepts work: new work must stop within drainBound.
 func TestDrainingBackEnd(t *testing.T) {
 	system := startSystem(t, 3)
 	leaving := system.fleet().Servers[0].Name
-	report := system.underLoad(loadOptions(leavingBound+5*time.Second), system.gateways(), func() {
+	report := system.underLoad(loadOptions(drainBound+5*time.Second), system.gateways(), func() {
 		system.setFault(backend.Fault{Server: leaving, Kind: backend.FaultDrain, DelayMillis: int(time.Hour.Milliseconds())})
 	})
-	system.requireUseful(report, 0.95)
+	system.requireAnswered(report, 0.95)
 	counters, err := system.backends.Counters()
 	must(t, err)
 	for _, counter := range counters {
@@ -61,9 +60,9 @@
 			continue
 		}
 		late := counter.LastArrival.Sub(counter.DrainingSince)
-		t.Logf("last arrival %v after the server began to drain", late)
-		if late > leavingBound {
-			t.Errorf("server got new work %v after it began to drain", late)
+		t.Logf("last arrival %v after draining began", late)
+		if late > drainBound {
+			t.Errorf("server received new work %v after draining began", late)
 		}
 	}
 }
--- a/test/e2e/configuration_test.go
+++ b/test/e2e/configuration_test.go
@@ -21,12 +21,12 @@
 	"github.com/driftstage/driftstage/internal/standin/platform"
 )
 
-// exitConflict is the exit status of driftctl when someone else wrote first.
+// exitConflict is the exit status of driftctl after a conflicting write.
 const exitConflict = 4
 
-// TestRacingOperators lets two operators change the same resource at a time with
-// driftctl, while replies of the platform get lost and queries run: no change is
-// lost or made twice, no node ever goes back, and all end at the same revision.
+// TestRacingOperators makes two operators change the same resource concurrently with
+// driftctl, while replies of the platform are lost and queries run: no change may be lost
+// or applied twice, no node may revert, and all must converge to the same revision.
 func TestRacingOperators(t *testing.T) {
 	const changes = 8
 	system := startSystem(t, 3)
@@ -35,14 +35,14 @@
 		system.setPlatformFaults(platform.Faults{Resource: "queryservices", DropReplies: 6})
 		var operators sync.WaitGroup
 		operators.Go(func() {
-			system.operate(changes, func(spec *v1.QueryServiceSpec) { spec.Limits.InFlight++ })
+			system.applyChanges(changes, func(spec *v1.QueryServiceSpec) { spec.Limits.InFlight++ })
 		})
 		operators.Go(func() {
-			system.operate(changes, func(spec *v1.QueryServiceSpec) { spec.Limits.Queue++ })
+			system.applyChanges(changes, func(spec *v1.QueryServiceSpec) { spec.Limits.Queue++ })
 		})
 		operators.Wait()
 	})
-	system.requireUseful(report, 0.95)
+	system.requireAnswered(report, 0.95)
 	stored := system.resource()
 	var first v1.QueryServiceSpec
 	must(t, json.Unmarshal(mustField(t, system.Backends[0].Resource, "spec"), &first))
@@ -55,8 +55,8 @@
 	watch.end()
 }
 
-// operate makes so many changes, each on top of what it has just read.
-func (system *system) operate(changes int, change func(*v1.QueryServiceSpec)) {
+// applyChanges applies a number of changes, each to the resource just read.
+func (system *system) applyChanges(changes int, change func(*v1.QueryServiceSpec)) {
 	for done := 0; done < changes; {
 		output, status := system.driftctl(nil, "get", service, "-o", "json")
 		if status != 0 {
@@ -93,16 +93,16 @@
 	command.Stdin = bytes.NewReader(input)
 	var output, failures bytes.Buffer
 	command.Stdout, command.Stderr = &output, &failures
-	_ = command.Run() // The exit status tells.
+	_ = command.Run() // A failure shows in the exit status.
 	if command.ProcessState.ExitCode() != 0 {
 		return failures.Bytes(), command.ProcessState.ExitCode()
 	}
 	return output.Bytes(), 0
 }
 
-// TestPlatformOutageDuringReplacement takes the platform away, replaces every
-// node by a new one, one after the other, and shows that the new ones serve the
-// accepted configuration, which they can only have from each other.
+// TestPlatformOutageDuringReplacement replaces all nodes one after the other during an
+// outage of the platform. The new nodes must serve the accepted configuration, which they
+// can only get from other nodes.
 func TestPlatformOutageDuringReplacement(t *testing.T) {
 	const nodes = 3
 	system := startSystem(t, nodes)
@@ -112,12 +112,12 @@
 		started := system.startNode(nodes + index)
 		system.awaitReady(started)
 		if revision := system.revisionOf(started); revision != before {
-			t.Errorf("%s takes requests at revision %d, want %d", started.Name, revision, before)
+			t.Errorf("%s is ready at revision %d, want %d", started.Name, revision, before)
 		}
 		must(t, system.Nodes[index].Stop())
 	}
 	report := system.underLoad(loadOptions(2*time.Second), system.gateways(), func() {})
-	system.requireUseful(report, 0.9)
+	system.requireAnswered(report, 0.9)
 	for _, node := range system.Running() {
 		if revision := system.revisionOf(node); revision != before {
 			t.Errorf("%s is at revision %d, want %d", node.Name, revision, before)
@@ -129,7 +129,7 @@
 	system.awaitAccepted(system.resource().Metadata.Generation)
 }
 
-// awaitReady waits until a node takes requests.
+// awaitReady waits until a node is ready.
 func (system *system) awaitReady(node *cluster.Node) {
 	system.t.Helper()
 	must(system.t, cluster.Await(testContext(system.t), func(ctx context.Context) error {
@@ -170,7 +170,7 @@
 	}))
 }
 
-// revisionOf is the revision of the service that a node applies, 0 for none.
+// revisionOf returns the revision of the service that a node has applied, 0 for none.
 func (system *system) revisionOf(node *cluster.Node) int64 {
 	system.t.Helper()
 	state, err := node.State(testContext(system.t))
@@ -183,13 +183,13 @@
 	return 0
 }
 
-// revisionWatch looks at the revision of every node all the time.
+// revisionWatch polls the revision of every node.
 type revisionWatch struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
 }
 
-// watchRevisions fails the test if a node ever goes back.
+// watchRevisions fails the test if a node reverts to an earlier revision.
 func (system *system) watchRevisions() *revisionWatch {
 	ctx, stop := context.WithCancel(testContext(system.t))
 	watch := &revisionWatch{stop: stop}
@@ -203,7 +203,7 @@
 				}
 				for _, known := range state.Services {
 					if known.Revision < highest {
-						system.t.Errorf("%s went back from revision %d to %d", node.Name, highest, known.Revision)
+						system.t.Errorf("%s reverted from revision %d to %d", node.Name, highest, known.Revision)
 					}
 					highest = max(highest, known.Revision)
 				}
@@ -238,10 +238,10 @@
 	return fields[name]
 }
 
-// TestLeaseHolderIsFrozen stops the controller that holds the lease in the middle
-// of changes, lets another take over, and wakes it: what it still believes
-// changes nothing, no node goes back, and all end at the same revision.
-func TestLeaseHolderIsFrozen(t *testing.T) {
+// TestFrozenLeaseHolder freezes the controller that holds the lease during changes, waits
+// until another one takes over, and thaws it: its stale state must have no effect, no node
+// may revert, and all must converge to the same revision.
+func TestFrozenLeaseHolder(t *testing.T) {
 	system := startSystem(t, 4)
 	watch := system.watchRevisions()
 	holder := system.leaseHolder()
@@ -259,7 +259,7 @@
 		return nil
 	}))
 	if next := system.leaseHolder(); next == holder {
-		t.Errorf("%s holds the lease still: the test shows nothing", holder.Name)
+		t.Errorf("%s still holds the lease: the test is inconclusive", holder.Name)
 	}
 	must(t, holder.Signal(syscall.SIGCONT))
 	must(t, system.updateResource(func(resource *v1.QueryService) { resource.Spec.Limits.Queue = 300 }))
--- a/test/e2e/crash_test.go
+++ b/test/e2e/crash_test.go
@@ -8,24 +8,24 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// TestGatewayIsKilled kills a node that callers are asking: they get no answer,
-// and nothing of theirs runs twice.
-func TestGatewayIsKilled(t *testing.T) {
+// TestKilledGateway kills a node during queries: they may remain unanswered, but none of
+// the non-repeatable ones may run twice.
+func TestKilledGateway(t *testing.T) {
 	system := startSystem(t, 3)
 	report := system.underLoad(loadOptions(4*time.Second), system.gateways(), func() {
 		time.Sleep(time.Second)
 		system.Nodes[0].Kill()
 	})
-	// A third of the queries goes to the dead node from the second second on.
-	system.requireUseful(report, 0.6)
+	// From the second second on, a third of the queries is sent to the killed node.
+	system.requireAnswered(report, 0.6)
 	if report.Answered == report.Sent {
-		t.Error("no query met the dead gateway: the test shows nothing")
+		t.Error("no query was sent to the killed gateway: the test is inconclusive")
 	}
-	system.awaitWhole(system.Nodes[1].Gateway, 8)
+	system.awaitFullCoverage(system.Nodes[1].Gateway, 8)
 }
 
-// TestBackEndsAreKilled kills servers in turn, each of which has a living replica.
-func TestBackEndsAreKilled(t *testing.T) {
+// TestKilledBackEnds kills servers one after the other; every shard always keeps a live replica.
+func TestKilledBackEnds(t *testing.T) {
 	system := startSystem(t, 3, "--median", "10ms")
 	report := system.underLoad(loadOptions(5*time.Second), system.gateways(), func() {
 		for _, index := range []int{0, 2, 1} {
@@ -36,14 +36,14 @@
 			system.setFault(backend.Fault{Server: server, Kind: backend.FaultNone})
 		}
 	})
-	system.requireUseful(report, 0.8)
-	system.awaitWhole(system.Nodes[0].Gateway, 8)
+	system.requireAnswered(report, 0.8)
+	system.awaitFullCoverage(system.Nodes[0].Gateway, 8)
 }
 
-// TestBackEndsAreFrozen stops one server, and then all, for longer than any
-// deadline: what they had received they run when they wake, and none of that
-// was called not run.
-func TestBackEndsAreFrozen(t *testing.T) {
+// TestFrozenBackEnds freezes one server, and then all, for longer than any deadline. When
+// thawed, they run what they had received, and none of that may have been reported as not
+// run.
+func TestFrozenBackEnds(t *testing.T) {
 	system := startSystem(t, 3)
 	servers := system.fleet().Servers
 	report := system.underLoad(loadOptions(8*time.Second), system.gateways(), func() {
@@ -58,15 +58,15 @@
 			time.Sleep(queryTimeout)
 		}
 	})
-	system.requireUseful(report, 0.5)
+	system.requireAnswered(report, 0.5)
 	if report.Verdicts[verdict.MayHaveRun.String()] == 0 {
-		t.Error("no query was given up while all its parts were pending: the test shows nothing")
+		t.Error("no query was abandoned with all parts pending: the test is inconclusive")
 	}
 }
 
-// TestBackEndMisbehaves lets a server break one reply in three in every way: no
-// such reply reaches a caller.
-func TestBackEndMisbehaves(t *testing.T) {
+// TestFaultyReplies makes a server send one faulty reply in three, with each kind of fault in
+// turn: no such reply may reach a caller.
+func TestFaultyReplies(t *testing.T) {
 	kinds := []backend.FaultKind{
 		backend.FaultLate, backend.FaultTwice, backend.FaultTruncate, backend.FaultReset, backend.FaultForeign,
 		backend.FaultWrongVersion, backend.FaultWrongBodyVersion, backend.FaultError,
@@ -82,8 +82,8 @@
 			system.setFault(backend.Fault{Server: server, Kind: backend.FaultNone})
 		}
 	})
-	system.requireUseful(report, 0.6)
+	system.requireAnswered(report, 0.6)
 	if report.BackEnds.ShardExecutions == 0 {
-		t.Error("nothing ran: the test shows nothing")
+		t.Error("nothing ran: the test is inconclusive")
 	}
 }
--- a/test/e2e/doc.go
+++ b/test/e2e/doc.go
@@ -1,2 +1,2 @@
-// Package e2e holds the end-to-end tests: separate processes under failure.
+// Package e2e contains the end-to-end tests, which inject faults into separate processes.
 package e2e
--- a/test/e2e/failure_test.go
+++ b/test/e2e/failure_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// The stories of docs/OPERATIONS.md can be had with the commands that stand there.
+// The failures described in docs/OPERATIONS.md must be reproducible with the commands given there.
 func TestFailedRequestsAreExplained(t *testing.T) {
 	for _, test := range []struct {
 		kind, status, last string
@@ -25,7 +25,7 @@
 			lines := strings.Split(strings.TrimSpace(string(output)), "\n")
 			is.True(strings.Contains(lines[0], test.status))
 			is.True(strings.Contains(lines[len(lines)-1], test.last))
-			is.True(strings.Contains(string(output), "\n> ")) // what departs is marked
+			is.True(strings.Contains(string(output), "\n> ")) // the first anomaly is marked
 		})
 	}
 }
--- a/test/e2e/harness_test.go
+++ b/test/e2e/harness_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// patience bounds waits for what is sure to come; CI machines are slow.
-	patience = 90 * time.Second
-	// service is the name of the query service of most tests.
+	// testTimeout limits waits for expected events; it is long because CI machines are slow.
+	testTimeout = 90 * time.Second
+	// service is the name of the query service.
 	service = "search"
-	// queryTimeout is what the loads give as the timeout of a query.
+	// queryTimeout is the timeout of each query of a load.
 	queryTimeout = 500 * time.Millisecond
 )
 
@@ -61,9 +61,9 @@
 
 var zones = []string{"zone-a", "zone-b", "zone-c"}
 
-// startSystem starts the stand-ins and as many daemons as there are names, and
-// waits until every daemon knows the service. At the end of the test everything
-// is stopped, and must have stopped with exit status 0 unless it was killed.
+// startSystem starts the stand-ins and the given number of daemons, and waits until every
+// daemon knows the service. At the end of the test all processes are stopped, and must exit
+// with status 0 unless they were killed.
 func startSystem(t *testing.T, nodes int, backendArguments ...string) *system {
 	t.Helper()
 	is := is.New(t)
@@ -89,7 +89,7 @@
 	return started
 }
 
-// startNode starts the daemon of an index; zones go round.
+// startNode starts the daemon with the given index; zones are assigned round-robin.
 func (system *system) startNode(index int) *cluster.Node {
 	system.t.Helper()
 	zone := zones[index%len(zones)]
@@ -105,7 +105,7 @@
 
 func (system *system) stop() {
 	for _, node := range system.Running() {
-		// A daemon that a failed test left stopped could not end.
+		// A failed test may have left a daemon stopped, which could not exit.
 		_ = node.Signal(syscall.SIGCONT)
 	}
 	if err := system.Stop(); err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// gateways returns the addresses of the running daemons, for a load.
+// gateways returns the gateway addresses of the running daemons.
 func (system *system) gateways() []string {
 	var addresses []string
 	for _, node := range system.Running() {
@@ -128,7 +128,7 @@
 	return addresses
 }
 
-// loadOptions is a light load with every second query not repeatable.
+// loadOptions returns a light load in which half of the queries are not repeatable.
 func loadOptions(duration time.Duration) lab.LoadOptions {
 	options := lab.DefaultLoadOptions()
 	options.Service = service
@@ -140,8 +140,8 @@
 	return options
 }
 
-// underLoad runs disturb while queries are sent to the gateways, and fails the
-// test if any answer contradicts the record of what the back ends ran.
+// underLoad calls disturb while queries are sent to the gateways, and fails the test if any
+// answer contradicts the record of what the back ends ran.
 func (system *system) underLoad(options lab.LoadOptions, gateways []string, disturb func()) *lab.Report {
 	system.t.Helper()
 	type outcome struct {
@@ -167,7 +167,7 @@
 }
 
 func testContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
--- a/test/e2e/race_on_test.go
+++ b/test/e2e/race_on_test.go
@@ -2,5 +2,5 @@
 
 package e2e
 
-// buildFlags build the programs with the race detector when the tests are.
+// buildFlags builds the programs with the race detector if the tests are.
 var buildFlags = []string{"-race"}
--- a/test/e2e/rollout_test.go
+++ b/test/e2e/rollout_test.go
@@ -13,8 +13,8 @@
 	"github.com/driftstage/driftstage/internal/lab/rollouts"
 )
 
-// A good version gets a service's traffic, a bad one is rolled back inside the bounds. The
-// nodes' logs are kept where that is asked for.
+// A good version must receive a service's traffic, and a bad one must be rolled back within the
+// bounds. The nodes' logs must be kept only with --keep.
 func TestRollouts(t *testing.T) {
 	for _, test := range []struct {
 		version, seconds, state string
@@ -36,7 +36,7 @@
 			command.Stderr = &messages
 			output, err := command.Output()
 			t.Logf("%s", output)
-			is.NoErr(err) // no bound was broken
+			is.NoErr(err) // all bounds hold
 			var result rollouts.Result
 			is.NoErr(json.Unmarshal(output, &result))
 			is.Equal(result.State, test.state)
@@ -48,8 +48,8 @@
 	}
 }
 
-// Wrong flags of experiments are told apart from what went wrong in one: exit status 2.
-func TestWrongFlagsOfExperiments(t *testing.T) {
+// Invalid flags of experiments exit with status 2, unlike a failed experiment.
+func TestInvalidExperimentFlags(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"rollout", "--nodes", "0"},
 		{"rollout", "--version", "unheard-of"},
