--- a/spec/invariants_test.go
+++ b/spec/invariants_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestInvariantsAreCheckedOnTheCores ties the models to the code: every named
-// invariant of a model is checked by a function of the cores' tests that has the
-// same name, check… or Test….
+// TestInvariantsAreCheckedOnTheCores links the models to the code: every named invariant
+// X of a model must be checked in the tests of the core packages, by a function named
+// checkX or TestX.
 func TestInvariantsAreCheckedOnTheCores(t *testing.T) {
 	checked := checkedOnTheCores(t)
 	named := regexp.MustCompile(`INVARIANT\(([A-Z]\w+),`)
@@ -20,18 +20,18 @@
 		}
 		matches := named.FindAllStringSubmatch(string(source), -1)
 		if len(matches) == 0 {
-			t.Errorf("%s names no invariant", model.name)
+			t.Errorf("%s has no named invariant", model.name)
 		}
 		for _, match := range matches {
 			if !checked[match[1]] {
-				t.Errorf("%s: no test of the cores checks %s", model.name, match[1])
+				t.Errorf("%s: no test of the core packages checks %s", model.name, match[1])
 			}
 		}
 	}
 }
 
-// checkedOnTheCores returns the names after check or Test of all functions in the
-// tests of internal packages.
+// checkedOnTheCores returns the names, without the prefix check or Test, of all such
+// functions in the tests of internal packages.
 func checkedOnTheCores(t *testing.T) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", "internal", "*", "*_test.go"))
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -10,117 +10,117 @@
 	"testing"
 )
 
-// model is one Promela model and its mutants: each defines a switch that takes
-// one rule of the design away, and must make an assertion fail.
+// model is one Promela model and its mutants. Each mutant defines a macro that removes one
+// rule of the design, and must violate an assertion.
 type model struct {
 	name string
-	// mutants maps each switch to a part of the assertion that it violates.
+	// mutants maps each macro to a part of the assertion that it violates.
 	mutants map[string]string
 }
 
 const (
-	atMostOnce       = "(repeatable||(executions"
-	notRunIsTrue     = "(verdict!="
-	neverReverts     = "(next>accepted)"
-	nodeNeverBack    = ">highest["
-	onlyAccepted     = "==specAcceptedAs["
-	noLostUpdate     = "(spec==3)"
-	changedOnce      = "!((spec&change))"
-	inForceStays     = ">=inForce)"
-	exposureEnds     = "(rolledBackFor<=2)"
-	evidenceCurrent  = "(shownFor==0)"
-	endedStays       = "(state==0)"
-	lastInForce      = "(inForce[0]==said)"
-	poolsBounded     = "(total<=2)"
-	neverOlder       = ">=known["
-	allRecover       = "known[2]==revision"
-	fewRead          = "(calls<=1)"
-	versionNeverBack = ">=inForce["
-	allEqual         = "(highest[0]==accepted)"
-	coverageIsTrue   = "!(counted["
-	oneVersion       = "==pinned)"
-	oneMap           = "==map)"
-	searchDepth      = "-m1000000"
-	complete         = "errors: 0"
-	notSearchedThru  = "Search not completed"
+	runsAtMostOnce             = "(repeatable||(executions"
+	notRunIsNeverFalse         = "(verdict!="
+	acceptedNeverReverts       = "(next>accepted)"
+	nodeRevisionNeverDecreases = ">highest["
+	appliesOnlyAccepted        = "==specAcceptedAs["
+	noLostUpdate               = "(spec==3)"
+	changeAppliedOnce          = "!((spec&change))"
+	appliedStays               = ">=inForce)"
+	exposureStopsAfterRollback = "(rolledBackFor<=2)"
+	evidenceIsCurrent          = "(shownFor==0)"
+	finalStateStays            = "(state==0)"
+	lastWriteApplied           = "(inForce[0]==said)"
+	grantsBounded              = "(total<=2)"
+	neverTakesOlder            = ">=known["
+	allCatchUp                 = "known[2]==revision"
+	fewReadStore               = "(calls<=1)"
+	versionNeverDecreases      = ">=inForce["
+	nodesConverge              = "(highest[0]==accepted)"
+	coverageIsNeverOverstated  = "!(counted["
+	singleVersion              = "==pinned)"
+	singleShardMap             = "==map)"
+	maxDepthFlag               = "-m1000000"
+	noErrors                   = "errors: 0"
+	searchIncomplete           = "Search not completed"
 )
 
 var models = []model{
 	{"attempt", map[string]string{
-		"RETRY_LOST":               atMostOnce,
-		"HEDGE_NOT_REPEATABLE":     atMostOnce,
+		"RETRY_LOST":               runsAtMostOnce,
+		"HEDGE_NOT_REPEATABLE":     runsAtMostOnce,
 		"CLIENT_RETRIES":           "",
-		"GIVE_UP_IS_NOT_RUN":       notRunIsTrue,
-		"LOST_IS_NOT_RUN":          notRunIsTrue,
-		"CANCELED_IS_NOT_RUN":      notRunIsTrue,
-		"CANCELED_STAYS_QUEUED":    notRunIsTrue,
-		"EXPIRED_STILL_SENT":       notRunIsTrue,
-		"REPLY_WITHOUT_ATTEMPT_ID": notRunIsTrue,
-		"REPLY_WITHOUT_REQUEST_ID": notRunIsTrue,
+		"GIVE_UP_IS_NOT_RUN":       notRunIsNeverFalse,
+		"LOST_IS_NOT_RUN":          notRunIsNeverFalse,
+		"CANCELED_IS_NOT_RUN":      notRunIsNeverFalse,
+		"CANCELED_STAYS_QUEUED":    notRunIsNeverFalse,
+		"EXPIRED_STILL_SENT":       notRunIsNeverFalse,
+		"REPLY_WITHOUT_ATTEMPT_ID": notRunIsNeverFalse,
+		"REPLY_WITHOUT_REQUEST_ID": notRunIsNeverFalse,
 	}},
 	{"configuration", map[string]string{
-		"OPERATOR_DOES_NOT_READ":    changedOnce,
+		"OPERATOR_DOES_NOT_READ":    changeAppliedOnce,
 		"OPERATOR_WITHOUT_VERSION":  noLostUpdate,
-		"STATUS_WITHOUT_VERSION":    neverReverts,
-		"REVISION_IGNORES_ACCEPTED": neverReverts,
-		"SPREAD_BEFORE_CONFIRMED":   onlyAccepted,
-		"APPLY_LAST_RECEIVED":       nodeNeverBack,
-		"FORGET_TOMBSTONE":          nodeNeverBack,
-		"SERVE_BEFORE_SYNC":         inForceStays,
-		"NO_DIGESTS":                allEqual,
+		"STATUS_WITHOUT_VERSION":    acceptedNeverReverts,
+		"REVISION_IGNORES_ACCEPTED": acceptedNeverReverts,
+		"SPREAD_BEFORE_CONFIRMED":   appliesOnlyAccepted,
+		"APPLY_LAST_RECEIVED":       nodeRevisionNeverDecreases,
+		"FORGET_TOMBSTONE":          nodeRevisionNeverDecreases,
+		"SERVE_BEFORE_SYNC":         appliedStays,
+		"NO_DIGESTS":                nodesConverge,
 	}},
 	{"followers", map[string]string{
-		"TAKE_OLDER":         neverOlder,
-		"FOLLOW_STALE":       allRecover,
-		"AGE_BEGINS_ANEW":    allRecover,
-		"NO_CALL_OF_ITS_OWN": allRecover,
-		"NO_SEARCH":          allRecover,
-		"AVOID_FOR_EVER":     fewRead,
+		"TAKE_OLDER":         neverTakesOlder,
+		"FOLLOW_STALE":       allCatchUp,
+		"AGE_BEGINS_ANEW":    allCatchUp,
+		"NO_CALL_OF_ITS_OWN": allCatchUp,
+		"NO_SEARCH":          allCatchUp,
+		"AVOID_FOR_EVER":     fewReadStore,
 	}},
 	{"pools", map[string]string{
-		"WINDOW_WITHOUT_LIFE":  poolsBounded,
-		"NEW_POOL_GRANTS":      poolsBounded,
-		"GRANTS_DO_NOT_END":    poolsBounded,
-		"LIFE_FROM_ARRIVAL":    poolsBounded,
-		"LATER_GRANT_PROLONGS": poolsBounded,
-		"CLOCK_STANDS_STILL":   poolsBounded,
+		"WINDOW_WITHOUT_LIFE":  grantsBounded,
+		"NEW_POOL_GRANTS":      grantsBounded,
+		"GRANTS_DO_NOT_END":    grantsBounded,
+		"LIFE_FROM_ARRIVAL":    grantsBounded,
+		"LATER_GRANT_PROLONGS": grantsBounded,
+		"CLOCK_STANDS_STILL":   grantsBounded,
 	}},
 	{"restored", map[string]string{
-		"FORGET_ERA":          lastInForce,
-		"CHANGES_ACROSS_ERAS": lastInForce,
-		"TAKE_STATE":          versionNeverBack,
+		"FORGET_ERA":          lastWriteApplied,
+		"CHANGES_ACROSS_ERAS": lastWriteApplied,
+		"TAKE_STATE":          versionNeverDecreases,
 	}},
 	{"rollout", map[string]string{
-		"WRITE_WITHOUT_CONDITION": endedStays,
-		"GRANT_WITHOUT_END":       exposureEnds,
-		"OLD_EVIDENCE":            evidenceCurrent,
-		"EXPOSE_BEFORE_ORDERS":    exposureEnds,
+		"WRITE_WITHOUT_CONDITION": finalStateStays,
+		"GRANT_WITHOUT_END":       exposureStopsAfterRollback,
+		"OLD_EVIDENCE":            evidenceIsCurrent,
+		"EXPOSE_BEFORE_ORDERS":    exposureStopsAfterRollback,
 	}},
 	{"snapshot", map[string]string{
-		"ACCEPT_ANY_VERSION":    oneVersion,
-		"KEEP_PARTS_AT_RESTART": oneVersion,
-		"TAKE_CUT_BODY":         oneVersion,
-		"PARTITIONS_NOT_SENT":   oneMap,
-		"COVERED_WHEN_SENT":     coverageIsTrue,
-		"RESTART_AFTER_RUN":     atMostOnce,
+		"ACCEPT_ANY_VERSION":    singleVersion,
+		"KEEP_PARTS_AT_RESTART": singleVersion,
+		"TAKE_CUT_BODY":         singleVersion,
+		"PARTITIONS_NOT_SENT":   singleShardMap,
+		"COVERED_WHEN_SENT":     coverageIsNeverOverstated,
+		"RESTART_AFTER_RUN":     runsAtMostOnce,
 	}},
 }
 
-// TestModels searches every model to its end.
+// TestModels checks that an exhaustive search of every model finds no error.
 func TestModels(t *testing.T) {
 	for _, model := range models {
 		t.Run(model.name, func(t *testing.T) {
 			output := check(t, model.name, "-O2")
-			if !strings.Contains(output, complete) || strings.Contains(output, notSearchedThru) {
-				t.Fatalf("the model does not hold, or was not searched to its end:\n%s", output)
+			if !strings.Contains(output, noErrors) || strings.Contains(output, searchIncomplete) {
+				t.Fatalf("the model has errors, or the search was not exhaustive:\n%s", output)
 			}
 			t.Log(summary(output))
 		})
 	}
 }
 
-// TestMutants shows that the models tell a design without one of its rules from
-// the design.
+// TestMutants checks that removing any single rule of a design violates the expected
+// assertion.
 func TestMutants(t *testing.T) {
 	for _, model := range models {
 		for mutant, assertion := range model.mutants {
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestEverySwitchIsTried keeps the list of mutants equal to the switches in the
+// TestEverySwitchIsAMutant checks that the mutants listed here are exactly the macros of the
 // models.
-func TestEverySwitchIsTried(t *testing.T) {
+func TestEverySwitchIsAMutant(t *testing.T) {
 	switches := regexp.MustCompile(`(?m)^#ifn?def ([A-Z_]+)`)
 	for _, model := range models {
 		source, err := os.ReadFile(model.name + ".pml")
@@ -147,20 +147,19 @@
 		for _, match := range switches.FindAllStringSubmatch(string(source), -1) {
 			found[match[1]] = true
 			if _, listed := model.mutants[match[1]]; !listed {
-				t.Errorf("%s: switch %s is not tried", model.name, match[1])
+				t.Errorf("%s: macro %s is not listed as a mutant", model.name, match[1])
 			}
 		}
 		for mutant := range model.mutants {
 			if !found[mutant] {
-				t.Errorf("%s: no switch %s", model.name, mutant)
+				t.Errorf("%s: no macro %s", model.name, mutant)
 			}
 		}
 	}
 }
 
-// check runs Spin on a model and returns the output of the search. A missing
-// Spin or C compiler is a failure. Mutants fail early, so that they are
-// compiled fast rather than well.
+// check runs Spin on a model and returns the output of the search. A missing Spin or C
+// compiler is a failure. Mutants fail early, so they are compiled without optimization.
 func check(t *testing.T, name, optimization string, defines ...string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -170,7 +169,7 @@
 	}
 	run(t, directory, "spin", append(defines, "-a", source)...)
 	run(t, directory, "cc", "-w", optimization, "-DSAFETY", "-DCOLLAPSE", "-o", "pan", "pan.c")
-	return run(t, directory, "./pan", searchDepth)
+	return run(t, directory, "./pan", maxDepthFlag)
 }
 
 func run(t *testing.T, directory, program string, arguments ...string) string {
