--- a/internal/lab/answer.go
+++ b/internal/lab/answer.go
@@ -10,7 +10,7 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// Answer is the body of a gateway's reply.
+// Answer is the body of a gateway's response.
 type Answer struct {
 	RequestID string          `json:"requestId"`
 	Service   string          `json:"service"`
@@ -21,7 +21,7 @@
 	Results   []AnswerResult  `json:"results"`
 }
 
-// AnswerCoverage says which shards an answer covers.
+// AnswerCoverage describes which shards an answer covers.
 type AnswerCoverage struct {
 	Shards  int            `json:"shards"`
 	Covered int            `json:"covered"`
@@ -40,23 +40,23 @@
 	Body  json.RawMessage `json:"body"`
 }
 
-// Fault is one way in which an answer can be wrong.
+// Fault is a kind of wrong answer.
 type Fault string
 
-// The values of Fault. Each breaks one point of what must always hold.
+// The values of Fault. Each violates an invariant of driftstage.
 const (
 	// FaultMixedVersions is an answer with parts of several index versions.
 	FaultMixedVersions Fault = "mixed-versions"
-	// FaultForeignBody is an answer with a part of another request or shard.
+	// FaultForeignBody is an answer with a part for another request or shard.
 	FaultForeignBody Fault = "foreign-body"
 	// FaultFalseCoverage is a coverage that does not match the results, or
 	// names a shard that no back end completed.
 	FaultFalseCoverage Fault = "false-coverage"
-	// FaultNotRunButRan is a refusal as not run of what a back end ran.
+	// FaultNotRunButRan is a query reported as not run that a back end ran.
 	FaultNotRunButRan Fault = "not-run-but-ran"
-	// FaultRanTwice is a query that is not repeatable, and that ran twice on a shard.
+	// FaultRanTwice is a non-repeatable query that ran twice on a shard.
 	FaultRanTwice Fault = "ran-twice"
-	// FaultUnreadable is an answer that can not be read.
+	// FaultUnreadable is an answer that cannot be decoded.
 	FaultUnreadable Fault = "unreadable"
 )
 
@@ -68,16 +68,16 @@
 	Detail    string `json:"detail"`
 }
 
-// outcome is what the caller of one query saw.
+// outcome is the result of one query as seen by its caller.
 type outcome struct {
 	query query
 	// sentAt is when the query was sent.
 	sentAt time.Time
-	// status is the HTTP status; zero when no answer came.
+	// status is the HTTP status; zero for no answer.
 	status  int
 	verdict verdict.Verdict
 	latency time.Duration
-	// requestID is empty when no answer came.
+	// requestID is empty for no answer.
 	requestID string
 	shards    int
 	covered   []v1.ShardID
@@ -86,7 +86,7 @@
 	wrong     []Wrong
 }
 
-func (outcome *outcome) blame(fault Fault, format string, args ...any) {
+func (outcome *outcome) addFault(fault Fault, format string, args ...any) {
 	outcome.wrong = append(outcome.wrong, Wrong{
 		Fault:     fault,
 		RequestID: outcome.requestID,
@@ -95,9 +95,9 @@
 	})
 }
 
-// take checks the answer against itself and against the query, and keeps what
-// the comparison with the record needs.
-func (outcome *outcome) take(answer Answer) {
+// recordAnswer checks the answer for consistency with itself and with the query, and stores
+// what checkExecutions needs.
+func (outcome *outcome) recordAnswer(answer Answer) {
 	outcome.requestID = answer.RequestID
 	outcome.verdict = answer.Verdict
 	outcome.shards = answer.Coverage.Shards
@@ -105,41 +105,41 @@
 	seen := map[v1.ShardID]bool{}
 	for _, result := range answer.Results {
 		if seen[result.Shard] {
-			outcome.blame(FaultFalseCoverage, "shard %d is there twice", result.Shard)
+			outcome.addFault(FaultFalseCoverage, "shard %d is duplicated", result.Shard)
 		}
 		seen[result.Shard] = true
 		outcome.covered = append(outcome.covered, result.Shard)
-		outcome.takeResult(answer, result)
+		outcome.checkResult(answer, result)
 	}
 	outcome.checkCoverage(answer.Coverage, seen)
 }
 
-func (outcome *outcome) takeResult(answer Answer, result AnswerResult) {
+func (outcome *outcome) checkResult(answer Answer, result AnswerResult) {
 	var part backend.PartBody
 	if err := json.Unmarshal(result.Body, &part); err != nil {
-		outcome.blame(FaultUnreadable, "result of shard %d: %v", result.Shard, err)
+		outcome.addFault(FaultUnreadable, "result of shard %d: %v", result.Shard, err)
 		return
 	}
 	if part.QueryHash != outcome.query.hash || part.Shard != result.Shard {
-		outcome.blame(FaultForeignBody, "result of shard %d is of shard %d, request %s", result.Shard, part.Shard, part.RequestID)
+		outcome.addFault(FaultForeignBody, "result of shard %d is of shard %d, request %s", result.Shard, part.Shard, part.RequestID)
 	}
 	if part.Snapshot != answer.Snapshot {
-		outcome.blame(FaultMixedVersions, "result of shard %d is of version %d, answer says %d", result.Shard, part.Snapshot, answer.Snapshot)
+		outcome.addFault(FaultMixedVersions, "result of shard %d is of version %d, answer says %d", result.Shard, part.Snapshot, answer.Snapshot)
 	}
 }
 
 func (outcome *outcome) checkCoverage(coverage AnswerCoverage, seen map[v1.ShardID]bool) {
 	if coverage.Covered != len(seen) {
-		outcome.blame(FaultFalseCoverage, "says %d covered, has %d results", coverage.Covered, len(seen))
+		outcome.addFault(FaultFalseCoverage, "says %d covered, has %d results", coverage.Covered, len(seen))
 	}
 	missing := map[v1.ShardID]bool{}
 	for _, shard := range coverage.Missing {
 		if seen[shard.Shard] {
-			outcome.blame(FaultFalseCoverage, "shard %d is both missing and there", shard.Shard)
+			outcome.addFault(FaultFalseCoverage, "shard %d is both missing and covered", shard.Shard)
 		}
 		missing[shard.Shard] = true
 	}
 	if coverage.Covered+len(missing) != coverage.Shards {
-		outcome.blame(FaultFalseCoverage, "%d covered and %d missing of %d shards", coverage.Covered, len(missing), coverage.Shards)
+		outcome.addFault(FaultFalseCoverage, "%d covered and %d missing of %d shards", coverage.Covered, len(missing), coverage.Shards)
 	}
 }
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -8,14 +8,14 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// executed is what the back ends ran of one query.
-type executed struct {
+// executionSummary summarizes the executions of one query.
+type executionSummary struct {
 	executions int
 	// perShard counts executions of each shard.
 	perShard map[v1.ShardID]int
 	// completed holds the shards that completed, by version.
 	completed map[shardVersion]bool
-	// lastStart is when the last execution began.
+	// lastStart is the start time of the last execution.
 	lastStart time.Time
 }
 
@@ -24,13 +24,13 @@
 	snapshot int64
 }
 
-// groupByQuery sorts the record by query.
-func groupByQuery(executions []backend.Execution) map[string]*executed {
-	groups := map[string]*executed{}
+// groupByQuery groups executions by query hash.
+func groupByQuery(executions []backend.Execution) map[string]*executionSummary {
+	groups := map[string]*executionSummary{}
 	for _, execution := range executions {
 		group := groups[execution.QueryHash]
 		if group == nil {
-			group = &executed{perShard: map[v1.ShardID]int{}, completed: map[shardVersion]bool{}}
+			group = &executionSummary{perShard: map[v1.ShardID]int{}, completed: map[shardVersion]bool{}}
 			groups[execution.QueryHash] = group
 		}
 		group.executions++
@@ -47,18 +47,18 @@
 	return groups
 }
 
-// compare blames the outcome for what contradicts the record.
-func (outcome *outcome) compare(ran *executed) {
+// checkExecutions adds a fault for each contradiction between the outcome and the record.
+func (outcome *outcome) checkExecutions(ran *executionSummary) {
 	if ran == nil {
-		ran = &executed{}
+		ran = &executionSummary{}
 	}
 	answered := outcome.status != 0
 	if answered && outcome.verdict == verdict.NotRun && ran.executions > 0 {
-		outcome.blame(FaultNotRunButRan, "%d executions", ran.executions)
+		outcome.addFault(FaultNotRunButRan, "%d executions", ran.executions)
 	}
 	for _, shard := range outcome.covered {
 		if !ran.completed[shardVersion{shard, outcome.snapshot}] {
-			outcome.blame(FaultFalseCoverage, "no back end completed shard %d at version %d", shard, outcome.snapshot)
+			outcome.addFault(FaultFalseCoverage, "no back end completed shard %d at version %d", shard, outcome.snapshot)
 		}
 	}
 	if outcome.query.repeatable {
@@ -66,17 +66,18 @@
 	}
 	for shard, count := range ran.perShard {
 		if count > 1 {
-			outcome.blame(FaultRanTwice, "shard %d ran %d times", shard, count)
+			outcome.addFault(FaultRanTwice, "shard %d ran %d times", shard, count)
 		}
 	}
 }
 
-// lateTolerance is how long after its deadline a query may still begin to run
-// before the execution counts as late: clocks are the same, but what was
-// written in time takes a while to arrive.
+// lateTolerance is how long after its deadline a query may begin to run without
+// counting as late. All processes share a clock, but a request written before the
+// deadline arrives with some delay.
 const lateTolerance = 250 * time.Millisecond
 
-// late tells whether a back end began to run the query long after its deadline.
-func (outcome *outcome) late(timeout time.Duration, ran *executed) bool {
+// late reports whether a back end began to run the query more than lateTolerance after
+// its deadline.
+func (outcome *outcome) late(timeout time.Duration, ran *executionSummary) bool {
 	return ran != nil && ran.lastStart.After(outcome.sentAt.Add(timeout+lateTolerance))
 }
--- a/internal/lab/cluster/cluster.go
+++ b/internal/lab/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs a whole system on loopback: the stand-ins of platform and
-// back ends and several daemons, each as a process of its own. The demo, the
-// experiments and the end-to-end tests use it.
+// Package cluster runs a complete system on loopback: the stand-ins for the platform and
+// the back ends, and several daemons, each as a separate process. It is used by the demo,
+// the experiments and the end-to-end tests.
 package cluster
 
 import (
@@ -16,45 +16,45 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Options describes a cluster.
+// Options configure a cluster.
 type Options struct {
 	// Binaries is the directory of driftstaged and driftlab.
 	Binaries string
-	// Directory takes the logs of all programs.
+	// Directory is where the logs of all programs are written.
 	Directory string
-	// PlatformArguments are further flags of `driftlab platform`.
+	// PlatformArguments are additional flags of `driftlab platform`.
 	PlatformArguments []string
 }
 
-// Cluster is a running system. Its methods are for one goroutine.
+// Cluster is a running system. It is not safe for concurrent use.
 type Cluster struct {
 	options  Options
 	Platform *Platform
 	Backends []*Backends
-	// Nodes are the daemons started so far, ended ones included.
+	// Nodes are all daemons started so far, including those that have exited.
 	Nodes []*Node
 }
 
-// Platform is the running stand-in of the platform.
+// Platform is the running stand-in for the platform.
 type Platform struct {
 	*Process
-	// Address serves the Object API, AdminAddress the fault switches.
+	// Address serves the Object API, AdminAddress the injection of faults.
 	Address      string `json:"address"`
 	AdminAddress string `json:"adminAddress"`
 }
 
-// Backends are the running stand-ins of the back ends of one service.
+// Backends are the running stand-ins for the back ends of one service.
 type Backends struct {
 	*Process
-	// Admin serves the record and the fault switches.
+	// Admin serves the record and the injection of faults.
 	Admin string `json:"admin"`
 	// Service is the name of the service.
 	Service string `json:"service"`
-	// Resource is the QueryService, as JSON, that describes the servers.
+	// Resource is the QueryService that describes the servers, as JSON.
 	Resource json.RawMessage `json:"-"`
 }
 
-// Node is one running daemon.
+// Node is one daemon.
 type Node struct {
 	*Process
 	Zone    string `json:"zone"`
@@ -64,16 +64,16 @@
 	Admin   string `json:"admin"`
 }
 
-// NodeOptions describes one daemon.
+// NodeOptions configure one daemon.
 type NodeOptions struct {
 	Name   string
 	Zone   string
 	Region string
-	// Arguments are further flags of driftstaged.
+	// Arguments are additional flags of driftstaged.
 	Arguments []string
 }
 
-// Start starts the platform's stand-in. Stop ends everything started later, too.
+// Start starts the stand-in for the platform. Stop stops it and everything started later.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	arguments := append([]string{"platform"}, options.PlatformArguments...)
 	process, line, err := StartProcess(ctx, options.Directory, "platform",
@@ -105,11 +105,11 @@
 	return started, err
 }
 
-// StartNode starts one daemon, which joins those that run already.
+// StartNode starts one daemon, which joins the running ones.
 func (cluster *Cluster) StartNode(ctx context.Context, options NodeOptions) (*Node, error) {
 	arguments := []string{
 		"--name", options.Name,
-		// Clusters on one machine may get each other's old ports.
+		// Another cluster on this machine may reuse ports of this one.
 		"--cluster", "loopback-" + cluster.Platform.Address,
 		"--zone", options.Zone,
 		"--region", options.Region,
@@ -135,8 +135,8 @@
 	return started, json.Unmarshal([]byte(line), started)
 }
 
-// StartNodeIn starts the next daemon, node-1 the first, in a zone that is a
-// region of its own. It drains only briefly.
+// StartNodeIn starts the next daemon (node-1, node-2, ...) in a zone that is also its
+// region. Its drain delay is short.
 func (cluster *Cluster) StartNodeIn(ctx context.Context, zone string) (*Node, error) {
 	return cluster.StartNode(ctx, NodeOptions{
 		Name:      fmt.Sprintf("node-%d", len(cluster.Nodes)+1),
@@ -146,20 +146,20 @@
 	})
 }
 
-// maximumJoin bounds the list of nodes to join.
-const maximumJoin = 3
+// maxJoin limits the number of nodes to join.
+const maxJoin = 3
 
 func (cluster *Cluster) gossipAddresses() []string {
 	var addresses []string
 	for _, node := range slices.Backward(cluster.Nodes) {
-		if !node.Ended() && len(addresses) < maximumJoin {
+		if !node.Ended() && len(addresses) < maxJoin {
 			addresses = append(addresses, node.Gossip)
 		}
 	}
 	return addresses
 }
 
-// Running returns the daemons that have not ended.
+// Running returns the daemons that have not exited.
 func (cluster *Cluster) Running() []*Node {
 	var running []*Node
 	for _, node := range cluster.Nodes {
@@ -170,8 +170,8 @@
 	return running
 }
 
-// Stop ends the daemons by SIGTERM, then the stand-ins, and joins the errors of
-// those that did not end with exit status 0 (killed daemons apart).
+// Stop stops the daemons by SIGTERM, then the stand-ins. It joins the errors of those that
+// did not exit with status 0, except for daemons killed before.
 func (cluster *Cluster) Stop() error {
 	var daemons, standIns []*Process
 	for _, node := range cluster.Running() {
@@ -188,11 +188,11 @@
 	return errors.Join(stopAll(daemons), stopAll(standIns))
 }
 
-// pollInterval is how often a condition is looked at again.
+// pollInterval is how often Await checks the condition.
 const pollInterval = 50 * time.Millisecond
 
-// Await waits until the condition holds; the condition's last error tells why
-// it never did.
+// Await polls the condition until it returns nil. If ctx ends first, Await returns the last
+// error of the condition.
 func Await(ctx context.Context, condition func(context.Context) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/internal/lab/cluster/control.go
+++ b/internal/lab/cluster/control.go
@@ -11,10 +11,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// collectionPath is where the Object API keeps services.
+// collectionPath is the path of query services in the Object API.
 const collectionPath = "/apis/driftstage.dev/v1/queryservices"
 
-// machine is one line of the platform's machine list.
+// machine is one entry of the platform's machine list.
 type machine struct {
 	Address string `json:"address"`
 	Name    string `json:"name"`
@@ -22,7 +22,7 @@
 	State   string `json:"state"`
 }
 
-// PublishMachines puts the running daemons into the platform's machine list.
+// PublishMachines sets the platform's machine list to the running daemons.
 func (cluster *Cluster) PublishMachines(ctx context.Context) error {
 	machines := []machine{}
 	for _, node := range cluster.Running() {
@@ -47,7 +47,7 @@
 // AwaitService waits until every running daemon is ready and knows the service.
 func (cluster *Cluster) AwaitService(ctx context.Context, service string) error {
 	for _, node := range cluster.Running() {
-		err := Await(ctx, func(ctx context.Context) error { return node.knows(ctx, service) })
+		err := Await(ctx, func(ctx context.Context) error { return node.hasService(ctx, service) })
 		if err != nil {
 			return errors.Wrapf(err, "%s, service %s", node.Name, service)
 		}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// State is the part of a daemon's /debug/state that experiments read.
+// State is the part of a daemon's /debug/state used here.
 type State struct {
 	Node     string `json:"node"`
 	NotReady string `json:"notReady"`
@@ -80,7 +80,7 @@
 	return state, json.Unmarshal(body, &state)
 }
 
-func (node *Node) knows(ctx context.Context, service string) error {
+func (node *Node) hasService(ctx context.Context, service string) error {
 	state, err := node.State(ctx)
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	return errors.New("service not known")
 }
 
-// fetch sends one HTTP request and returns the body of a 2xx answer.
+// fetch sends one HTTP request and returns the body of a 2xx response.
 func fetch(ctx context.Context, method, url, body string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
--- a/internal/lab/cluster/process.go
+++ b/internal/lab/cluster/process.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// startTimeout bounds the time from the start of a program to its line of
-	// addresses; programs compiled with the race detector on a busy machine are slow.
+	// startTimeout limits the time from the start of a program to the line with its
+	// addresses; programs built with the race detector are slow on a busy machine.
 	startTimeout = 30 * time.Second
-	// stopTimeout is how long a program may take to end after SIGTERM.
+	// stopTimeout is how long a program may take to exit after SIGTERM.
 	stopTimeout = 45 * time.Second
 )
 
-// Process is one program that the cluster started.
+// Process is a started program.
 type Process struct {
 	Name    string
 	command *exec.Cmd
 	log     *os.File
-	// waited is closed when the program has ended.
-	waited chan struct{}
-	result error
+	// exited is closed after the program has exited and exitErr is set.
+	exited  chan struct{}
+	exitErr error
 }
 
-// StartProcess runs a program whose output goes to a log file, and returns it
-// with the first line of its output that holds the marker.
+// StartProcess starts a program whose output goes to a log file, and returns it with the
+// first line of its output that contains the marker.
 func StartProcess(ctx context.Context, directory, name, binary, marker string, args ...string) (*Process, string, error) {
 	log, err := os.Create(filepath.Join(directory, name+".log"))
 	if err != nil {
@@ -55,9 +55,9 @@
 		_ = log.Close()
 		return nil, "", errors.Wrapf(err, "start %s", name)
 	}
-	started := &Process{Name: name, command: command, log: log, waited: make(chan struct{})}
+	started := &Process{Name: name, command: command, log: log, exited: make(chan struct{})}
 	lines := make(chan string, 1)
-	go started.drain(reader, marker, lines)
+	go started.copyOutput(reader, marker, lines)
 	line, err := started.awaitLine(ctx, lines)
 	if err != nil {
 		started.Kill()
@@ -66,10 +66,10 @@
 	return started, line, nil
 }
 
-// drain copies the output to the log, passes on the first line with the marker,
-// and waits for the end of the program.
-func (process *Process) drain(reader *os.File, marker string, lines chan<- string) {
-	defer close(process.waited)
+// copyOutput copies the output to the log, sends the first line with the marker to lines,
+// and waits for the program to exit.
+func (process *Process) copyOutput(reader *os.File, marker string, lines chan<- string) {
+	defer close(process.exited)
 	found := false
 	buffered := bufio.NewReader(io.TeeReader(reader, process.log))
 	for {
@@ -82,7 +82,7 @@
 			break
 		}
 	}
-	process.result = process.command.Wait()
+	process.exitErr = process.command.Wait()
 	_ = reader.Close()
 	_ = process.log.Close()
 }
@@ -93,14 +93,14 @@
 	select {
 	case line := <-lines:
 		return line, nil
-	case <-process.waited:
-		return "", errors.Newf("%s ended at once (%v): %s", process.Name, process.result, process.Log())
+	case <-process.exited:
+		return "", errors.Newf("%s exited at startup (%v): %s", process.Name, process.exitErr, process.Log())
 	case <-ctx.Done():
 		return "", errors.Newf("%s did not start in time: %s", process.Name, process.Log())
 	}
 }
 
-// Log returns the end of what the program has printed.
+// Log returns the last 4 KiB of the program's output.
 func (process *Process) Log() string {
 	const shown = 4 << 10
 	content, err := os.ReadFile(process.log.Name())
@@ -118,41 +118,41 @@
 	return process.command.Process.Signal(signal)
 }
 
-// Kill ends the program by SIGKILL, and waits for its end.
+// Kill kills the program by SIGKILL and waits until it has exited.
 func (process *Process) Kill() {
 	_ = process.command.Process.Kill()
-	<-process.waited
+	<-process.exited
 }
 
-// Stop ends the program by SIGTERM and returns its error, which is nil for exit
-// status 0. A program that does not end in time is killed: that is an error.
+// Stop stops the program by SIGTERM and returns its error, which is nil for exit status 0.
+// A program that does not exit in time is killed, which is an error.
 func (process *Process) Stop() error {
 	_ = process.Signal(syscall.SIGTERM)
 	return process.Wait()
 }
 
-// Wait waits for a program that was told to end.
+// Wait waits for the exit of a program that was sent SIGTERM.
 func (process *Process) Wait() error {
 	select {
-	case <-process.waited:
-		return process.result
+	case <-process.exited:
+		return process.exitErr
 	case <-time.After(stopTimeout):
 		process.Kill()
-		return errors.Newf("%s did not end in %v after SIGTERM", process.Name, stopTimeout)
+		return errors.Newf("%s did not exit within %v after SIGTERM", process.Name, stopTimeout)
 	}
 }
 
-// Ended reports whether the program has ended.
+// Ended reports whether the program has exited.
 func (process *Process) Ended() bool {
 	select {
-	case <-process.waited:
+	case <-process.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// stopAll ends many programs at a time and joins their errors.
+// stopAll stops the programs concurrently and joins their errors.
 func stopAll(processes []*Process) error {
 	var group sync.WaitGroup
 	failures := make([]error, len(processes))
--- a/internal/lab/cluster/usage.go
+++ b/internal/lab/cluster/usage.go
@@ -7,15 +7,15 @@
 	"github.com/prometheus/procfs"
 )
 
-// Usage is what a process has used so far.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Processor is user and system time.
+	// Processor is the user and system CPU time so far.
 	Processor time.Duration
-	// ResidentBytes is the memory in use now.
+	// ResidentBytes is the current resident memory.
 	ResidentBytes int
 }
 
-// Usage reads the processor time and memory of the program.
+// Usage reads the CPU time and resident memory of the program.
 func (process *Process) Usage() (Usage, error) {
 	entry, err := procfs.NewProc(process.command.Process.Pid)
 	if err != nil {
@@ -31,7 +31,7 @@
 	}, nil
 }
 
-// ProcessorTime sums the processor time of the running daemons.
+// ProcessorTime sums the CPU time of the running daemons.
 func (cluster *Cluster) ProcessorTime() (time.Duration, error) {
 	var sum time.Duration
 	for _, node := range cluster.Running() {
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -1,2 +1,3 @@
-// Package lab measures driftstage: load, baselines and scale runs.
+// Package lab generates load for driftstage and a baseline, and checks and measures the
+// answers.
 package lab
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment measures driftstage against the baseline, which asks one
-// replica of each shard directly and waits for all. Both ask the same back ends
+// Package experiment measures driftstage against the baseline, which queries one
+// replica of each shard directly and waits for all. Both query the same back ends
 // in one run, so that the ratios do not depend on how busy the machine is.
 package experiment
 
@@ -17,7 +17,7 @@
 	"github.com/driftstage/driftstage/internal/standin/backend"
 )
 
-// User is the size of one user's service, from the brief.
+// User describes one user's service, with the size given in the requirements.
 type User struct {
 	Service     string
 	Zones       []string
@@ -31,7 +31,7 @@
 	{Service: "konferencelinjen-call-search", Zones: []string{"zealand", "jutland", "funen"}, Connections: 65},
 }
 
-// The size that both users share.
+// The size of the service of both users.
 const (
 	servers  = 4
 	shards   = 8
@@ -55,20 +55,20 @@
 type Options struct {
 	// Binaries is the directory of driftstaged and driftlab.
 	Binaries string
-	// Directory takes the logs.
+	// Directory is where logs are written.
 	Directory string
 	// Duration is how long each load is measured.
 	Duration time.Duration
-	// Seed makes arrivals and service times repeatable.
+	// Seed makes arrivals and service times reproducible.
 	Seed uint64
 }
 
-// Result is what one experiment found for one user.
+// Result is the result of one experiment for one user.
 type Result struct {
 	Experiment string        `json:"experiment"`
 	Service    string        `json:"service"`
 	Reports    []*lab.Report `json:"reports"`
-	// Figures are what the reports give together, in the order of print.
+	// Figures are computed from the reports, in the order in which they are printed.
 	Figures []Figure `json:"figures"`
 }
 
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// system is a running one with one user's service.
+// system is a running cluster with one user's service.
 type system struct {
 	cluster  *cluster.Cluster
 	user     User
@@ -102,8 +102,8 @@
 	gateways []string
 }
 
-// setUp starts the system: one daemon in each zone of the user.
-func setUp(ctx context.Context, options Options, user User, backendArguments ...string) (*system, error) {
+// startSystem starts a cluster with one daemon in each zone of the user.
+func startSystem(ctx context.Context, options Options, user User, backendArguments ...string) (*system, error) {
 	running, err := cluster.Start(ctx, cluster.Options{
 		Binaries:          options.Binaries,
 		Directory:         options.Directory,
@@ -113,13 +113,13 @@
 		return nil, err
 	}
 	system := &system{cluster: running, user: user}
-	if err := system.fill(ctx, append(user.BackendArguments(), backendArguments...)); err != nil {
+	if err := system.startProcesses(ctx, append(user.BackendArguments(), backendArguments...)); err != nil {
 		return nil, errors.CombineErrors(err, running.Stop())
 	}
 	return system, nil
 }
 
-func (system *system) fill(ctx context.Context, backendArguments []string) error {
+func (system *system) startProcesses(ctx context.Context, backendArguments []string) error {
 	started, err := system.cluster.StartBackends(ctx, system.user.Service, backendArguments...)
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 	return system.cluster.AwaitService(ctx, system.user.Service)
 }
 
-// load returns the options of a load on the system.
+// load returns the options for a load on the system.
 func (system *system) load(options Options, rate float64) lab.LoadOptions {
 	load := lab.DefaultLoadOptions()
 	load.Service = system.user.Service
@@ -154,11 +154,12 @@
 	return load
 }
 
-// baseline and driftstage are the two targets of a system.
+// baseline returns the target that queries the back ends directly.
 func (system *system) baseline(options Options) lab.Target {
 	return lab.NewDirect(system.fleet, options.Seed)
 }
 
+// driftstage returns the target that queries the gateways.
 func (system *system) driftstage() lab.Target {
 	return lab.NewGateways(system.gateways)
 }
--- a/internal/lab/experiment/overhead.go
+++ b/internal/lab/experiment/overhead.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// lightRate is a load, in queries a second, without queues.
+	// lightRate is a load, in queries per second, at which no queues form.
 	lightRate = 100
-	// heavyRate is about half of what the servers bear.
+	// heavyRate is about half of the servers' capacity, in queries per second.
 	heavyRate = 600
 )
 
-// Overhead measures what driftstage adds to healthy back ends: latency at a
-// light load, and the processor time of all daemons for each further sub-request
+// Overhead measures the overhead of driftstage with healthy back ends: added latency
+// under a light load, and the CPU time of all daemons per additional sub-request,
 // between a light and a heavy load.
 func Overhead(ctx context.Context, options Options, user User) (result *Result, failure error) {
-	system, err := setUp(ctx, options, user)
+	system, err := startSystem(ctx, options, user)
 	if err != nil {
 		return nil, err
 	}
@@ -45,16 +45,16 @@
 }
 
 const (
-	// throughputLight and throughputHeavy are loads in queries a second; at 16
-	// sub-requests a query they are 3,200 and 12,800 sub-requests a second.
+	// throughputLight and throughputHeavy are loads in queries per second; with 16
+	// sub-requests per query they are 3,200 and 12,800 sub-requests per second.
 	throughputLight = 200
 	throughputHeavy = 800
 )
 
-// Throughput measures the processor time of all daemons for each further
-// sub-request where they are busy: 16 fast servers, 16 sub-requests a query.
+// Throughput measures the CPU time of all daemons per additional sub-request when
+// they are busy: 16 fast servers, 16 sub-requests per query.
 func Throughput(ctx context.Context, options Options, user User) (result *Result, failure error) {
-	system, err := setUp(ctx, options, user, "--servers", "16", "--shards", "16", "--slots", "32", "--queue", "64", "--connections", "200", "--median", "1ms")
+	system, err := startSystem(ctx, options, user, "--servers", "16", "--shards", "16", "--slots", "32", "--queue", "64", "--connections", "200", "--median", "1ms")
 	if err != nil {
 		return nil, err
 	}
@@ -71,10 +71,10 @@
 	}, nil
 }
 
-// slope is what two loads show together.
+// slope compares a light and a heavy load.
 type slope struct {
 	light, heavy *lab.Report
-	// added is the processor time of the heavy load over that of the light one.
+	// added is the CPU time of the heavy load minus that of the light one.
 	added time.Duration
 }
 
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	heavyLoad := system.load(options, heavyRate)
-	// Queries are told apart by their bodies, which follow from the seed.
+	// Queries are identified by their bodies, which depend on the seed.
 	heavyLoad.Seed++
 	heavy, heavyTime, err := system.timedLoad(ctx, heavyLoad)
 	if err != nil {
@@ -103,8 +103,8 @@
 	}
 }
 
-// timedLoad sends a load through driftstage and returns the processor time that
-// the daemons used for it.
+// timedLoad sends a load through driftstage and returns the CPU time that the daemons
+// used for it.
 func (system *system) timedLoad(ctx context.Context, load lab.LoadOptions) (*lab.Report, time.Duration, error) {
 	before, err := system.cluster.ProcessorTime()
 	if err != nil {
--- a/internal/lab/experiment/overload.go
+++ b/internal/lab/experiment/overload.go
@@ -8,15 +8,15 @@
 	"github.com/driftstage/driftstage/internal/lab"
 )
 
-// overloadRates are the loads of the sweep, in queries a second. With a median
-// service time of 20 ms and 2 or 3 sub-requests a query, 4 servers of 5 slots
-// bear about 350: the sweep goes to more than twice the peak.
+// overloadRates are the loads of the sweep, in queries per second. With a median
+// service time of 20 ms and 2 or 3 sub-requests per query, 4 servers with 5 slots
+// can serve about 350: the sweep goes to more than twice the peak.
 var overloadRates = []float64{100, 200, 300, 400, 500, 700, 1000}
 
-// Overload raises the load to more than twice what the servers bear, and tells
-// which part of the peak of useful answers remains, and how fast refusals are.
+// Overload raises the load to more than twice the capacity of the servers. It measures
+// which share of the peak rate of useful answers remains, and the latency of rejections.
 func Overload(ctx context.Context, options Options, user User) (result *Result, failure error) {
-	system, err := setUp(ctx, options, user, "--median", "20ms")
+	system, err := startSystem(ctx, options, user, "--median", "20ms")
 	if err != nil {
 		return nil, err
 	}
@@ -25,7 +25,7 @@
 	peak, peakRate := 0.0, 0.0
 	for index, rate := range overloadRates {
 		load := system.load(options, rate)
-		// Queries are told apart by their bodies, which follow from the seed.
+		// Queries are identified by their bodies, which depend on the seed.
 		load.Seed += uint64(index)
 		report, err := lab.Load(ctx, load, system.driftstage(), system.backends)
 		if err != nil {
--- a/internal/lab/experiment/stragglers.go
+++ b/internal/lab/experiment/stragglers.go
@@ -9,13 +9,13 @@
 	"github.com/driftstage/driftstage/internal/standin/backend"
 )
 
-// stragglerRate is the load, in queries a second, at which no queue forms.
+// stragglerRate is a load, in queries per second, at which no queues form.
 const stragglerRate = 100
 
-// Stragglers measures the tail with 1 in 100 replies 50 times slower and one
-// server dead: every shard still has a live replica.
+// Stragglers measures tail latency with 1 in 100 replies 50 times slower and one server
+// stopped; every shard still has a live replica.
 func Stragglers(ctx context.Context, options Options, user User) (result *Result, failure error) {
-	system, err := setUp(ctx, options, user, "--straggler-one-in", "100", "--straggler-factor", "50")
+	system, err := startSystem(ctx, options, user, "--straggler-one-in", "100", "--straggler-factor", "50")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -8,20 +8,20 @@
 	"github.com/driftstage/driftstage/internal/standin/backend"
 )
 
-// Recorder gives the executions of the back ends; backend.Client is one.
+// Recorder returns the executions of the back ends; backend.Client implements it.
 type Recorder interface {
 	Record(backend.RecordFilter) ([]backend.Execution, error)
 }
 
 // Load sends an open-loop load to the target and returns its report. With a
-// recorder, every answer is compared with what the back ends really ran; with
-// nil it is checked against itself only. A cancelled ctx ends the load early.
+// recorder, every answer is compared with what the back ends ran; without one, it
+// is only checked for consistency. Canceling ctx ends the load early.
 func Load(ctx context.Context, options LoadOptions, target Target, recorder Recorder) (*Report, error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
 	}
-	outcomes, notSent := send(ctx, options, target)
-	var groups map[string]*executed
+	outcomes, notSent := sendLoad(ctx, options, target)
+	var groups map[string]*executionSummary
 	if recorder != nil {
 		time.Sleep(options.Settle)
 		executions, err := recorder.Record(backend.RecordFilter{})
@@ -30,16 +30,16 @@
 		}
 		groups = groupByQuery(executions)
 		for _, outcome := range outcomes {
-			outcome.compare(groups[outcome.query.hash])
+			outcome.checkExecutions(groups[outcome.query.hash])
 		}
 	}
 	return newReport(target.Name(), options, outcomes, notSent, groups), nil
 }
 
-// send starts each query at its intended time, whatever became of the earlier
-// ones. Latency counts from the intended start (open loop: Schroeder, Wierman
-// and Harchol-Balter, 2006; "coordinated omission": Tene).
-func send(ctx context.Context, options LoadOptions, target Target) (outcomes []*outcome, notSent int) {
+// sendLoad starts each query at its intended time, independently of earlier ones.
+// Latency is measured from the intended start (open loop: Schroeder, Wierman and
+// Harchol-Balter, 2006; "coordinated omission": Tene).
+func sendLoad(ctx context.Context, options LoadOptions, target Target) (outcomes []*outcome, notSent int) {
 	planner := newPlanner(options, target.Name())
 	outstanding := make(chan struct{}, options.Outstanding)
 	start := time.Now()
--- a/internal/lab/load_test.go
+++ b/internal/lab/load_test.go
@@ -17,7 +17,7 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-func TestArrivalsHaveTheRateAndUniqueBodies(t *testing.T) {
+func TestPlannerArrivals(t *testing.T) {
 	is := is.New(t)
 	options := DefaultLoadOptions()
 	options.Rate, options.Duration, options.RepeatableShare = 1000, 20*time.Second, 0.25
@@ -39,8 +39,8 @@
 	is.True(math.Abs(float64(repeatable)/float64(planner.count)-0.25) < 0.02)
 }
 
-// right returns an outcome, its answer and the record that goes with them.
-func right(shards int) (*outcome, Answer, []backend.Execution) {
+// correctAnswer returns an outcome, its answer and the matching record.
+func correctAnswer(shards int) (*outcome, Answer, []backend.Execution) {
 	body := []byte("query")
 	hash := backend.Hash(body)
 	result := &outcome{query: query{body: body, hash: hash}, status: 200}
@@ -62,19 +62,19 @@
 	return encoded
 }
 
-func TestRightAnswerIsNotBlamed(t *testing.T) {
+func TestCorrectAnswerHasNoFault(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		result, answer, record := right(rapid.IntRange(1, 9).Draw(t, "shards"))
-		result.take(answer)
-		result.compare(groupByQuery(record)[result.query.hash])
+		result, answer, record := correctAnswer(rapid.IntRange(1, 9).Draw(t, "shards"))
+		result.recordAnswer(answer)
+		result.checkExecutions(groupByQuery(record)[result.query.hash])
 		if len(result.wrong) > 0 {
-			t.Fatalf("blamed: %v", result.wrong)
+			t.Fatalf("unexpected faults: %v", result.wrong)
 		}
 	})
 }
 
-// TestEachFaultIsBlamed breaks a right answer in one way at a random shard.
-func TestEachFaultIsBlamed(t *testing.T) {
+// TestEachFaultIsDetected introduces one fault at a random shard of a correct answer.
+func TestEachFaultIsDetected(t *testing.T) {
 	type change func(shard int, result *outcome, answer *Answer, record *[]backend.Execution)
 	faults := map[string]struct {
 		want   Fault
@@ -112,10 +112,10 @@
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				shards := rapid.IntRange(1, 9).Draw(t, "shards")
-				result, answer, record := right(shards)
+				result, answer, record := correctAnswer(shards)
 				fault.change(rapid.IntRange(0, shards-1).Draw(t, "shard"), result, &answer, &record)
-				result.take(answer)
-				result.compare(groupByQuery(record)[result.query.hash])
+				result.recordAnswer(answer)
+				result.checkExecutions(groupByQuery(record)[result.query.hash])
 				for _, wrong := range result.wrong {
 					if wrong.Fault == fault.want {
 						return
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestBaselineAgainstFleet runs a real load: one dead server costs coverage,
-// and the record gives the load without extra.
+// TestBaselineAgainstFleet runs a load with a stopped server: coverage must drop below 1,
+// and the record must show no extra load.
 func TestBaselineAgainstFleet(t *testing.T) {
 	is := is.New(t)
 	fleetOptions := backend.DefaultOptions()
@@ -139,7 +139,7 @@
 	is.NoErr(fleet.SetFault(backend.Fault{Server: "sample-2", Kind: backend.FaultDie}))
 	options := DefaultLoadOptions()
 	options.Warmup, options.Duration, options.Settle = 0, 500*time.Millisecond, 0
-	report, err := Load(t.Context(), options, NewDirect(fleet.Describe(""), 1), recordOf{fleet})
+	report, err := Load(t.Context(), options, NewDirect(fleet.Describe(""), 1), fleetRecorder{fleet})
 	is.NoErr(err)
 	is.Equal(report.WrongAnswers, 0)
 	is.True(report.Useful > 10)
@@ -150,8 +150,8 @@
 	is.True(strings.Contains(table.String(), fmt.Sprintf("%.4f", report.Coverage)))
 }
 
-type recordOf struct{ fleet *backend.Fleet }
+type fleetRecorder struct{ fleet *backend.Fleet }
 
-func (recorder recordOf) Record(filter backend.RecordFilter) ([]backend.Execution, error) {
+func (recorder fleetRecorder) Record(filter backend.RecordFilter) ([]backend.Execution, error) {
 	return recorder.fleet.Record().Executions(filter), nil
 }
--- a/internal/lab/options.go
+++ b/internal/lab/options.go
@@ -12,18 +12,18 @@
 type LoadOptions struct {
 	// Service is the name of the query service.
 	Service string
-	// Rate is the mean number of queries a second.
+	// Rate is the mean number of queries per second.
 	Rate float64
 	// Warmup precedes Duration; its queries are sent and compared with the
 	// record, but their latency is not counted.
 	Warmup time.Duration
 	// Duration is how long queries are sent after the warm-up.
 	Duration time.Duration
-	// Settle is how long to wait after the last answer before the record is read.
+	// Settle is the delay between the last answer and reading the record.
 	Settle time.Duration
-	// Timeout is what each query gives as its timeout.
+	// Timeout is the timeout of each query.
 	Timeout time.Duration
-	// Class is the class of all queries; empty leaves it to the service.
+	// Class is the class of all queries; empty for the default of the service.
 	Class v1.Class
 	// RepeatableShare is the share of queries that are marked repeatable.
 	RepeatableShare float64
@@ -31,13 +31,14 @@
 	MinimumCoverage float64
 	// BodyBytes is the size of a query's body, at least minimumBodyBytes.
 	BodyBytes int
-	// Outstanding bounds the queries under way; more are counted as not sent.
+	// Outstanding limits the queries in flight; queries over the limit are counted as not
+	// sent.
 	Outstanding int
-	// Seed makes arrivals and bodies repeatable.
+	// Seed makes arrivals and bodies reproducible.
 	Seed uint64
 }
 
-const minimumBodyBytes = 64
+const minBodyBytes = 64
 
 // DefaultLoadOptions returns a light load for a few seconds.
 func DefaultLoadOptions() LoadOptions {
@@ -65,7 +66,7 @@
 		}
 	}
 	require(options.Service != "", "service: want a name")
-	require(options.Rate > 0, "rate: want more than 0 queries a second, got %g", options.Rate)
+	require(options.Rate > 0, "rate: want more than 0 queries per second, got %g", options.Rate)
 	require(options.Warmup >= 0, "warmup: want 0 or more, got %s", options.Warmup)
 	require(options.Duration > 0, "duration: want more than 0, got %s", options.Duration)
 	require(options.Settle >= 0, "settle: want 0 or more, got %s", options.Settle)
@@ -75,7 +76,7 @@
 	require(options.RepeatableShare >= 0 && options.RepeatableShare <= 1,
 		"repeatable-share: want 0 to 1, got %g", options.RepeatableShare)
 	require(options.MinimumCoverage <= 1, "minimum-coverage: want at most 1, got %g", options.MinimumCoverage)
-	require(options.BodyBytes >= minimumBodyBytes, "body-bytes: want at least %d, got %d", minimumBodyBytes, options.BodyBytes)
+	require(options.BodyBytes >= minBodyBytes, "body-bytes: want at least %d, got %d", minBodyBytes, options.BodyBytes)
 	require(options.Outstanding >= 1, "outstanding: want at least 1, got %d", options.Outstanding)
 	return errors.Join(failures...)
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -9,10 +9,10 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// wrongSamples bounds the wrong answers that a report shows one by one.
-const wrongSamples = 10
+// maxWrongSamples limits the wrong answers that a report lists individually.
+const maxWrongSamples = 10
 
-// Quantiles of latencies in milliseconds, from the intended start.
+// Quantiles are latency quantiles in milliseconds, measured from the intended start.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -22,19 +22,19 @@
 	Max   float64 `json:"max"`
 }
 
-// LoadOnBackEnds is what the back ends ran, by their record.
+// LoadOnBackEnds is the load on the back ends according to their record.
 type LoadOnBackEnds struct {
-	// Compared is false when there was no record to compare with.
+	// Compared is false if there was no record to compare with.
 	Compared bool `json:"compared"`
-	// ShardsAsked is queries sent times shards of the service.
+	// ShardsAsked is the number of queries sent times the shards of the service.
 	ShardsAsked int `json:"shardsAsked"`
 	// ShardExecutions counts executions of single shards.
 	ShardExecutions int `json:"shardExecutions"`
-	// SubRequests counts executions; one may be of several shards.
+	// SubRequests counts executions; one may cover several shards.
 	SubRequests int `json:"subRequests"`
 	// Late counts queries that began to run long after their deadline.
 	Late int `json:"late"`
-	// Ratio is ShardExecutions over ShardsAsked: 1 is no extra load.
+	// Ratio is ShardExecutions divided by ShardsAsked: 1 means no extra load.
 	Ratio float64 `json:"ratio"`
 }
 
@@ -49,14 +49,14 @@
 	// Useful counts answers with status 200, after the warm-up.
 	Useful          int     `json:"useful"`
 	UsefulPerSecond float64 `json:"usefulPerSecond"`
-	// Coverage is the mean over useful answers.
+	// Coverage is the mean coverage of useful answers.
 	Coverage float64 `json:"coverage"`
-	// CoverageOfAll is the mean over all queries, with none for those that failed.
+	// CoverageOfAll is the mean coverage of all queries, with 0 for those that failed.
 	CoverageOfAll float64 `json:"coverageOfAll"`
 	// Whole is the share of useful answers that cover every shard.
 	Whole float64 `json:"whole"`
-	// Latency is of useful answers, Refusals of those that are not run, All of
-	// every query, unanswered ones too.
+	// Latency covers useful answers, Refusals those with verdict NotRun, and All
+	// every query, including unanswered ones.
 	Latency  Quantiles      `json:"latency"`
 	Refusals Quantiles      `json:"refusals"`
 	All      Quantiles      `json:"all"`
@@ -71,13 +71,13 @@
 	Samples      []Wrong `json:"samples,omitempty"`
 }
 
-// reportBuilder gathers outcomes.
+// reportBuilder accumulates outcomes for a report.
 type reportBuilder struct {
 	report                 *Report
 	options                LoadOptions
 	useful, refusals, all  *hdrhistogram.Histogram
-	coverage, whole        float64
-	counted, shardsOfQuery int
+	coverage, fullCoverage float64
+	measured, maxShards    int
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -85,7 +85,7 @@
 	return hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), significantDigits)
 }
 
-func newReport(target string, options LoadOptions, outcomes []*outcome, notSent int, groups map[string]*executed) *Report {
+func newReport(target string, options LoadOptions, outcomes []*outcome, notSent int, groups map[string]*executionSummary) *Report {
 	builder := &reportBuilder{
 		options:  options,
 		useful:   newHistogram(),
@@ -110,8 +110,8 @@
 	return builder.finish()
 }
 
-// add counts one outcome. Wrong answers and verdicts count from the first
-// query on, latency and coverage only after the warm-up.
+// add counts one outcome. Wrong answers and verdicts count from the first query,
+// latency and coverage only after the warm-up.
 func (builder *reportBuilder) add(outcome *outcome) {
 	report := builder.report
 	if outcome.status == 0 {
@@ -122,7 +122,7 @@
 		report.Verdicts[outcome.verdict.String()]++
 	}
 	builder.addWrong(outcome)
-	builder.shardsOfQuery = max(builder.shardsOfQuery, outcome.shards)
+	builder.maxShards = max(builder.maxShards, outcome.shards)
 	if outcome.query.offset < builder.options.Warmup {
 		return
 	}
@@ -136,7 +136,7 @@
 	}
 	for _, wrong := range outcome.wrong {
 		report.Wrong[wrong.Fault]++
-		if len(report.Samples) < wrongSamples {
+		if len(report.Samples) < maxWrongSamples {
 			report.Samples = append(report.Samples, wrong)
 		}
 	}
@@ -144,14 +144,14 @@
 
 func (builder *reportBuilder) addMeasured(outcome *outcome) {
 	micros := max(1, outcome.latency.Microseconds())
-	builder.counted++
+	builder.measured++
 	record(builder.all, micros)
 	if outcome.status == http.StatusOK {
 		record(builder.useful, micros)
 		builder.report.Useful++
 		builder.coverage += float64(len(outcome.covered)) / float64(max(1, outcome.shards))
 		if len(outcome.covered) == outcome.shards {
-			builder.whole++
+			builder.fullCoverage++
 		}
 		return
 	}
@@ -160,13 +160,12 @@
 	}
 }
 
-// record counts a value; one over the range of the histogram counts as its
-// highest.
+// record records a value; one over the range of the histogram counts as its maximum.
 func record(histogram *hdrhistogram.Histogram, micros int64) {
 	_ = histogram.RecordValue(min(micros, histogram.HighestTrackableValue()))
 }
 
-func (builder *reportBuilder) addRecord(outcomes []*outcome, groups map[string]*executed) {
+func (builder *reportBuilder) addRecord(outcomes []*outcome, groups map[string]*executionSummary) {
 	load := &builder.report.BackEnds
 	load.ShardsAsked = builder.shardsAsked(outcomes)
 	if groups == nil {
@@ -189,15 +188,15 @@
 	load.Ratio = float64(load.ShardExecutions) / float64(max(1, load.ShardsAsked))
 }
 
-// shardsAsked sums the shards of all queries. One that names none in its answer
-// counts as the largest that does.
+// shardsAsked sums the shards of all queries. A query whose answer does not state the
+// number of shards counts with the largest number stated by others.
 func (builder *reportBuilder) shardsAsked(outcomes []*outcome) int {
 	asked := 0
 	for _, outcome := range outcomes {
 		if outcome.shards > 0 {
 			asked += outcome.shards
 		} else {
-			asked += builder.shardsOfQuery
+			asked += builder.maxShards
 		}
 	}
 	return asked
@@ -207,8 +206,8 @@
 	report := builder.report
 	report.UsefulPerSecond = float64(report.Useful) / builder.options.Duration.Seconds()
 	report.Coverage = builder.coverage / float64(max(1, report.Useful))
-	report.CoverageOfAll = builder.coverage / float64(max(1, builder.counted))
-	report.Whole = builder.whole / float64(max(1, report.Useful))
+	report.CoverageOfAll = builder.coverage / float64(max(1, builder.measured))
+	report.Whole = builder.fullCoverage / float64(max(1, report.Useful))
 	report.Latency = quantiles(builder.useful)
 	report.Refusals = quantiles(builder.refusals)
 	report.All = quantiles(builder.all)
--- a/internal/lab/rollouts/callers.go
+++ b/internal/lab/rollouts/callers.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// callerRate is the number of requests a second, half of them gathered from both
-	// shards, half of them whole.
+	// callerRate is the number of requests per second, half of them to the scatter-gather
+	// routes with both shards, half to the routes of the single service.
 	callerRate = 200
-	// callerWait is how long a caller waits for an answer.
-	callerWait = 2 * time.Second
+	// callerTimeout is how long a caller waits for a response.
+	callerTimeout = 2 * time.Second
 )
 
-// callers send requests at a fixed rate, whatever became of the earlier ones.
+// callers send requests at a fixed rate, independently of earlier ones.
 type callers struct {
 	nodes  []*node
 	random *rand.Rand
 	sent   int
 }
 
-// callerCounts are what callers saw. A request failed if its answer was no success, lacked
-// a shard or did not come in time.
+// callerCounts count requests. A request failed if its response was no success, lacked a
+// shard or did not arrive in time.
 type callerCounts struct {
 	asked, failed int
-	// byRoute are the failed ones by the path of their route.
+	// byRoute counts the failed ones by the path of their route.
 	byRoute map[string]int
 }
 
-// run sends requests for the span and waits for their answers.
+// run sends requests for the span and waits for their responses.
 func (c *callers) run(ctx context.Context, span time.Duration) callerCounts {
 	counts := callerCounts{asked: int(span.Seconds() * callerRate), byRoute: make(map[string]int)}
 	var mutex sync.Mutex
@@ -44,7 +44,7 @@
 		time.Sleep(time.Until(start.Add(time.Duration(number) * time.Second / callerRate)))
 		target, route, id := c.next()
 		group.Go(func() {
-			if asked(ctx, target, route+id, id) {
+			if served(ctx, target, route+id, id) {
 				return
 			}
 			mutex.Lock()
@@ -57,8 +57,8 @@
 	return counts
 }
 
-// next draws a request. Nodes that are away get none, as from a load balancer that has
-// noticed; they are asked all the same if there are no others.
+// next returns a random request. It skips unavailable nodes, like a load balancer that has
+// detected them, unless all nodes are unavailable.
 func (c *callers) next() (target *node, route, id string) {
 	c.sent++
 	id = fmt.Sprintf("request-%d", c.sent)
@@ -66,15 +66,15 @@
 	first := c.random.IntN(len(c.nodes))
 	for offset := range c.nodes {
 		target = c.nodes[(first+offset)%len(c.nodes)]
-		if !target.away.Load() {
+		if !target.unavailable.Load() {
 			break
 		}
 	}
 	return target, route, id
 }
 
-// asked sends one request and reports whether it was served whole.
-func asked(ctx context.Context, target *node, path, id string) bool {
-	answer, err := standin.Ask(ctx, target.address, host, path, id, callerWait)
+// served sends one request and reports whether it was served with all shards.
+func served(ctx context.Context, target *node, path, id string) bool {
+	answer, err := standin.Ask(ctx, target.address, host, path, id, callerTimeout)
 	return err == nil && answer.Status == http.StatusOK && answer.Missing == 0
 }
--- a/internal/lab/rollouts/fleet.go
+++ b/internal/lab/rollouts/fleet.go
@@ -18,42 +18,42 @@
 )
 
 const (
-	// startedMarker is in the line that driftrouter logs once it listens.
+	// startedMarker is part of the line that driftrouter logs once it listens.
 	startedMarker = `"started"`
-	// readyTimeout bounds the time until all nodes are ready.
+	// readyTimeout limits the time until all nodes are ready.
 	readyTimeout = 20 * time.Second
-	// pollInterval is how often something is looked at that is waited for.
+	// pollInterval is how often a condition that is waited for is checked.
 	pollInterval = 10 * time.Millisecond
 	// kindMembers is the kind of the nodes' announcements.
 	kindMembers = "members"
 )
 
-// node is one machine's process, which may be started more than once.
+// node is a driftrouter process, which may be restarted.
 type node struct {
 	name                     string
 	address, readiness, peer string
 	// entrance is the node's own address of the store.
 	entrance *standin.Entrance
-	// storeLink leads to the entrance, peerLinks to the other nodes by their peer
-	// addresses; nil where nothing is cut.
+	// storeLink is the proxy to the entrance, peerLinks are those to the other nodes by
+	// their peer addresses; nil if the run needs no network partition.
 	storeLink *standin.Proxy
 	peerLinks map[string]*standin.Proxy
 
 	process *cluster.Process
 	starts  int
-	// away is set while callers are not sent to the node.
-	away atomic.Bool
+	// unavailable is set while callers must not use the node.
+	unavailable atomic.Bool
 }
 
-// fleet is all nodes.
+// fleet holds all nodes.
 type fleet struct {
 	options Options
 	store   *standin.Store
 	nodes   []*node
 }
 
-// startFleet starts the nodes and waits until they are ready. Links between them can be
-// cut if they go through proxies.
+// startFleet starts the nodes and waits until they are ready. With proxies, nodes can be
+// partitioned from each other and from the store.
 func startFleet(ctx context.Context, options Options, store *standin.Store, proxies bool) (*fleet, error) {
 	started := &fleet{options: options, store: store}
 	for index := range options.Nodes {
@@ -90,7 +90,7 @@
 	return built, nil
 }
 
-// openLinks leads each node to the store and to each other node by a proxy of its own.
+// openLinks creates, for each node, a proxy to the store and one to each other node.
 func (f *fleet) openLinks() error {
 	for _, from := range f.nodes {
 		var err error
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// view shows the node the other nodes at the addresses of its links to them.
+// view replaces the addresses in other nodes' announcements by those of the proxies to them.
 func (n *node) view(kind string, object standin.Object) standin.Object {
 	var spec map[string]any
 	if kind != kindMembers || json.Unmarshal(object.Spec, &spec) != nil {
@@ -138,11 +138,11 @@
 		"--name", started.name, "--zone", zoneName(index), "--region", region, "--zones", zones(),
 		"--listen-address", started.address, "--readiness-address", started.readiness, "--peer-address", started.peer,
 		"--seeds", strings.Join(f.seeds(started), ","), "--store-address", started.storeAddress(),
-		"--expose-share", fmt.Sprint(exposeShare), "--expose-slack", fmt.Sprint(exposeSlack), "--rollback-time", rollBackTime.String(),
+		"--expose-share", fmt.Sprint(exposureShare), "--expose-slack", fmt.Sprint(exposureSlack), "--rollback-time", rollbackTime.String(),
 		"--retry-ratio", "0.2", "--retry-slack", "60", "--stop-timeout", "3s",
 	)
 	if err != nil {
-		return errors.Wrap(err, "driftrouter has to be beside driftlab (make build)")
+		return errors.Wrap(err, "driftrouter must be in the directory of driftlab (make build)")
 	}
 	started.process = process
 	return nil
@@ -163,7 +163,7 @@
 	return strings.Join(pairs, ",")
 }
 
-// seeds are the peer addresses of all other nodes as the node reaches them.
+// seeds returns the peer addresses of all other nodes, or those of the proxies to them.
 func (f *fleet) seeds(of *node) []string {
 	var addresses []string
 	for _, other := range f.nodes {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// decider waits until a status has been written, and returns the index of the node that
+// decider waits until a node has written a status, and returns the index of the node that
 // wrote last.
 func (f *fleet) decider(ctx context.Context) (int, error) {
 	for {
@@ -208,22 +208,22 @@
 	}
 }
 
-// setCut cuts a node off from the store and from all other nodes, or heals that.
-func (f *fleet) setCut(index int, cut bool) {
+// setPartitioned partitions a node from the store and all other nodes, or ends the partition.
+func (f *fleet) setPartitioned(index int, cut bool) {
 	fault := standin.LinkFault{HoldRequests: cut, HoldAnswers: cut}
-	lonely := f.nodes[index]
-	lonely.storeLink.Set(fault)
-	for _, link := range lonely.peerLinks {
+	isolated := f.nodes[index]
+	isolated.storeLink.Set(fault)
+	for _, link := range isolated.peerLinks {
 		link.Set(fault)
 	}
 	for _, other := range f.nodes {
-		if other != lonely {
-			other.peerLinks[lonely.peer].Set(fault)
+		if other != isolated {
+			other.peerLinks[isolated.peer].Set(fault)
 		}
 	}
 }
 
-// stop ends all processes.
+// stop stops all processes.
 func (f *fleet) stop() error {
 	var failed error
 	for _, stopped := range f.nodes {
@@ -251,7 +251,7 @@
 	}
 }
 
-// sleep waits, and returns the error of a context that ends earlier.
+// sleep waits for the span, or returns the error of ctx if that ends earlier.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/lab/rollouts/operator.go
+++ b/internal/lab/rollouts/operator.go
@@ -11,7 +11,7 @@
 const (
 	// startDelay is the time from the order to the start of the new servers.
 	startDelay = 100 * time.Millisecond
-	// drainDelay is the time from a roll-back to the draining of the new servers.
+	// drainDelay is the time from a rollback to the draining of the new servers.
 	drainDelay = 2 * time.Second
 )
 
@@ -21,15 +21,16 @@
 	stateRolledBack = "rolled_back"
 )
 
-// operator orders the roll-out, starts the new servers, and stops what is not needed
-// once the order has been answered.
+// operator orders the rollout, starts the new servers, and stops or drains the servers that
+// are no longer needed when the order ends.
 type operator struct {
 	world   *world
 	service string
 	flaw    standin.Flaw
 
 	mutex sync.Mutex
-	// orderedAt is when the order was in the store, decidedAt when its end was seen there.
+	// orderedAt is when the order was written to the store, decidedAt when its end was observed
+	// there.
 	orderedAt, decidedAt time.Time
 	state                string
 }
@@ -40,7 +41,7 @@
 	return o.world.store.Order(standin.Rollout{Service: o.service, TargetVersion: newVersion, DurationS: duration.Seconds()})
 }
 
-// run starts the new servers and follows the order's status until the context ends.
+// run starts the new servers and polls the order's status until ctx ends.
 func (o *operator) run(ctx context.Context) error {
 	if sleep(ctx, startDelay) != nil {
 		return nil
@@ -53,7 +54,7 @@
 		return err
 	}
 	for sleep(ctx, pollInterval) == nil {
-		if o.look() {
+		if o.pollStatus() {
 			return o.finish(ctx)
 		}
 	}
@@ -67,8 +68,8 @@
 	return o.world.new
 }
 
-// look reads the order's status and reports whether it has ended.
-func (o *operator) look() bool {
+// pollStatus reads the order's status and reports whether the order has ended.
+func (o *operator) pollStatus() bool {
 	status := o.world.store.RolloutStatus(o.service)
 	if status.TargetVersion != newVersion {
 		return false
@@ -83,8 +84,8 @@
 	return true
 }
 
-// finish stops the old servers of a completed order at once, and lets the new ones of one
-// that was rolled back drain a while later.
+// finish stops the old servers if the order was completed. If it was rolled back, finish
+// drains the new servers after drainDelay.
 func (o *operator) finish(ctx context.Context) error {
 	if o.state == stateCompleted {
 		for _, server := range o.world.old {
@@ -96,7 +97,7 @@
 		return nil
 	}
 	for _, server := range o.started() {
-		if err := o.world.list(server, "draining"); err != nil {
+		if err := o.world.register(server, "draining"); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/rollouts/options.go
+++ b/internal/lab/rollouts/options.go
@@ -1,7 +1,7 @@
-// Package rollouts plays one roll-out with real driftrouter processes on loopback, among
-// stand-ins of the platform: an operator who orders it and starts and stops servers,
-// callers at a fixed rate, a version that is good or bad, and one kind of trouble. It
-// reports what became of the order, of the callers, and of the bounds.
+// Package rollouts runs one rollout with driftrouter processes and stand-ins for the platform
+// on loopback: an operator orders it and starts and stops servers, callers send requests at a
+// fixed rate, the new version is good or bad, and one kind of fault is injected. It reports
+// the outcome of the order, the failed requests and the bounds that were violated.
 package rollouts
 
 import (
@@ -13,12 +13,12 @@
 )
 
 const (
-	// mostNodes bounds the processes of one run.
-	mostNodes = 12
-	// shortestOrder leaves room for canary, load and shift.
-	shortestOrder = 4 * time.Second
-	// longestOrder keeps a run, callers before the order included, under a minute.
-	longestOrder = 24 * time.Second
+	// maxNodes limits the processes of one run.
+	maxNodes = 12
+	// minDuration leaves enough time for the stages canary, load and shift.
+	minDuration = 4 * time.Second
+	// maxDuration keeps a run, including the requests before the order, under a minute.
+	maxDuration = 24 * time.Second
 )
 
 // Options describe one run.
@@ -26,33 +26,33 @@
 	// Version and Trouble are names of Versions and Troubles.
 	Version, Trouble string
 	Nodes            int
-	// Duration is the order's time.
+	// Duration is the duration of the order.
 	Duration time.Duration
-	// Seed of arrivals, of the time of the trouble, and of the service that is moved: a
-	// shard for odd ones, the service of whole requests for even ones.
+	// Seed determines the arrivals, the start of the trouble, and the service with the rollout:
+	// a shard if odd, the service without scatter-gather if even.
 	Seed uint64
-	// TroubleAt is the part of the order's time after which the trouble begins; negative: the
-	// seed draws it.
+	// TroubleAt is the start of the trouble as a fraction of the order's duration; negative for
+	// one chosen by the seed.
 	TroubleAt float64
-	// Binaries is the directory of driftrouter, Directory takes its logs.
+	// Binaries is the directory of driftrouter, Directory is where its logs are written.
 	Binaries, Directory string
 }
 
-// Validate returns what is wrong with the options.
+// Validate returns the first error of the options, or nil.
 func (o Options) Validate() error {
-	_, version := versionOf(o.Version)
-	_, trouble := troubleOf(o.Trouble)
+	_, version := findVersion(o.Version)
+	_, trouble := findTrouble(o.Trouble)
 	switch {
 	case !version:
-		return errors.Newf("version: no %q", o.Version)
+		return errors.Newf("version: unknown kind %q", o.Version)
 	case !trouble:
-		return errors.Newf("trouble: no %q", o.Trouble)
+		return errors.Newf("trouble: unknown kind %q", o.Trouble)
 	case o.TroubleAt > 1:
-		return errors.New("trouble-at: want a part of the order's time, up to 1")
-	case o.Nodes < 1 || o.Nodes > mostNodes:
-		return errors.Newf("nodes: want 1 to %d", mostNodes)
-	case o.Duration < shortestOrder || o.Duration > longestOrder:
-		return errors.Newf("seconds: want %v to %v", shortestOrder.Seconds(), longestOrder.Seconds())
+		return errors.New("trouble-at: want a fraction of the order's duration, up to 1")
+	case o.Nodes < 1 || o.Nodes > maxNodes:
+		return errors.Newf("nodes: want 1 to %d", maxNodes)
+	case o.Duration < minDuration || o.Duration > maxDuration:
+		return errors.Newf("seconds: want %v to %v", minDuration.Seconds(), maxDuration.Seconds())
 	}
 	return nil
 }
@@ -60,37 +60,37 @@
 // Version is a kind of new version.
 type Version struct {
 	Name, Help string
-	// flaw is what is wrong with it in an order of the duration.
+	// flaw returns its defect, for an order with the duration and a route of the service.
 	flaw func(duration time.Duration, route string) standin.Flaw
 }
 
-// good is the version with nothing wrong.
-const good = "good"
+// versionGood is the version without a defect.
+const versionGood = "good"
 
 // Versions are all kinds of new versions.
 var Versions = []Version{
-	{good, "answers as the old one does", func(time.Duration, string) standin.Flaw { return standin.Flaw{} }},
-	{"errors", "fails half of its answers", func(time.Duration, string) standin.Flaw {
+	{versionGood, "behaves like the old one", func(time.Duration, string) standin.Flaw { return standin.Flaw{} }},
+	{"errors", "fails half of the requests", func(time.Duration, string) standin.Flaw {
 		return standin.Flaw{Share: 0.5, Behavior: standin.Fail}
 	}},
 	{"slow", "takes five times as long", func(time.Duration, string) standin.Flaw {
 		return standin.Flaw{Share: 1, Factor: 5}
 	}},
-	{"later", "fails half of its answers after 0.3 of the order's time", func(duration time.Duration, _ string) standin.Flaw {
+	{"later", "fails half of the requests after 0.3 of the order's duration", func(duration time.Duration, _ string) standin.Flaw {
 		return standin.Flaw{Share: 0.5, Behavior: standin.Fail, After: duration * 3 / 10}
 	}},
-	{"load", "fails most answers while more than half of its slots are busy", func(time.Duration, string) standin.Flaw {
+	{"load", "fails most requests while more than half of its slots are busy", func(time.Duration, string) standin.Flaw {
 		return standin.Flaw{Share: 0.8, Behavior: standin.Fail, Loaded: true}
 	}},
-	{"route", "fails half of its answers on one route of two", func(_ time.Duration, route string) standin.Flaw {
+	{"route", "fails half of the requests on one route of two", func(_ time.Duration, route string) standin.Flaw {
 		return standin.Flaw{Share: 0.5, Behavior: standin.Fail, Prefix: route}
 	}},
-	{"mute", "never answers three requests of ten", func(time.Duration, string) standin.Flaw {
+	{"mute", "never responds to three requests in ten", func(time.Duration, string) standin.Flaw {
 		return standin.Flaw{Share: 0.3, Behavior: standin.LoseAnswer}
 	}},
 }
 
-func versionOf(name string) (Version, bool) {
+func findVersion(name string) (Version, bool) {
 	for _, version := range Versions {
 		if version.Name == name {
 			return version, true
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -10,10 +10,10 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// badAnswersThatTell is the number of bad answers from which the time to roll back counts.
-const badAnswersThatTell = 50
+// minBadAnswers is the number of bad answers after which the rollback time starts.
+const minBadAnswers = 50
 
-// Result is what came of one roll-out.
+// Result is the result of one rollout.
 type Result struct {
 	Version string  `json:"version"`
 	Trouble string  `json:"trouble"`
@@ -21,32 +21,34 @@
 	Seconds float64 `json:"seconds"`
 	Seed    uint64  `json:"seed"`
 	Service string  `json:"service"`
-	// State of the order in the store at the end.
+	// State is the final state of the order in the store.
 	State string `json:"state"`
-	// Exposed are the requests that reached the new version from the order to its deadline,
-	// ExposureBound is how many of them a bad one may get, BadAnswers how many were flawed.
+	// Exposed is the number of requests that reached the new version between the order and its
+	// deadline, ExposureBound the limit for a bad version, BadAnswers the number of requests
+	// affected by the flaw.
 	Exposed       int     `json:"exposed"`
 	ExposureBound float64 `json:"exposure_bound"`
 	BadAnswers    int     `json:"bad_answers"`
-	// LastSendAfterFiftiethBad is the time from the 50th flawed request to the last one of
-	// all that the new version got; nil if there were fewer.
+	// LastSendAfterFiftiethBad is the time from the 50th bad answer to the last request that the
+	// new version received; nil if there were fewer.
 	LastSendAfterFiftiethBad *float64 `json:"last_send_after_fiftieth_bad_seconds"`
 	// DecidedAfter is the time from the order to its end; nil if it did not end.
 	DecidedAfter *float64 `json:"decided_after_seconds"`
-	// CallersAsked are the requests from the order to its deadline, CallersFailed those
-	// that were not served whole, CallersFailedBefore the same of as many before the order.
+	// CallersAsked is the number of requests between the order and its deadline, CallersFailed
+	// the number of those not served with all shards, CallersFailedBefore the same for as many
+	// requests before the order.
 	CallersAsked        int `json:"callers_asked"`
 	CallersFailed       int `json:"callers_failed"`
 	CallersFailedBefore int `json:"callers_failed_before"`
-	// CallersFailedByRoute are those of CallersFailed by the path of their route.
+	// CallersFailedByRoute splits CallersFailed by the path of the route.
 	CallersFailedByRoute map[string]int `json:"callers_failed_by_route"`
-	// StoreCalls are the calls of all nodes from the order to its deadline.
+	// StoreCalls is the number of store calls of all nodes between the order and its deadline.
 	StoreCalls int `json:"store_calls"`
-	// Broken names the bounds that did not hold.
+	// Broken lists the violated bounds.
 	Broken []string `json:"broken"`
 }
 
-// Write prints the result for readers.
+// Write prints the result as text.
 func (r *Result) Write(output io.Writer) error {
 	_, err := fmt.Fprintf(output, "%s version of %s, trouble %s, %d nodes, %v s, seed %d\n"+
 		"  state %s after %s; exposed %d of at most %.0f, %d bad answers, last send after the 50th %s\n"+
@@ -65,18 +67,18 @@
 	return fmt.Sprintf("%.2f s", *value)
 }
 
-// result reads what servers, store and callers saw.
+// result collects the result from servers, store and callers.
 func (r *run) result(before, during callerCounts) *Result {
 	old, exposed := runsOf(r.world.old), runsOf(r.operator.started())
-	within := func(at standin.Run) bool {
-		return !at.At.Before(r.operator.orderedAt) && at.At.Before(r.operator.orderedAt.Add(r.options.Duration))
+	within := func(ran standin.Run) bool {
+		return !ran.At.Before(r.operator.orderedAt) && ran.At.Before(r.operator.orderedAt.Add(r.options.Duration))
 	}
 	result := &Result{
 		Version: r.options.Version, Trouble: r.options.Trouble, Nodes: r.options.Nodes,
 		Seconds: r.options.Duration.Seconds(), Seed: r.options.Seed, Service: r.service,
 		State:                r.world.store.RolloutStatus(r.service).State,
 		Exposed:              count(exposed, within),
-		BadAnswers:           count(exposed, func(at standin.Run) bool { return at.Flawed && within(at) }),
+		BadAnswers:           count(exposed, func(ran standin.Run) bool { return ran.Flawed && within(ran) }),
 		CallersAsked:         during.asked,
 		CallersFailed:        during.failed,
 		CallersFailedBefore:  before.failed,
@@ -84,8 +86,8 @@
 		Broken:               []string{},
 	}
 	reached := count(old, within) + result.Exposed
-	result.ExposureBound = math.Floor(exposeShare*float64(reached) + exposeSlack)
-	result.LastSendAfterFiftiethBad = lastAfterFiftiethBad(exposed)
+	result.ExposureBound = math.Floor(exposureShare*float64(reached) + exposureSlack)
+	result.LastSendAfterFiftiethBad = lastSendAfterFiftiethBad(exposed)
 	if !r.operator.decidedAt.IsZero() {
 		result.DecidedAfter = inSeconds(r.operator.decidedAt.Sub(r.operator.orderedAt))
 	}
@@ -96,27 +98,27 @@
 	return result
 }
 
-// check names the bounds that did not hold.
+// check adds the violated bounds to Broken.
 func (r *Result) check() {
 	wanted := stateRolledBack
-	if r.Version == good {
+	if r.Version == versionGood {
 		wanted = stateCompleted
 	}
 	if r.State != wanted || r.DecidedAfter == nil || *r.DecidedAfter > r.Seconds {
 		r.Broken = append(r.Broken, "not "+wanted+" by the deadline")
 	}
-	if r.Version == good {
+	if r.Version == versionGood {
 		return
 	}
 	if float64(r.Exposed) > r.ExposureBound {
 		r.Broken = append(r.Broken, "exposed more than the bound")
 	}
-	if late := r.LastSendAfterFiftiethBad; late != nil && *late > rollBackTime.Seconds() {
+	if late := r.LastSendAfterFiftiethBad; late != nil && *late > rollbackTime.Seconds() {
 		r.Broken = append(r.Broken, "sent too long after the 50th bad answer")
 	}
 }
 
-// runsOf returns what the servers ran, in the order in which it came.
+// runsOf returns the requests that the servers ran, sorted by arrival.
 func runsOf(servers []*standin.Server) []standin.Run {
 	var runs []standin.Run
 	for _, server := range servers {
@@ -128,25 +130,25 @@
 
 func count(runs []standin.Run, counts func(standin.Run) bool) int {
 	number := 0
-	for _, at := range runs {
-		if counts(at) {
+	for _, ran := range runs {
+		if counts(ran) {
 			number++
 		}
 	}
 	return number
 }
 
-// lastAfterFiftiethBad returns the time in seconds from the 50th flawed request to the
-// last of all; nil if there are fewer.
-func lastAfterFiftiethBad(runs []standin.Run) *float64 {
-	flawed := slices.DeleteFunc(slices.Clone(runs), func(at standin.Run) bool { return !at.Flawed })
-	if len(flawed) < badAnswersThatTell {
+// lastSendAfterFiftiethBad returns the time in seconds from the 50th bad answer to the last
+// request; nil if there are fewer.
+func lastSendAfterFiftiethBad(runs []standin.Run) *float64 {
+	flawed := slices.DeleteFunc(slices.Clone(runs), func(ran standin.Run) bool { return !ran.Flawed })
+	if len(flawed) < minBadAnswers {
 		return nil
 	}
-	return inSeconds(runs[len(runs)-1].At.Sub(flawed[badAnswersThatTell-1].At))
+	return inSeconds(runs[len(runs)-1].At.Sub(flawed[minBadAnswers-1].At))
 }
 
-// inSeconds returns the time in seconds, to the millisecond.
+// inSeconds returns the span in seconds, truncated to milliseconds.
 func inSeconds(span time.Duration) *float64 {
 	rounded := float64(span.Milliseconds()) / 1000
 	return &rounded
--- a/internal/lab/rollouts/result_test.go
+++ b/internal/lab/rollouts/result_test.go
@@ -11,15 +11,15 @@
 
 func at(seconds float64) *float64 { return &seconds }
 
-func TestBoundsThatDidNotHoldAreNamed(t *testing.T) {
+func TestViolatedBoundsAreReported(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		result Result
 		want   []string
 	}{
-		{"good, in time", Result{Version: good, State: stateCompleted, DecidedAfter: at(9), Seconds: 12, Exposed: 500, ExposureBound: 170}, nil},
-		{"good, late", Result{Version: good, State: stateCompleted, DecidedAfter: at(12.1), Seconds: 12}, []string{"not completed by the deadline"}},
-		{"good, rolled back", Result{Version: good, State: stateRolledBack, DecidedAfter: at(3), Seconds: 12}, []string{"not completed by the deadline"}},
+		{"good, in time", Result{Version: versionGood, State: stateCompleted, DecidedAfter: at(9), Seconds: 12, Exposed: 500, ExposureBound: 170}, nil},
+		{"good, late", Result{Version: versionGood, State: stateCompleted, DecidedAfter: at(12.1), Seconds: 12}, []string{"not completed by the deadline"}},
+		{"good, rolled back", Result{Version: versionGood, State: stateRolledBack, DecidedAfter: at(3), Seconds: 12}, []string{"not completed by the deadline"}},
 		{"bad, in time", Result{Version: "errors", State: stateRolledBack, DecidedAfter: at(3), Seconds: 12, Exposed: 170, ExposureBound: 170, LastSendAfterFiftiethBad: at(5)}, nil},
 		{"bad, unanswered", Result{Version: "errors", State: "running", Seconds: 12}, []string{"not rolled_back by the deadline"}},
 		{"bad, exposed", Result{Version: "errors", State: stateRolledBack, DecidedAfter: at(3), Seconds: 12, Exposed: 171, ExposureBound: 170}, []string{"exposed more than the bound"}},
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTimeAfterTheFiftiethBadAnswer(t *testing.T) {
+func TestLastSendAfterFiftiethBad(t *testing.T) {
 	is := is.New(t)
 	start := time.Now()
 	var runs []standin.Run
@@ -40,14 +40,14 @@
 		runs = append(runs, standin.Run{At: start.Add(time.Duration(number) * time.Millisecond), Flawed: true})
 	}
 	runs = append(runs, standin.Run{At: start.Add(60 * time.Millisecond)})
-	is.Equal(lastAfterFiftiethBad(runs), nil)
+	is.Equal(lastSendAfterFiftiethBad(runs), nil)
 	runs = append(runs, standin.Run{At: start.Add(100 * time.Millisecond), Flawed: true}, standin.Run{At: start.Add(350 * time.Millisecond)})
-	is.Equal(*lastAfterFiftiethBad(runs), 0.25)
+	is.Equal(*lastSendAfterFiftiethBad(runs), 0.25)
 }
 
-func TestWrongOptionsAreRefused(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	is := is.New(t)
-	right := Options{Version: good, Trouble: "none", Nodes: 3, Duration: 12 * time.Second}
+	right := Options{Version: versionGood, Trouble: "none", Nodes: 3, Duration: 12 * time.Second}
 	is.NoErr(right.Validate())
 	for _, change := range []func(*Options){
 		func(o *Options) { o.Version = "unheard-of" },
--- a/internal/lab/rollouts/run.go
+++ b/internal/lab/rollouts/run.go
@@ -11,22 +11,22 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// Bounds of the run's deployment.
+// The rollout limits in the nodes' settings.
 const (
-	exposeShare  = 0.1
-	exposeSlack  = 50
-	rollBackTime = 5 * time.Second
+	exposureShare = 0.1
+	exposureSlack = 50
+	rollbackTime  = 5 * time.Second
 )
 
 const (
-	// tail is how long callers go on after the order's deadline, uncounted, so that what
-	// is sent too late shows.
-	tail = time.Second
-	// settle is how long requests that were given up may still take at servers.
-	settle = 300 * time.Millisecond
+	// deadlineGrace is how long callers continue, uncounted, after the order's deadline, so that
+	// requests sent to the new version too late are detected.
+	deadlineGrace = time.Second
+	// settleTime is how long servers may still work on abandoned requests.
+	settleTime = 300 * time.Millisecond
 )
 
-// run is one roll-out under way.
+// run is one rollout in progress.
 type run struct {
 	options  Options
 	service  string
@@ -34,16 +34,16 @@
 	fleet    *fleet
 	operator *operator
 	callers  *callers
-	// troubleAt, 0 to 1, is when the trouble begins between its earliest and latest time.
-	troubleAt float64
+	// troubleStart is when the trouble begins, from 0 for minTroubleStart to 1 for maxTroubleStart.
+	troubleStart float64
 }
 
-// Run plays a roll-out and returns what came of it.
+// Run runs a rollout and returns its result.
 func Run(ctx context.Context, options Options) (result *Result, err error) {
 	if err := options.Validate(); err != nil {
 		return nil, err
 	}
-	r := &run{options: options, service: serviceWhole}
+	r := &run{options: options, service: serviceSingle}
 	route := pathRead
 	if options.Seed%2 == 1 {
 		r.service, route = serviceShardA, pathFew
@@ -52,45 +52,45 @@
 		return nil, err
 	}
 	defer r.world.close()
-	version, _ := versionOf(options.Version)
+	version, _ := findVersion(options.Version)
 	r.operator = &operator{world: r.world, service: r.service, flaw: version.flaw(options.Duration, route)}
-	trouble, _ := troubleOf(options.Trouble)
+	trouble, _ := findTrouble(options.Trouble)
 	r.fleet, err = startFleet(ctx, options, r.world.store, trouble.links)
 	defer func() { err = errors.CombineErrors(err, r.stop()) }()
 	if err != nil {
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(options.Seed, 0))
-	r.troubleAt = random.Float64()
+	r.troubleStart = random.Float64()
 	r.callers = &callers{nodes: r.fleet.nodes, random: random}
-	return r.play(ctx)
+	return r.execute(ctx)
 }
 
-// play lets callers ask before the order and while it runs.
-func (r *run) play(ctx context.Context) (*Result, error) {
+// execute sends requests before and during the rollout.
+func (r *run) execute(ctx context.Context) (*Result, error) {
 	before := r.callers.run(ctx, r.options.Duration)
 	callsBefore := storeCalls(r.world.store)
 	if err := r.operator.order(r.options.Duration); err != nil {
 		return nil, err
 	}
 	deadline := r.operator.orderedAt.Add(r.options.Duration)
-	playing, cancel := context.WithDeadline(ctx, deadline.Add(tail))
+	playing, cancel := context.WithDeadline(ctx, deadline.Add(deadlineGrace))
 	defer cancel()
 	var group sync.WaitGroup
 	failures := make([]error, 2)
 	group.Go(func() { failures[0] = r.operator.run(playing) })
-	group.Go(func() { failures[1] = r.trouble(playing) })
+	group.Go(func() { failures[1] = r.injectTrouble(playing) })
 	during := r.callers.run(ctx, r.options.Duration)
 	calls := storeCalls(r.world.store) - callsBefore
-	r.callers.run(ctx, time.Until(deadline.Add(tail)))
+	r.callers.run(ctx, time.Until(deadline.Add(deadlineGrace)))
 	group.Wait()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	result := r.result(before, during)
 	result.StoreCalls = calls
 	return result, errors.CombineErrors(failures[0], failures[1])
 }
 
-// stop ends the nodes. One that was killed has been started again, so that all end well.
+// stop stops the nodes. Killed ones have been restarted, so all must exit with status 0.
 func (r *run) stop() error { return r.fleet.stop() }
 
 func storeCalls(store *standin.Store) int {
--- a/internal/lab/rollouts/trouble.go
+++ b/internal/lab/rollouts/trouble.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	// earliestTrouble and latestTrouble are when a trouble may begin that the seed draws, as
-	// parts of the order's time.
-	earliestTrouble, latestTrouble = 0.02, 0.4
-	// troublePart is how long one lasts, as a part of the order's time; at most
-	// longestTrouble.
-	troublePart    = 0.35
-	longestTrouble = 5 * time.Second
-	// restartPause is the time from the end of a killed process to the next one.
-	restartPause = 500 * time.Millisecond
+	// minTroubleStart and maxTroubleStart limit the random start of a trouble, as fractions of
+	// the order's duration.
+	minTroubleStart, maxTroubleStart = 0.02, 0.4
+	// troubleShare is how long a trouble lasts, as a fraction of the order's duration, up to
+	// maxTroubleDuration.
+	troubleShare       = 0.35
+	maxTroubleDuration = 5 * time.Second
+	// restartDelay is the time between killing a process and restarting it.
+	restartDelay = 500 * time.Millisecond
 	// slowFactor is how many times slower a slow server is.
 	slowFactor = 4
-	// lostWriteDelay is how much later writes are done whose answers are lost.
+	// lostWriteDelay is the delay until writes without a response are applied.
 	lostWriteDelay = time.Second
 )
 
-// Trouble is what goes wrong besides the new version.
+// Trouble is a fault injected during a rollout, in addition to a defect of the new version.
 type Trouble struct {
 	Name, Help string
-	// play lets it happen, for the span.
-	play func(ctx context.Context, r *run, span time.Duration) error
-	// links is set if it needs links that can be cut.
+	// inject injects the fault for the span.
+	inject func(ctx context.Context, r *run, span time.Duration) error
+	// links is set if the nodes need proxies for a network partition.
 	links bool
 }
 
 // Troubles are all kinds of trouble.
 var Troubles = []Trouble{
-	{Name: "none", Help: "nothing", play: func(context.Context, *run, time.Duration) error { return nil }},
-	{Name: "slow-servers", Help: "one old and one new server are four times slower until the end", play: playSlowServers},
-	{Name: "store-down", Help: "the store answers 503", play: func(ctx context.Context, r *run, span time.Duration) error {
-		return playStore(ctx, r, span, standin.StoreFaults{Unavailable: true})
+	{Name: "none", Help: "nothing", inject: func(context.Context, *run, time.Duration) error { return nil }},
+	{Name: "slow-servers", Help: "one old and one new server are four times slower until the end", inject: slowDownServers},
+	{Name: "store-down", Help: "the store responds 503", inject: func(ctx context.Context, r *run, span time.Duration) error {
+		return injectStoreFaults(ctx, r, span, standin.StoreFaults{Unavailable: true})
 	}},
-	{Name: "store-lost", Help: "answers of the store are lost, and writes done a second later", play: func(ctx context.Context, r *run, span time.Duration) error {
-		return playStore(ctx, r, span, standin.StoreFaults{LoseAnswers: true, DelayWrites: lostWriteDelay})
+	{Name: "store-lost", Help: "responses of the store are lost, and writes are applied a second later", inject: func(ctx context.Context, r *run, span time.Duration) error {
+		return injectStoreFaults(ctx, r, span, standin.StoreFaults{LoseAnswers: true, DelayWrites: lostWriteDelay})
 	}},
-	{Name: "kill-decider", Help: "the node that wrote a status last is killed and started again", play: playKill},
-	{Name: "kill-all", Help: "all nodes are killed at once and started again", play: playKillAll},
-	{Name: "freeze-decider", Help: "the node that wrote a status last stands still", play: playFreeze},
-	{Name: "cut", Help: "the node that wrote a status last is cut off from the store and the other nodes", play: playCut, links: true},
+	{Name: "kill-decider", Help: "the node that wrote the last status is killed and restarted", inject: killDecider},
+	{Name: "kill-all", Help: "all nodes are killed at the same time and restarted", inject: killAll},
+	{Name: "freeze-decider", Help: "the node that wrote the last status is frozen", inject: freezeDecider},
+	{Name: "cut", Help: "the node that wrote the last status is partitioned from the store and the other nodes", inject: partitionDecider, links: true},
 }
 
-func troubleOf(name string) (Trouble, bool) {
+func findTrouble(name string) (Trouble, bool) {
 	for _, trouble := range Troubles {
 		if trouble.Name == name {
 			return trouble, true
@@ -60,62 +60,62 @@
 	return Trouble{}, false
 }
 
-// trouble waits for its time and plays it.
-func (r *run) trouble(ctx context.Context) error {
+// injectTrouble waits for the start of the trouble and injects it.
+func (r *run) injectTrouble(ctx context.Context) error {
 	duration := r.options.Duration
 	part := r.options.TroubleAt
 	if part < 0 {
-		part = earliestTrouble + (latestTrouble-earliestTrouble)*r.troubleAt
+		part = minTroubleStart + (maxTroubleStart-minTroubleStart)*r.troubleStart
 	}
 	if err := sleep(ctx, time.Duration(part*float64(duration))); err != nil {
 		return err
 	}
-	span := min(time.Duration(troublePart*float64(duration)), longestTrouble)
-	chosen, _ := troubleOf(r.options.Trouble)
-	return chosen.play(ctx, r, span)
+	span := min(time.Duration(troubleShare*float64(duration)), maxTroubleDuration)
+	chosen, _ := findTrouble(r.options.Trouble)
+	return chosen.inject(ctx, r, span)
 }
 
-func playSlowServers(ctx context.Context, r *run, _ time.Duration) error {
+func slowDownServers(ctx context.Context, r *run, _ time.Duration) error {
 	for len(r.operator.started()) == 0 {
 		if err := sleep(ctx, pollInterval); err != nil {
 			return errors.Wrap(err, "no new server has started")
 		}
 	}
-	r.world.old[0].SetWork(slowFactor * work)
-	r.operator.started()[0].SetWork(slowFactor * work)
+	r.world.old[0].SetWork(slowFactor * serviceTime)
+	r.operator.started()[0].SetWork(slowFactor * serviceTime)
 	return nil
 }
 
-func playStore(ctx context.Context, r *run, span time.Duration, faults standin.StoreFaults) error {
+func injectStoreFaults(ctx context.Context, r *run, span time.Duration, faults standin.StoreFaults) error {
 	r.world.store.SetFaults(faults)
 	defer r.world.store.SetFaults(standin.StoreFaults{})
 	return sleep(ctx, span)
 }
 
-func playKill(ctx context.Context, r *run, _ time.Duration) error {
+func killDecider(ctx context.Context, r *run, _ time.Duration) error {
 	index, err := r.fleet.decider(ctx)
 	if err != nil {
 		return err
 	}
-	return r.killAndStart(ctx, index)
+	return r.restartNodes(ctx, index)
 }
 
-func playKillAll(ctx context.Context, r *run, _ time.Duration) error {
+func killAll(ctx context.Context, r *run, _ time.Duration) error {
 	all := make([]int, len(r.fleet.nodes))
 	for index := range all {
 		all[index] = index
 	}
-	return r.killAndStart(ctx, all...)
+	return r.restartNodes(ctx, all...)
 }
 
-// killAndStart kills nodes at once, starts them again after restartPause and waits until
-// they are ready. Callers leave them alone meanwhile.
-func (r *run) killAndStart(ctx context.Context, indexes ...int) error {
+// restartNodes kills nodes at the same time, restarts them after restartDelay and waits until
+// they are ready. Callers do not use them in the meantime.
+func (r *run) restartNodes(ctx context.Context, indexes ...int) error {
 	for _, index := range indexes {
-		r.fleet.nodes[index].away.Store(true)
+		r.fleet.nodes[index].unavailable.Store(true)
 		r.fleet.nodes[index].process.Kill()
 	}
-	if err := sleep(ctx, restartPause); err != nil {
+	if err := sleep(ctx, restartDelay); err != nil {
 		return err
 	}
 	for _, index := range indexes {
@@ -127,36 +127,36 @@
 		return err
 	}
 	for _, index := range indexes {
-		r.fleet.nodes[index].away.Store(false)
+		r.fleet.nodes[index].unavailable.Store(false)
 	}
 	return nil
 }
 
-func playFreeze(ctx context.Context, r *run, span time.Duration) error {
+func freezeDecider(ctx context.Context, r *run, span time.Duration) error {
 	index, err := r.fleet.decider(ctx)
 	if err != nil {
 		return err
 	}
 	frozen := r.fleet.nodes[index]
-	frozen.away.Store(true)
+	frozen.unavailable.Store(true)
 	if err := frozen.process.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	// The process goes on even if the run ends early.
+	// The process must be resumed even if the run ends early.
 	_ = sleep(ctx, span)
 	if err := frozen.process.Signal(syscall.SIGCONT); err != nil {
 		return err
 	}
-	frozen.away.Store(false)
+	frozen.unavailable.Store(false)
 	return ctx.Err()
 }
 
-func playCut(ctx context.Context, r *run, span time.Duration) error {
+func partitionDecider(ctx context.Context, r *run, span time.Duration) error {
 	index, err := r.fleet.decider(ctx)
 	if err != nil {
 		return err
 	}
-	r.fleet.setCut(index, true)
-	defer r.fleet.setCut(index, false)
+	r.fleet.setPartitioned(index, true)
+	defer r.fleet.setPartitioned(index, false)
 	return sleep(ctx, span)
 }
--- a/internal/lab/rollouts/world.go
+++ b/internal/lab/rollouts/world.go
@@ -10,13 +10,13 @@
 const (
 	host   = "rollout.example"
 	region = "region"
-	// zoneCount is the number of zones; nodes and servers go round them.
+	// zoneCount is the number of zones; nodes and servers are assigned round-robin.
 	zoneCount = 3
 	// serversPerVersion is the number of servers of a service and version.
 	serversPerVersion = 3
-	// work is how long a request takes: with callerRate, a server of the service that
-	// all callers of a kind need works on 1.3 requests at a time.
-	work = 40 * time.Millisecond
+	// serviceTime is how long a request takes. At callerRate, each of the 3 servers of a service
+	// that receives half of the requests works on 1.3 of them at a time.
+	serviceTime = 40 * time.Millisecond
 )
 
 // Versions of the servers' software.
@@ -25,11 +25,11 @@
 	newVersion = "v2"
 )
 
-// Services: two shards, and one for whole requests.
+// Services: two shards, and one without scatter-gather.
 const (
 	serviceShardA = "shard-a"
 	serviceShardB = "shard-b"
-	serviceWhole  = "whole"
+	serviceSingle = "whole"
 )
 
 // Paths of the routes.
@@ -40,34 +40,34 @@
 	pathPost = "/post/"
 )
 
-// world is what surrounds the nodes.
+// world holds the store and the servers around the nodes.
 type world struct {
 	store    *standin.Store
 	old, new []*standin.Server
-	// others are the servers of services that are not moved.
+	// others are the servers of services without a rollout.
 	others []*standin.Server
 }
 
-// newWorld starts a store with a configuration, and the old servers. The service is the
-// one to be moved.
+// newWorld starts a store with a configuration, and the servers of the old version. The
+// service is the one with the rollout.
 func newWorld(service string) (*world, error) {
 	store, err := standin.NewStore()
 	if err != nil {
 		return nil, err
 	}
 	built := &world{store: store}
-	if err := built.fill(service); err != nil {
+	if err := built.populate(service); err != nil {
 		built.close()
 		return nil, err
 	}
 	return built, nil
 }
 
-func (w *world) fill(moved string) error {
+func (w *world) populate(moved string) error {
 	if err := w.store.Configure(configuration()); err != nil {
 		return err
 	}
-	for _, service := range []string{serviceShardA, serviceShardB, serviceWhole} {
+	for _, service := range []string{serviceShardA, serviceShardB, serviceSingle} {
 		servers, err := w.serve(service, oldVersion, standin.Flaw{})
 		if service == moved {
 			w.old = servers
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// serve starts the servers of a version and lists them.
+// serve starts the servers of a version and registers them.
 func (w *world) serve(service, version string, flaw standin.Flaw) ([]*standin.Server, error) {
 	var servers []*standin.Server
 	for index := range serversPerVersion {
@@ -90,7 +90,7 @@
 			Service: service,
 			Zone:    zoneName(index),
 			Body:    fmt.Appendf(nil, "%-16s%-16s", service+" first", service+" second"),
-			Work:    work,
+			Work:    serviceTime,
 			Version: version,
 			Flaw:    flaw,
 		})
@@ -98,21 +98,21 @@
 			return servers, err
 		}
 		servers = append(servers, server)
-		if err := w.list(server, "ready"); err != nil {
+		if err := w.register(server, "ready"); err != nil {
 			return servers, err
 		}
 	}
 	return servers, nil
 }
 
-// list writes the entry of a server.
-func (w *world) list(server *standin.Server, state string) error {
+// register writes the entry of a server to the store.
+func (w *world) register(server *standin.Server, state string) error {
 	spec := server.Spec()
 	spec.State = state
 	return w.store.Put("servers", server.ID(), spec)
 }
 
-// stop ends a server at once and removes its entry.
+// stop stops a server immediately and removes its entry.
 func (w *world) stop(server *standin.Server) {
 	server.Close()
 	w.store.Remove("servers", server.ID())
@@ -144,7 +144,7 @@
 	}
 	whole := func(path, kind string) standin.Route {
 		single := route(path, kind)
-		single.Service = serviceWhole
+		single.Service = serviceSingle
 		return single
 	}
 	return standin.Configuration{
--- a/internal/lab/subquery.go
+++ b/internal/lab/subquery.go
@@ -11,13 +11,13 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// subQuery is what the baseline asks one server.
+// subQuery is one sub-request of the baseline.
 type subQuery struct {
 	server string
 	shards []v1.ShardID
 }
 
-// subReply is what came back.
+// subReply is the reply to a subQuery.
 type subReply struct {
 	query   subQuery
 	verdict verdict.Verdict
--- a/internal/lab/table.go
+++ b/internal/lab/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the reports side by side, one column each.
+// WriteTable writes the reports as a table with one column per report.
 func WriteTable(writer io.Writer, reports []*Report) error {
 	table := tabwriter.NewWriter(writer, 0, 4, 2, ' ', tabwriter.AlignRight)
 	row := func(name string, cell func(*Report) string) {
--- a/internal/lab/target.go
+++ b/internal/lab/target.go
@@ -14,14 +14,14 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// answerGrace is how much longer than its timeout a caller waits for an answer.
+// answerGrace is how long a caller waits for an answer beyond the query's timeout.
 const answerGrace = 2 * time.Second
 
-// Target answers queries.
+// Target is a system under load.
 type Target interface {
-	// Name stands in the report.
+	// Name is the name used in the report.
 	Name() string
-	// ask sends one query and fills in what came back, all but the latency.
+	// ask sends one query and sets all fields of the outcome except the latency.
 	ask(options LoadOptions, outcome *outcome)
 }
 
@@ -35,14 +35,14 @@
 	}
 }
 
-// Gateways sends queries to gateways in turn.
+// Gateways sends queries to gateways round-robin.
 type Gateways struct {
 	addresses []string
 	turn      atomic.Uint64
 	client    *fasthttp.Client
 }
 
-// NewGateways returns a target of gateways at the addresses (IP:port).
+// NewGateways returns a target with gateways at the addresses (IP:port).
 func NewGateways(addresses []string) *Gateways {
 	return &Gateways{addresses: addresses, client: newHTTPClient()}
 }
@@ -74,20 +74,20 @@
 	outcome.status = response.StatusCode()
 	var answer Answer
 	if err := json.Unmarshal(response.Body(), &answer); err != nil {
-		outcome.blame(FaultUnreadable, "status %d: %v", outcome.status, err)
+		outcome.addFault(FaultUnreadable, "status %d: %v", outcome.status, err)
 		return
 	}
-	outcome.take(answer)
+	outcome.recordAnswer(answer)
 }
 
-// Direct is the baseline: it asks one replica of each shard and waits for all.
-// Shards that fall to the same server go in one sub-request.
+// Direct is the baseline: it queries one random replica of each shard and waits for all.
+// Shards on the same server share one sub-request.
 type Direct struct {
 	fleet     backend.Description
 	addresses map[string]string
 	client    *fasthttp.Client
 	mutex     sync.Mutex
-	source    *rand.Rand
+	rng       *rand.Rand
 }
 
 // NewDirect returns the baseline for a fleet.
@@ -100,7 +100,7 @@
 		fleet:     fleet,
 		addresses: addresses,
 		client:    newHTTPClient(),
-		source:    rand.New(rand.NewPCG(seed, 1)),
+		rng:       rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
@@ -119,17 +119,17 @@
 	}
 	waiting.Wait()
 	outcome.status = fasthttp.StatusOK
-	outcome.take(direct.join(requestID, replies))
+	outcome.recordAnswer(direct.join(requestID, replies))
 }
 
-// plan draws one replica of each shard and groups the shards by server.
+// plan selects a random replica of each shard and groups the shards by server.
 func (direct *Direct) plan() []subQuery {
 	direct.mutex.Lock()
 	defer direct.mutex.Unlock()
 	positions := map[string]int{}
 	var plan []subQuery
 	for _, shard := range direct.fleet.Shards {
-		server := shard.Replicas[direct.source.IntN(len(shard.Replicas))]
+		server := shard.Replicas[direct.rng.IntN(len(shard.Replicas))]
 		position, known := positions[server]
 		if !known {
 			position = len(plan)
@@ -141,7 +141,7 @@
 	return plan
 }
 
-// join makes an answer of the replies, whatever their versions.
+// join merges the replies into an answer, regardless of their versions.
 func (direct *Direct) join(requestID string, replies []subReply) Answer {
 	answer := Answer{RequestID: requestID, Verdict: verdict.NotRun}
 	answer.Coverage.Shards = len(direct.fleet.Shards)
