--- a/cmd/driftlab/demo.go
+++ b/cmd/driftlab/demo.go
@@ -19,10 +19,10 @@
 	"github.com/driftstage/driftstage/internal/lab/experiment"
 )
 
-// demoTimeout bounds the whole demo.
+// demoTimeout limits the whole demo.
 const demoTimeout = 2 * time.Minute
 
-// demoUser is one of the two users, at the sizes of the experiments.
+// demoUser is one of the two users, with the size used in experiments.
 type demoUser struct {
 	experiment.User
 	query string
@@ -40,10 +40,10 @@
 	return &ff.Command{
 		Name:      "demo",
 		Usage:     "driftlab demo [FLAGS]",
-		ShortHelp: "start the whole system on loopback, ask one query of each user, stop it",
+		ShortHelp: "start the whole system on loopback, send one query of each user, stop it",
 		Flags:     flags,
 		Exec: func(ctx context.Context, args []string) error {
-			if err := wantNoArguments(args); err != nil {
+			if err := rejectArguments(args); err != nil {
 				return err
 			}
 			return demo(ctx, *logs, *hold)
@@ -51,7 +51,7 @@
 	}
 }
 
-// demo runs the demo within demoTimeout, unless it is held until interrupted.
+// demo runs the demo within demoTimeout; with hold, it then waits until interrupted.
 func demo(interrupted context.Context, logs string, hold bool) error {
 	ctx, cancel := context.WithTimeout(interrupted, demoTimeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 	return runDemo(ctx, interrupted, filepath.Dir(executable), logs, hold)
 }
 
-// runDemo starts the system from the programs in a directory, asks it, and stops it.
+// runDemo starts the system from the programs in a directory, sends queries, and stops it.
 func runDemo(ctx, interrupted context.Context, binaries, logs string, hold bool) (failure error) {
 	running, err := cluster.Start(ctx, cluster.Options{
 		Binaries:          binaries,
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// demoAnswer is the part of a gateway's answer that the demo prints.
+// demoAnswer is the part of a gateway's response that the demo prints.
 type demoAnswer struct {
 	Revision int64
 	Snapshot int64
@@ -174,7 +174,7 @@
 		fmt.Printf("  %s\n", result)
 	}
 	if response.StatusCode != http.StatusOK || answer.Coverage.Covered != answer.Coverage.Shards {
-		return errors.Newf("the answer of %s is not whole", user.Service)
+		return errors.Newf("the answer of %s does not cover all shards", user.Service)
 	}
 	return nil
 }
--- a/cmd/driftlab/experiment.go
+++ b/cmd/driftlab/experiment.go
@@ -13,7 +13,7 @@
 	"github.com/driftstage/driftstage/internal/lab/experiment"
 )
 
-// experimentRun measures one user's service.
+// experimentRun runs an experiment with one user's service.
 type experimentRun func(context.Context, experiment.Options, experiment.User) (*experiment.Result, error)
 
 const defaultExperimentDuration = 20 * time.Second
@@ -22,13 +22,13 @@
 	return &ff.Command{
 		Name:      "experiment",
 		Usage:     "driftlab experiment SUBCOMMAND [FLAGS]",
-		ShortHelp: "start whole systems and measure them against the baseline",
+		ShortHelp: "start complete systems and measure them against the baseline",
 		Flags:     ff.NewFlagSet("experiment"),
 		Subcommands: []*ff.Command{
-			newExperiment("overhead", "latency and processor time added to healthy back ends", experiment.Overhead),
-			newExperiment("throughput", "processor time for each sub-request where the daemons are busy", experiment.Throughput),
-			newExperiment("stragglers", "the tail with 1 in 100 replies 50 times slower and one server dead", experiment.Stragglers),
-			newExperiment("overload", "useful answers and refusals at up to more than twice the capacity", experiment.Overload),
+			newExperiment("overhead", "latency and CPU time added to healthy back ends", experiment.Overhead),
+			newExperiment("throughput", "CPU time per sub-request when the daemons are busy", experiment.Throughput),
+			newExperiment("stragglers", "tail latency with 1 in 100 replies 50 times slower and one server stopped", experiment.Stragglers),
+			newExperiment("overload", "useful answers and rejections under loads of up to more than twice the capacity", experiment.Overload),
 			rolloutCommand(),
 		},
 	}
--- a/cmd/driftlab/failure.go
+++ b/cmd/driftlab/failure.go
@@ -16,36 +16,36 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// failureID is the id of the request that fails.
-const failureID = "failed-request"
+// failedRequestID is the id of the failing request.
+const failedRequestID = "failed-request"
 
 // failure is a kind of failed request.
 type failure struct {
 	name string
 	help string
 	path string
-	// behave and work are how the servers behave.
-	behave func(int) standin.Behavior
-	work   time.Duration
-	// before is done before the request, during while it is under way.
-	before func(world *routerWorld)
-	during func(router *routerProcess) error
+	// behavior and serviceTime are those of the servers; a nil behavior answers normally.
+	behavior    func(int) standin.Behavior
+	serviceTime time.Duration
+	// setUp is called before the request, disturb while it is in flight; both may be nil.
+	setUp   func(world *routerWorld)
+	disturb func(router *routerProcess) error
 }
 
 var failures = []failure{
 	{
-		name: "silent-shard", help: "the servers of a shard stand still: a partial answer",
-		path: "/all/x", work: routerDemoWork,
-		before: func(world *routerWorld) { world.pause(serviceShardB) },
+		name: "silent-shard", help: "the servers of a shard are paused: a partial answer",
+		path: "/all/x", serviceTime: demoServiceTime,
+		setUp: func(world *routerWorld) { world.pause(serviceShardB) },
 	},
 	{
-		name: "refused", help: "all servers are full: a refusal",
-		path: "/one/x", behave: func(int) standin.Behavior { return standin.Shed },
+		name: "refused", help: "all servers shed the request: a rejection",
+		path: "/one/x", behavior: func(int) standin.Behavior { return standin.Shed },
 	},
 	{
-		name: "stopping", help: "the node stops while a long request is under way",
-		path: "/one/x", work: routerDemoWait,
-		during: func(router *routerProcess) error { return router.command.Process.Signal(syscall.SIGTERM) },
+		name: "stopping", help: "the node stops while a long request is in flight",
+		path: "/one/x", serviceTime: demoClientTimeout,
+		disturb: func(router *routerProcess) error { return router.command.Process.Signal(syscall.SIGTERM) },
 	},
 }
 
@@ -57,7 +57,7 @@
 	return &ff.Command{
 		Name:      "failure",
 		Usage:     "driftlab failure KIND",
-		ShortHelp: "let a request to driftrouter fail among stand-ins, and tell its story from the logs",
+		ShortHelp: "make a request to driftrouter fail, with stand-ins, and explain it from the logs",
 		LongHelp:  "Kinds:\n" + help.String(),
 		Flags:     ff.NewFlagSet("failure"),
 		Exec: func(ctx context.Context, arguments []string) error {
@@ -66,19 +66,19 @@
 			}
 			for _, kind := range failures {
 				if kind.name == arguments[0] {
-					return kind.show(ctx)
+					return kind.run(ctx)
 				}
 			}
-			return errors.Newf("no kind %q (--help lists them)", arguments[0])
+			return errors.Newf("unknown kind %q (--help lists them)", arguments[0])
 		},
 	}
 }
 
-// show lets the request fail and prints its answer and its story.
-func (f failure) show(interrupted context.Context) error {
+// run makes the request fail and prints its response and timeline.
+func (f failure) run(interrupted context.Context) error {
 	ctx, cancel := context.WithTimeout(interrupted, routerDemoTimeout)
 	defer cancel()
-	world, err := startRouterWorld(f.behave, f.work)
+	world, err := startRouterWorld(f.behavior, f.serviceTime)
 	if err != nil {
 		return err
 	}
@@ -88,18 +88,18 @@
 	if err != nil {
 		return err
 	}
-	if f.before != nil {
-		f.before(world)
+	if f.setUp != nil {
+		f.setUp(world)
 	}
 	asked := make(chan error, 1)
-	go func() { asked <- router.showFailed(ctx, f.path) }()
-	if f.during != nil {
+	go func() { asked <- router.sendFailing(ctx, f.path) }()
+	if f.disturb != nil {
 		time.Sleep(200 * time.Millisecond)
-		err = f.during(router)
+		err = f.disturb(router)
 	}
 	err = errors.CombineErrors(err, <-asked)
 	err = errors.CombineErrors(err, router.stop())
-	story, readErr := explain.Read(&logs, failureID)
+	story, readErr := explain.Read(&logs, failedRequestID)
 	if readErr != nil {
 		return errors.CombineErrors(err, readErr)
 	}
@@ -107,8 +107,8 @@
 	return errors.CombineErrors(err, writeErr)
 }
 
-func (r *routerProcess) showFailed(ctx context.Context, path string) error {
-	answer, err := standin.Ask(ctx, r.address, routerDemoHost, path, failureID, routerDemoWait)
+func (r *routerProcess) sendFailing(ctx context.Context, path string) error {
+	answer, err := standin.Ask(ctx, r.address, routerDemoHost, path, failedRequestID, demoClientTimeout)
 	if err != nil {
 		return err
 	}
--- a/cmd/driftlab/load.go
+++ b/cmd/driftlab/load.go
@@ -16,7 +16,7 @@
 	"github.com/driftstage/driftstage/internal/standin/backend"
 )
 
-// errWrongAnswers makes the command fail when an answer contradicted the record.
+// errWrongAnswers makes the command fail if an answer contradicted the record.
 var errWrongAnswers = errors.New("there were wrong answers")
 
 type loadSettings struct {
@@ -37,10 +37,10 @@
 		Usage:     "driftlab load [--direct --admin IP:PORT] [--gateways IP:PORT,...] [FLAGS]",
 		ShortHelp: "send an open-loop load and report latency, coverage and extra load",
 		LongHelp: "With both --direct and --gateways, the baseline runs first and driftstage second, against the same back ends.\n" +
-			"With --admin, every answer is compared with what the back ends really ran. Exit status 1 when one was wrong.",
+			"With --admin, every answer is compared with what the back ends ran. Exit status 1 if one was wrong.",
 		Flags: flags,
 		Exec: func(ctx context.Context, args []string) error {
-			if err := wantNoArguments(args); err != nil {
+			if err := rejectArguments(args); err != nil {
 				return err
 			}
 			return settings.run(ctx)
@@ -50,21 +50,21 @@
 
 func (l *loadSettings) register(flags *ff.FlagSet) {
 	options := &l.options
-	flags.StringVar(&l.gateways, 0, "gateways", "", "addresses of gateways, asked in turn")
+	flags.StringVar(&l.gateways, 0, "gateways", "", "addresses of gateways, used round-robin")
 	flags.StringVar(&l.admin, 0, "admin", "", "admin address of `driftlab backends`")
-	flags.BoolVar(&l.direct, 0, "direct", "ask one replica of each shard directly and wait for all")
+	flags.BoolVar(&l.direct, 0, "direct", "query one replica of each shard directly and wait for all")
 	flags.BoolVar(&l.asJSON, 0, "json", "print JSON instead of a table")
 	flags.StringVar(&options.Service, 0, "service", options.Service, "name of the query service")
-	flags.Float64Var(&options.Rate, 0, "rate", options.Rate, "queries a second (Poisson arrivals)")
-	flags.DurationVar(&options.Warmup, 0, "warmup", options.Warmup, "time before latency counts")
-	flags.DurationVar(&options.Duration, 0, "duration", options.Duration, "time for which latency counts")
+	flags.Float64Var(&options.Rate, 0, "rate", options.Rate, "queries per second (Poisson arrivals)")
+	flags.DurationVar(&options.Warmup, 0, "warmup", options.Warmup, "time before latency is measured")
+	flags.DurationVar(&options.Duration, 0, "duration", options.Duration, "time for which latency is measured")
 	flags.DurationVar(&options.Settle, 0, "settle", options.Settle, "time between the last answer and reading the record")
 	flags.DurationVar(&options.Timeout, 0, "timeout", options.Timeout, "timeout of a query")
 	flags.StringVar(&l.class, 0, "class", "", "interactive or batch; empty for the service's own")
 	flags.Float64Var(&options.RepeatableShare, 0, "repeatable-share", options.RepeatableShare, "share of queries that are repeatable")
 	flags.Float64Var(&options.MinimumCoverage, 0, "minimum-coverage", options.MinimumCoverage, "minimum coverage sent with each query; negative for the service's own")
 	flags.IntVar(&options.BodyBytes, 0, "body-bytes", options.BodyBytes, "size of a query's body")
-	flags.IntVar(&options.Outstanding, 0, "outstanding", options.Outstanding, "queries under way; more are not sent, and counted")
+	flags.IntVar(&options.Outstanding, 0, "outstanding", options.Outstanding, "limit of queries in flight; queries over it are counted as not sent")
 	flags.Uint64Var(&options.Seed, 0, "seed", options.Seed, "seed of arrivals")
 }
 
--- a/cmd/driftlab/main.go
+++ b/cmd/driftlab/main.go
@@ -1,4 +1,4 @@
-// Command driftlab runs the stand-ins, loads and experiments of driftstage.
+// Command driftlab runs stand-ins, loads and experiments for driftstage.
 package main
 
 import (
@@ -18,7 +18,7 @@
 	exitUsage   = 2
 )
 
-// errUsage marks an error in the words of the command line: exit status 2.
+// errUsage marks a usage error, which exits with status 2.
 var errUsage = errors.New("usage")
 
 func main() {
@@ -62,8 +62,8 @@
 	}
 }
 
-// wantNoArguments refuses what stands on the command line besides flags.
-func wantNoArguments(args []string) error {
+// rejectArguments returns a usage error if there are arguments other than flags.
+func rejectArguments(args []string) error {
 	if len(args) > 0 {
 		return fmt.Errorf("%w: unexpected argument %q", errUsage, args[0])
 	}
--- a/cmd/driftlab/platform.go
+++ b/cmd/driftlab/platform.go
@@ -14,7 +14,7 @@
 	"github.com/driftstage/driftstage/internal/standin/platform"
 )
 
-const platformHelp = `Runs the stand-in of the platform until SIGINT or SIGTERM, and prints its addresses
+const platformHelp = `Runs the stand-in for the platform until SIGINT or SIGTERM, and prints its addresses
 as one line of JSON when it listens: {"address":"127.0.0.1:1234","adminAddress":"127.0.0.1:1235"}.
 
 Public address:
@@ -25,19 +25,19 @@
   GET  /stats     reads, writes, watches, open watches and conflicts by client (header Driftstage-Client)
   POST /machines  {"machines":[{"address":"127.0.0.1:7001","name":"node-1","zone":"tbilisi-a","state":"live"}]}
                   the next machine list; state is live or leaving; visible after --machine-lag
-  GET  /faults    the faults in force
-  POST /faults    replaces the faults in force; {} makes the platform healthy. Fields:
+  GET  /faults    the current faults
+  POST /faults    replaces the current faults; {} makes the platform healthy. Fields:
     "resource":"leases"     only for leases or queryservices (default: both)
-    "client":"node-1"       only for the client of this name (default: all)
+    "client":"node-1"       only for the client with this name (default: all)
     "refuse":true           503, nothing applied
     "hang":true             neither apply nor answer until the faults are replaced
     "hangWrites":true       the same for writes only
     "holdWatches":true      send no events, only bookmarks, until the faults are replaced
-    "delay":"2s"            wait before a request is applied
-    "dropReplies":3         close in place of the reply to the next 3 writes, which take effect
-    "dropRequests":3        close in place of applying the next 3 writes
-    "cutWatches":true       end every open watch, once
-    "compactHistory":true   drop the history, once: older watches get 410`
+    "delay":"2s"            delay before a request is applied
+    "dropReplies":3         apply the next 3 writes, but close the connection instead of responding
+    "dropRequests":3        close the connection instead of applying the next 3 writes
+    "cutWatches":true       end all open watches once
+    "compactHistory":true   drop the history once: watches from older versions get 410`
 
 // platformFlags are the flags of driftlab platform.
 type platformFlags struct {
@@ -51,13 +51,13 @@
 	var options platformFlags
 	flags := ff.NewFlagSet("platform")
 	flags.StringVar(&options.listen, 0, "listen", "127.0.0.1:0", "address of the Object API and the machine list")
-	flags.StringVar(&options.adminListen, 0, "admin-listen", "127.0.0.1:0", "address of the fault switches")
-	flags.StringVar(&options.machinesFile, 0, "machines", "", "file with the first machine list, in the JSON of GET /machines")
+	flags.StringVar(&options.adminListen, 0, "admin-listen", "127.0.0.1:0", "address of the admin endpoints")
+	flags.StringVar(&options.machinesFile, 0, "machines", "", "file with the initial machine list, in the format of GET /machines")
 	flags.DurationVar(&options.machineLag, 0, "machine-lag", 2*time.Second, "time until a new machine list is visible")
 	return &ff.Command{
 		Name:      "platform",
 		Usage:     "driftlab platform [FLAGS]",
-		ShortHelp: "run the stand-in of the platform: Object API and machine list",
+		ShortHelp: "run the stand-in for the platform: Object API and machine list",
 		LongHelp:  platformHelp,
 		Flags:     flags,
 		Exec: func(ctx context.Context, _ []string) error {
--- a/cmd/driftlab/rollout.go
+++ b/cmd/driftlab/rollout.go
@@ -20,23 +20,23 @@
 	outputJSON = "json"
 )
 
-// errBoundBroken makes the command fail when a bound of the roll-out did not hold.
-var errBoundBroken = errors.New("a bound was broken")
+// errBoundViolated makes the command fail if a bound of the rollout was violated.
+var errBoundViolated = errors.New("a bound was violated")
 
 func rolloutCommand() *ff.Command {
 	flags := ff.NewFlagSet("rollout")
 	version := flags.StringLong("version", "good", "kind of new version")
-	trouble := flags.StringLong("trouble", "none", "what goes wrong besides")
+	trouble := flags.StringLong("trouble", "none", "kind of fault to inject")
 	nodes := flags.IntLong("nodes", 3, "driftrouter processes, 1 to 12")
-	seconds := flags.Float64Long("seconds", 12, "the order's time, 4 to 24; callers ask for as long before")
-	seed := flags.UintLong("seed", 1, "seed of arrivals and of the trouble's time; odd: a shard is moved, even: a whole service")
-	troubleAt := flags.Float64Long("trouble-at", -1, "part of the order's time after which the trouble begins; negative: drawn by the seed, up to 0.4")
+	seconds := flags.Float64Long("seconds", 12, "duration of the order, 4 to 24; requests are sent for as long before it")
+	seed := flags.UintLong("seed", 1, "seed of arrivals and of the start of the trouble; odd: rollout of a shard, even: of a service without shards")
+	troubleAt := flags.Float64Long("trouble-at", -1, "start of the trouble as a fraction of the order's duration; negative: chosen by the seed, up to 0.4")
 	output := flags.StringLong("output", outputText, "text or json")
 	keep := flags.BoolLong("keep", "keep the nodes' logs and print their directory on standard error")
 	return &ff.Command{
 		Name:      "rollout",
 		Usage:     "driftlab experiment rollout [FLAGS]",
-		ShortHelp: "move a service to a new version with driftrouter processes among stand-ins of the users' platform",
+		ShortHelp: "roll out a new version of a service, with driftrouter processes and stand-ins for the users' platform",
 		LongHelp:  rolloutHelp(),
 		Flags:     flags,
 		Exec: func(ctx context.Context, args []string) error {
@@ -44,11 +44,11 @@
 				Version: *version, Trouble: *trouble, Nodes: *nodes,
 				Duration: time.Duration(*seconds * float64(time.Second)), Seed: uint64(*seed), TroubleAt: *troubleAt,
 			}
-			if err := errors.CombineErrors(wantNoArguments(args), options.Validate()); err != nil {
+			if err := errors.CombineErrors(rejectArguments(args), options.Validate()); err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			if *output != outputText && *output != outputJSON {
-				return fmt.Errorf("%w: output: no %q", errUsage, *output)
+				return fmt.Errorf("%w: output: want text or json, got %q", errUsage, *output)
 			}
 			return runRollout(ctx, options, *output == outputJSON, *keep)
 		},
@@ -57,7 +57,7 @@
 
 func rolloutHelp() string {
 	var help strings.Builder
-	help.WriteString("Exit status 1 when a bound was broken; the logs are kept then.\n\nVersions:\n")
+	help.WriteString("Exit status 1 if a bound was violated; the logs are then kept.\n\nVersions:\n")
 	for _, version := range rollouts.Versions {
 		fmt.Fprintf(&help, "  %-15s %s\n", version.Name, version.Help)
 	}
@@ -68,8 +68,8 @@
 	return help.String()
 }
 
-// runRollout plays one roll-out and prints what came of it. The logs are kept if that is
-// asked for or a bound was broken.
+// runRollout runs one rollout and prints its result. The logs are kept with keep, or if a
+// bound was violated.
 func runRollout(ctx context.Context, options rollouts.Options, asJSON, keep bool) error {
 	executable, err := os.Executable()
 	if err != nil {
@@ -89,7 +89,7 @@
 		err = result.Write(os.Stdout)
 	}
 	if len(result.Broken) > 0 {
-		return errors.CombineErrors(err, errors.Wrapf(errBoundBroken, "logs in %s", options.Directory))
+		return errors.CombineErrors(err, errors.Wrapf(errBoundViolated, "logs in %s", options.Directory))
 	}
 	if keep {
 		fmt.Fprintf(os.Stderr, "logs in %s\n", options.Directory)
--- a/cmd/driftlab/router.go
+++ b/cmd/driftlab/router.go
@@ -20,17 +20,17 @@
 const (
 	routerDemoTimeout = 30 * time.Second
 	routerDemoHost    = "demo.example"
-	// routerDemoWait is how long the demo's client waits for an answer.
-	routerDemoWait = 2 * time.Second
-	// routerDemoWork is how long the demo's servers work on a request.
-	routerDemoWork = 5 * time.Millisecond
+	// demoClientTimeout is how long the demo's client waits for a response.
+	demoClientTimeout = 2 * time.Second
+	// demoServiceTime is the service time of the demo's servers.
+	demoServiceTime = 5 * time.Millisecond
 )
 
 // Services of the demo.
 const (
 	serviceShardA = "shard-a"
 	serviceShardB = "shard-b"
-	serviceWhole  = "whole"
+	serviceSingle = "whole"
 )
 
 func routerDemoCommand() *ff.Command {
@@ -39,10 +39,10 @@
 	return &ff.Command{
 		Name:      "router",
 		Usage:     "driftlab router [FLAGS]",
-		ShortHelp: "start driftrouter with stand-ins of the users' platform on loopback, ask it, stop it",
+		ShortHelp: "start driftrouter with stand-ins for the users' platform on loopback, send requests, stop it",
 		Flags:     flags,
 		Exec: func(ctx context.Context, args []string) error {
-			if err := wantNoArguments(args); err != nil {
+			if err := rejectArguments(args); err != nil {
 				return err
 			}
 			return routerDemo(ctx, *hold)
@@ -53,7 +53,7 @@
 func routerDemo(interrupted context.Context, hold bool) error {
 	ctx, cancel := context.WithTimeout(interrupted, routerDemoTimeout)
 	defer cancel()
-	world, err := startRouterWorld(nil, routerDemoWork)
+	world, err := startRouterWorld(nil, demoServiceTime)
 	if err != nil {
 		return err
 	}
@@ -62,29 +62,29 @@
 	if err != nil {
 		return err
 	}
-	err = router.show(ctx)
+	err = router.queryRoutes(ctx)
 	if err == nil && hold {
-		fmt.Println("held at", router.address, "until SIGINT or SIGTERM")
+		fmt.Println("running at", router.address, "until SIGINT or SIGTERM")
 		<-interrupted.Done()
 	}
 	return errors.CombineErrors(err, router.stop())
 }
 
-// routerWorld is what surrounds the demo's driftrouter.
+// routerWorld holds the store and the servers of the driftrouter demo.
 type routerWorld struct {
 	store   *standin.Store
 	servers []*standin.Server
 }
 
-// startRouterWorld starts a store with a configuration, and servers that behave so:
-// two shards of two servers each, and one service for whole requests.
+// startRouterWorld starts a store with a configuration, and servers with the given behavior:
+// two shards and one service without scatter-gather, with two servers each.
 func startRouterWorld(behave func(int) standin.Behavior, work time.Duration) (*routerWorld, error) {
 	store, err := standin.NewStore()
 	if err != nil {
 		return nil, err
 	}
 	world := &routerWorld{store: store}
-	for _, service := range []string{serviceShardA, serviceShardB, serviceWhole} {
+	for _, service := range []string{serviceShardA, serviceShardB, serviceSingle} {
 		for index := range 2 {
 			if err := world.serve(service, index, behave, work); err != nil {
 				world.close()
@@ -112,7 +112,7 @@
 	return r.store.Put("servers", id, server.Spec())
 }
 
-// pause makes the servers of a service stand still.
+// pause pauses the servers of a service.
 func (r *routerWorld) pause(service string) {
 	for _, server := range r.servers {
 		if server.Spec().Service == service {
@@ -135,20 +135,20 @@
 			{Name: "all", Host: routerDemoHost, PathPrefix: "/all/", Kind: "safe", TimeoutMs: 2000, TargetLatencyMs: 250,
 				Gather: []string{serviceShardA, serviceShardB}, MaxAttempts: 2, ResultCount: 3, MinVersion: 0.5},
 			{Name: "one", Host: routerDemoHost, PathPrefix: "/one/", Kind: "unsafe", TimeoutMs: 2000, TargetLatencyMs: 250,
-				Service: serviceWhole, MaxAttempts: 2},
+				Service: serviceSingle, MaxAttempts: 2},
 		},
 		Limits: standin.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 }
 
-// routerProcess is the driftrouter of the demo.
+// routerProcess is the driftrouter process of the demo.
 type routerProcess struct {
 	command   *exec.Cmd
 	address   string
 	readiness string
 }
 
-// startRouter starts driftrouter, whose logs go to the output, and waits until it is
+// startRouter starts driftrouter with its logs written to output, and waits until it is
 // ready.
 func startRouter(ctx context.Context, store string, output io.Writer) (*routerProcess, error) {
 	executable, err := os.Executable()
@@ -167,7 +167,7 @@
 		"--stop-timeout", "1s", "--log-sample", "1")
 	process.command.Stdout, process.command.Stderr = output, os.Stderr
 	if err := process.command.Start(); err != nil {
-		return nil, errors.Wrap(err, "start driftrouter (make build puts it beside driftlab)")
+		return nil, errors.Wrap(err, "start driftrouter (make build puts it in the directory of driftlab)")
 	}
 	for !standin.Ready(ctx, process.readiness) {
 		if ctx.Err() != nil {
@@ -178,10 +178,10 @@
 	return process, nil
 }
 
-// show asks one request of each route and prints the answers.
-func (r *routerProcess) show(ctx context.Context) error {
+// queryRoutes sends one request to each route and prints the responses.
+func (r *routerProcess) queryRoutes(ctx context.Context) error {
 	for _, path := range []string{"/all/x", "/one/x"} {
-		answer, err := standin.Ask(ctx, r.address, routerDemoHost, path, "demo"+path[1:4], routerDemoWait)
+		answer, err := standin.Ask(ctx, r.address, routerDemoHost, path, "demo"+path[1:4], demoClientTimeout)
 		if err != nil {
 			return err
 		}
