--- a/bench/deployment/main.go
+++ b/bench/deployment/main.go
@@ -1,6 +1,5 @@
-// Command deployment derives a deployment from one that the users' bench can
-// play, so that driftrouter is measured on deployments that nobody has tuned it
-// for.
+// Command deployment derives variants of a deployment of the users' bench, so that
+// driftrouter is also measured on deployments for which it was not tuned.
 //
 //	go run ./bench/deployment SITE VARIANT[,VARIANT...] > own.toml
 //
@@ -18,7 +17,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// table is a table of a site file; only the fields that a variant changes are known.
+// table is a TOML table of a site file, untyped because variants change only a few fields.
 type table = map[string]any
 
 // variant changes a site file in place.
@@ -29,25 +28,25 @@
 }
 
 var variants = []variant{
-	{"machines-3", "one machine a zone", func(site table) { setMachines(site, 1) }},
-	{"machines-6", "two machines a zone", func(site table) { setMachines(site, 2) }},
-	{"machines-20", "seven machines a zone", func(site table) { setMachines(site, 7) }},
-	{"machines-60", "twenty machines a zone", func(site table) { setMachines(site, 20) }},
-	{"machines-150", "fifty machines a zone", func(site table) { setMachines(site, 50) }},
+	{"machines-3", "one machine per zone", func(site table) { setMachines(site, 1) }},
+	{"machines-6", "two machines per zone", func(site table) { setMachines(site, 2) }},
+	{"machines-20", "seven machines per zone", func(site table) { setMachines(site, 7) }},
+	{"machines-60", "twenty machines per zone", func(site table) { setMachines(site, 20) }},
+	{"machines-150", "fifty machines per zone", func(site table) { setMachines(site, 50) }},
 	{"one-region", "all zones in one region", oneRegion},
 	{"two-servers", "one server fewer for each shard", twoServers},
-	{"tight", "a third of the connections at each server", func(site table) { scale(site, "services", "conn_cap", 1.0/3) }},
-	{"few-slots", "two slots fewer at each server of a shard", fewSlots},
-	{"weak", "a quarter of the processor", func(site table) { scale(site, "machines", "cpu_share", 1.0/4) }},
-	{"small-memory", "64 MB a machine", func(site table) { set(site, "machines", "memory_mb", int64(64)) }},
-	{"unsafe", "requests for one server may run once at most", unsafe},
+	{"tight", "a third of the connections per server", func(site table) { scale(site, "services", "conn_cap", 1.0/3) }},
+	{"few-slots", "two slots fewer per server of a shard", fewSlots},
+	{"weak", "a quarter of the CPU share", func(site table) { scale(site, "machines", "cpu_share", 1.0/4) }},
+	{"small-memory", "64 MB per machine", func(site table) { set(site, "machines", "memory_mb", int64(64)) }},
+	{"unsafe", "requests without scatter-gather may run at most once", unsafe},
 	{"slow-store", "a tenth of the store's rates", slowStore},
 	{"far", "40 ms between regions", func(site table) { site["net"].(table)["cross_region_ms"] = 40.0 }},
-	{"busy", "half as many requests more", busy},
+	{"busy", "50 % more requests", busy},
 	{"strict", "the stricter accounting of held and withdrawn requests", strict},
-	{"cold-rate", "cold servers bear 12 requests a second", func(site table) { set(site, "services", "cold_per_s", 12.0) }},
+	{"cold-rate", "cold servers handle 12 requests per second", func(site table) { set(site, "services", "cold_per_s", 12.0) }},
 	{"long-pauses", "servers of shards pause for 500 ms at a time", longPauses},
-	{"no-load-header", "servers tell no load", func(site table) { set(site, "services", "load_header", false) }},
+	{"no-load-header", "servers do not report their load", func(site table) { set(site, "services", "load_header", false) }},
 }
 
 func main() {
@@ -83,7 +82,7 @@
 		variants[index].apply(site)
 	}
 	site["name"] = "own-" + strings.Join(names, "-")
-	// The wire file of the site stands beside it.
+	// The path of the wire file is relative to the site file.
 	wire, err := filepath.Abs(filepath.Join(filepath.Dir(path), site["wire"].(string)))
 	if err != nil {
 		return err
@@ -92,7 +91,7 @@
 	return toml.NewEncoder(os.Stdout).Encode(site)
 }
 
-// entries returns the tables of a list.
+// entries returns the tables of an array of tables.
 func entries(parent table, key string) []table {
 	switch list := parent[key].(type) {
 	case []table:
@@ -124,7 +123,7 @@
 	}
 }
 
-// setMachines gives each zone so many machines; spare ones stay.
+// setMachines sets the number of machines per zone; spare machines are unchanged.
 func setMachines(site table, count int64) {
 	set(site, "machines", "count", count)
 }
@@ -147,7 +146,7 @@
 	}
 }
 
-// shardServices returns the services that are copied into shards.
+// shardServices returns the services that are replicated as shards (key copies).
 func shardServices(site table) []table {
 	var shards []table
 	for _, service := range entries(site, "services") {
@@ -173,7 +172,7 @@
 	}
 }
 
-// strict sets the accounting that the newest deployments may ask for.
+// strict enables the accounting rules that the newest deployments may require.
 func strict(site table) {
 	for _, key := range []string{"even", "closes", "attends"} {
 		site["bounds"].(table)[key] = true
