--- a/internal/lab/options.go
+++ b/internal/lab/options.go
@@ -29,7 +29,7 @@
 	RepeatableShare float64
 	// MinimumCoverage is sent with each query; negative sends none.
 	MinimumCoverage float64
-	// BodyBytes is the size of a query's body, at least minimumBodyBytes.
+	// BodyBytes is the size of a query's body, at least minBodyBytes.
 	BodyBytes int
 	// Outstanding limits the queries in flight; queries over the limit are counted as not
 	// sent.
