--- a/internal/settings/loader.go
+++ b/internal/settings/loader.go
@@ -46,7 +46,7 @@
 // names. The error joins one error for each invalid value.
 func (program program[S]) load(args []string) (Request[S], error) {
 	flags := ff.NewFlagSet(program.name)
-	path := flags.StringLong("config", "", "settings file (YAML, one key a line)")
+	path := flags.StringLong("config", "", "settings file (YAML, one key per line)")
 	version := flags.BoolLong("version", "print the version and exit")
 	check := flags.BoolLong("check-config", "check the settings and exit")
 	values := make([]*string, len(program.table))
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -80,13 +80,13 @@
 	{"region", "", "region of this machine (required)", func(s *Router, text string) error {
 		return parseLabel(&s.Region, text)
 	}},
-	{"zones", "", "all zones and their regions, as ZONE=REGION with commas between", func(s *Router, text string) error {
+	{"zones", "", "all zones and their regions, as comma-separated ZONE=REGION", func(s *Router, text string) error {
 		return parseZones(&s.Regions, text)
 	}},
 	{keyListenAddress, "127.0.0.1:7080", "IP:port for callers (HTTP)", func(s *Router, text string) error {
 		return parseListenAddress(&s.ListenAddress, text)
 	}},
-	{keyReadinessAddress, "127.0.0.1:7083", "IP:port where readiness is asked for (HTTP)", func(s *Router, text string) error {
+	{keyReadinessAddress, "127.0.0.1:7083", "IP:port of the readiness check (HTTP)", func(s *Router, text string) error {
 		return parseListenAddress(&s.ReadinessAddress, text)
 	}},
 	{keyPeerAddress, "", "IP:port for other nodes (empty: none)", func(s *Router, text string) error {
@@ -101,43 +101,43 @@
 	{"seeds", "", "peer addresses (IP:port, comma-separated) of some nodes", func(s *Router, text string) error {
 		return parseAddresses(&s.Seeds, text)
 	}},
-	{"retry-ratio", "0.1", "extra sends allowed for each request of a service, 0 to 1", func(s *Router, text string) error {
+	{"retry-ratio", "0.1", "extra sends (retries and hedges) allowed per request of a service, 0 to 1", func(s *Router, text string) error {
 		return parseFloat(&s.RetryRatio, text, 0, 1)
 	}},
-	{"retry-slack", "10", "extra sends of a service allowed besides, all nodes together, 0 to 100000", func(s *Router, text string) error {
+	{"retry-slack", "10", "additional extra sends allowed per service, over all nodes, 0 to 100000", func(s *Router, text string) error {
 		return parseFloat(&s.RetrySlack, text, 0, 100_000)
 	}},
-	{"retry-window", "10s", "time over which extra sends are counted, 1s to 10m", func(s *Router, text string) error {
+	{"retry-window", "10s", "time window in which extra sends are counted, 1s to 10m", func(s *Router, text string) error {
 		return parseDuration(&s.RetryWindow, text, time.Second, 10*time.Minute)
 	}},
-	{"stop-timeout", "6s", "time from the signal to stop to the end of the process, 1s to 10m", func(s *Router, text string) error {
+	{"stop-timeout", "6s", "time from the stop signal to the exit of the process, 1s to 10m", func(s *Router, text string) error {
 		return parseDuration(&s.StopTimeout, text, time.Second, 10*time.Minute)
 	}},
-	{"evacuations", "false", "whether the platform asks for zones to be emptied: true or false", func(s *Router, text string) error {
+	{"evacuations", "false", "whether the platform requests zone evacuations: true or false", func(s *Router, text string) error {
 		return parseBool(&s.Evacuations, text)
 	}},
-	{"expose-share", "0", "share of a service's requests that a bad version may get while its roll-out runs, 0 to 1", func(s *Router, text string) error {
+	{"expose-share", "0", "share of a service's requests that a bad version may receive during its rollout, 0 to 1", func(s *Router, text string) error {
 		return parseFloat(&s.Rollouts.Share, text, 0, 1)
 	}},
-	{"expose-slack", "0", "requests that it may get besides, all nodes together, 0 to 100000", func(s *Router, text string) error {
+	{"expose-slack", "0", "additional requests that it may receive, over all nodes, 0 to 100000", func(s *Router, text string) error {
 		return parseFloat(&s.Rollouts.Slack, text, 0, 100_000)
 	}},
-	{"rollback-time", "0s", "time after its 50th bad answer from which a bad version gets nothing, 0s (no roll-outs) to 10m", func(s *Router, text string) error {
+	{"rollback-time", "0s", "time after its 50th bad answer until a bad version must receive no more requests, 0s (no rollouts) to 10m", func(s *Router, text string) error {
 		return parseDuration(&s.Rollouts.RollBack, text, 0, 10*time.Minute)
 	}},
-	{"quarantine-term", "2m", "how long a request that ends servers is refused at first, 0s (none is) to 1h", func(s *Router, text string) error {
+	{"quarantine-term", "2m", "first quarantine period of a request that crashes servers, 0s (no quarantine) to 1h", func(s *Router, text string) error {
 		return parseDuration(&s.QuarantineTerm, text, 0, time.Hour)
 	}},
-	{"memory-megabytes", "0", "memory that the process may take, 0 (unbounded) to 1000000", func(s *Router, text string) error {
+	{"memory-megabytes", "0", "memory limit of the process, 0 (none) to 1000000", func(s *Router, text string) error {
 		return parseInt(&s.MemoryMegabytes, text, 0, 1_000_000)
 	}},
-	{"log-verbosity", "0", "how much is logged, 0 to 4", func(s *Router, text string) error {
+	{"log-verbosity", "0", "log verbosity, 0 to 4", func(s *Router, text string) error {
 		return parseInt(&s.LogVerbosity, text, 0, 4)
 	}},
-	{"log-lines", "200", "most log lines of requests a second, 1 to 100000", func(s *Router, text string) error {
+	{"log-lines", "200", "maximum number of log lines about requests per second, 1 to 100000", func(s *Router, text string) error {
 		return parseInt(&s.LogLines, text, 1, 100_000)
 	}},
-	{"log-sample", "100", "ordinary requests of which one is logged, 0 (none) to 1000000", func(s *Router, text string) error {
+	{"log-sample", "100", "one in this many ordinary requests is logged, 0 (none) to 1000000", func(s *Router, text string) error {
 		return parseInt(&s.LogSample, text, 0, 1_000_000)
 	}},
 }
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -32,7 +32,7 @@
 		}
 		return parseLabel(&s.Name, text)
 	}},
-	{"cluster", "driftstage", "name of the system: nodes of another are not talked to", func(s *Settings, text string) error {
+	{"cluster", "driftstage", "name of the cluster; nodes of other clusters are ignored", func(s *Settings, text string) error {
 		return parseLabel(&s.Cluster, text)
 	}},
 	{"zone", "", "zone of this machine (required)", func(s *Settings, text string) error {
@@ -62,16 +62,16 @@
 	{"maximum-body-bytes", "1048576", "largest request body of any service, 1 to 8388608", func(s *Settings, text string) error {
 		return parseInt(&s.MaximumBodyBytes, text, 1, 8<<20)
 	}},
-	{"maximum-connections", "16384", "most connections of callers, 1 to 1000000", func(s *Settings, text string) error {
+	{"maximum-connections", "16384", "maximum number of connections of callers, 1 to 1000000", func(s *Settings, text string) error {
 		return parseInt(&s.MaximumConnections, text, 1, 1_000_000)
 	}},
-	{"drain-delay", "2s", "how long a stopping node refuses new requests before its listeners close, 0s to 1m", func(s *Settings, text string) error {
+	{"drain-delay", "2s", "how long a stopping node rejects new requests before its listeners close, 0s to 1m", func(s *Settings, text string) error {
 		return parseDuration(&s.DrainDelay, text, 0, time.Minute)
 	}},
-	{"stop-timeout", "30s", "how long a stopping node waits for requests under way, 1s to 10m", func(s *Settings, text string) error {
+	{"stop-timeout", "30s", "how long a stopping node waits for requests in flight, 1s to 10m", func(s *Settings, text string) error {
 		return parseDuration(&s.StopTimeout, text, time.Second, 10*time.Minute)
 	}},
-	{"log-verbosity", "0", "how much is logged, 0 to 4", func(s *Settings, text string) error {
+	{"log-verbosity", "0", "log verbosity, 0 to 4", func(s *Settings, text string) error {
 		return parseInt(&s.LogVerbosity, text, 0, 4)
 	}},
 }
