--- a/internal/scatter/bench_test.go
+++ b/internal/scatter/bench_test.go
@@ -15,7 +15,7 @@
 
 const benchShards = 480
 
-// instant answers every attempt at once.
+// instant is a local owner that answers every attempt immediately.
 type instant struct{}
 
 func (instant) Execute(_ context.Context, request *message.SubRequest) *message.SubReply {
@@ -38,8 +38,8 @@
 	return message.ServerLoad{Server: server, Window: 5, SnapshotsHeld: []int64{40, 41}}
 }
 
-// BenchmarkRun runs whole queries of 480 shards, three replicas each, without
-// network or back ends: the gateway's own part of a sub-request.
+// BenchmarkRun runs complete queries of 480 shards with three replicas each, without
+// network or back ends: the gateway's own cost of a sub-request.
 func BenchmarkRun(b *testing.B) {
 	spec := &v1.QueryServiceSpec{Coverage: v1.Coverage{Minimum: 1, Target: 1}, Hedging: v1.Hedging{Budget: 0.05, Quantile: 0.95}}
 	for index := range benchShards {
@@ -51,8 +51,8 @@
 		}
 		spec.Shards = append(spec.Shards, shard)
 	}
-	system := &nodes{members: []swim.Member{{ID: "node-0", Address: "node-0", Zone: "a"}}}
-	scatterer := scatter.New(scatter.Options{NodeID: "node-0", Zone: "a", Members: system, Owners: system, Local: instant{}, Seed: 1})
+	cluster := &fakeCluster{members: []swim.Member{{ID: "node-0", Address: "node-0", Zone: "a"}}}
+	scatterer := scatter.New(scatter.Options{NodeID: "node-0", Zone: "a", Members: cluster, Owners: cluster, Local: instant{}, Seed: 1})
 	service := &config.Service{Name: "bench", Revision: 1, Spec: spec}
 	b.ReportAllocs()
 	b.RunParallel(func(loop *testing.PB) {
--- a/internal/scatter/execute.go
+++ b/internal/scatter/execute.go
@@ -10,34 +10,35 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// execute carries out one attempt: at the server's owner, or at the second
-// owner when the first has certainly not taken it.
+// execute runs one attempt through the server's first owner, or through the second
+// owner if the first certainly did not accept it.
 func (scatterer *Scatterer) execute(ctx context.Context, route route, request *message.SubRequest, deadline time.Time) ownerReply {
 	reply, failure := scatterer.call(ctx, route.first, request, deadline)
-	if route.second.id != "" && ctx.Err() == nil && passedOver(reply, failure) {
-		// A copy: the first call may still hold the request.
+	if route.second.id != "" && ctx.Err() == nil && ownerUnavailable(reply, failure) {
+		// Copied because the first call may still use the request.
 		again := *request
 		reply, failure = scatterer.call(ctx, route.second, &again, deadline)
 	}
-	ended := ownerReply{server: request.Server, reply: query.Reply{Attempt: query.AttemptID(request.AttemptID)}}
+	result := ownerReply{server: request.Server, reply: query.Reply{Attempt: query.AttemptID(request.AttemptID)}}
 	if failure != nil {
-		ended.reply.Failure = failure
-		return ended
+		result.reply.Failure = failure
+		return result
 	}
 	if reply.AttemptID != request.AttemptID {
-		ended.reply.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply is for attempt %d", reply.AttemptID)
-		return ended
+		result.reply.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply is for attempt %d", reply.AttemptID)
+		return result
 	}
 	if reply.Load.Server == request.Server {
-		ended.load = &reply.Load
+		result.load = &reply.Load
 	}
-	fillReply(&ended.reply, reply)
-	return ended
+	convertReply(&result.reply, reply)
+	return result
 }
 
-// passedOver tells whether a node refused an attempt for reasons of its own, or
-// could not be reached: the attempt has not run and the server may well take it.
-func passedOver(reply *message.SubReply, failure *verdict.Error) bool {
+// ownerUnavailable reports whether an owner could not be reached or refused an
+// attempt for reasons other than the server's state: the attempt did not run, and
+// the server may still accept it through another owner.
+func ownerUnavailable(reply *message.SubReply, failure *verdict.Error) bool {
 	if failure != nil {
 		return failure.Verdict == verdict.NotRun
 	}
@@ -69,7 +70,7 @@
 	return reply, nil
 }
 
-func fillReply(target *query.Reply, reply *message.SubReply) {
+func convertReply(target *query.Reply, reply *message.SubReply) {
 	if reply.Code != "" {
 		target.Failure = &verdict.Error{
 			Verdict:    verdict.Verdict(reply.Verdict),
--- a/internal/scatter/fault_test.go
+++ b/internal/scatter/fault_test.go
@@ -14,16 +14,16 @@
 	"github.com/matryer/is"
 )
 
-// outcome is what a caller got, to be compared with the record of the back ends.
+// outcome is a caller's answer, to be compared with the executions recorded by the back ends.
 type outcome struct {
 	id         string
 	repeatable bool
 	answer     scatter.Answer
 }
 
-// load asks from several callers at a time, some repeatable and some not, and
-// returns what they got. Between two requests of a caller is a short pause.
-func load(t *testing.T, scatterer *scatter.Scatterer, system *nodes, callers, each int) []outcome {
+// runLoad sends requests from several concurrent callers, some repeatable and some not,
+// and returns the outcomes.
+func runLoad(t *testing.T, scatterer *scatter.Scatterer, cluster *fakeCluster, callers, each int) []outcome {
 	t.Helper()
 	var mutex sync.Mutex
 	var outcomes []outcome
@@ -32,7 +32,7 @@
 		group.Go(func() {
 			for round := range each {
 				repeatable := (caller+round)%2 == 0
-				id, answer := ask(t, scatterer, system, repeatable)
+				id, answer := runQuery(t, scatterer, cluster, repeatable)
 				mutex.Lock()
 				outcomes = append(outcomes, outcome{id, repeatable, answer})
 				mutex.Unlock()
@@ -43,11 +43,12 @@
 	return outcomes
 }
 
-// compare holds the verdicts of callers against what the back ends really ran.
-func compare(t *testing.T, fleet *backend.Fleet, outcomes []outcome) (whole int) {
+// checkVerdicts checks the verdicts of callers against the executions of the back ends and
+// returns the number of complete answers.
+func checkVerdicts(t *testing.T, fleet *backend.Fleet, outcomes []outcome) (complete int) {
 	t.Helper()
 	for _, outcome := range outcomes {
-		runs := runsOf(fleet, outcome.id)
+		runs := executionsOf(fleet, outcome.id)
 		if outcome.answer.Verdict == verdict.NotRun && len(runs) > 0 {
 			t.Errorf("%s was said not to have run, and ran on %v", outcome.id, runs)
 		}
@@ -57,14 +58,14 @@
 			}
 		}
 		if outcome.answer.Failure == nil && outcome.answer.Coverage.Covered == outcome.answer.Coverage.Shards {
-			whole++
+			complete++
 		}
 	}
-	return whole
+	return complete
 }
 
-// Whatever a back end does to its replies, no caller gets a part of another
-// request, shard or version, and the verdicts are true.
+// Whatever fault a back end's replies have, no caller gets a part of another
+// request, shard or version, and the verdicts are correct.
 func TestMisbehavingBackEnd(t *testing.T) {
 	faults := []backend.FaultKind{
 		backend.FaultTruncate, backend.FaultReset, backend.FaultTwice, backend.FaultForeign,
@@ -74,36 +75,36 @@
 	for _, kind := range faults {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			fleet, system, scatterer := start(t, func(*backend.Options) {})
-			outcomes := load(t, scatterer, system, 4, 5)
+			fleet, cluster, scatterer := start(t, func(*backend.Options) {})
+			outcomes := runLoad(t, scatterer, cluster, 4, 5)
 			server := fleet.Servers()[1].Name
 			during := make(chan []outcome)
-			go func() { during <- load(t, scatterer, system, 16, 10) }()
+			go func() { during <- runLoad(t, scatterer, cluster, 16, 10) }()
 			time.Sleep(5 * time.Millisecond)
 			if err := fleet.SetFault(backend.Fault{Server: server, Kind: kind, OneIn: 3, DelayMillis: 200}); err != nil {
 				t.Fatal(err)
 			}
-			outcomes = append(outcomes, load(t, scatterer, system, 4, 15)...)
+			outcomes = append(outcomes, runLoad(t, scatterer, cluster, 4, 15)...)
 			outcomes = append(outcomes, <-during...)
 			if err := fleet.SetFault(backend.Fault{Server: server, Kind: backend.FaultNone}); err != nil {
 				t.Fatal(err)
 			}
-			whole := compare(t, fleet, outcomes)
-			if whole < len(outcomes)/2 {
-				t.Errorf("only %d of %d answers are whole", whole, len(outcomes))
+			complete := checkVerdicts(t, fleet, outcomes)
+			if complete < len(outcomes)/2 {
+				t.Errorf("only %d of %d answers are whole", complete, len(outcomes))
 			}
 		})
 	}
 }
 
-// Versions advance and the index is partitioned anew while queries run.
-func TestVersionsAndPartitionsSwitch(t *testing.T) {
-	fleet, system, scatterer := start(t, func(options *backend.Options) { options.Servers = 6; options.Replicas = 3 })
+// Index versions advance on the servers at different times while queries run.
+func TestVersionsSwitch(t *testing.T) {
+	fleet, cluster, scatterer := start(t, func(options *backend.Options) { options.Servers = 6; options.Replicas = 3 })
 	var outcomes []outcome
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
-		outcomes = load(t, scatterer, system, 6, 60)
+		outcomes = runLoad(t, scatterer, cluster, 6, 60)
 	}()
 	for round := range 6 {
 		time.Sleep(20 * time.Millisecond)
@@ -114,27 +115,27 @@
 	for _, outcome := range outcomes {
 		snapshots[outcome.answer.Snapshot] = true
 	}
-	if whole := compare(t, fleet, outcomes); whole < len(outcomes)*9/10 {
-		t.Errorf("only %d of %d answers are whole", whole, len(outcomes))
+	if complete := checkVerdicts(t, fleet, outcomes); complete < len(outcomes)*9/10 {
+		t.Errorf("only %d of %d answers are whole", complete, len(outcomes))
 	}
 	if len(snapshots) < 3 {
 		t.Errorf("answers are of snapshots %v only", snapshots)
 	}
 }
 
-// Queries that began by the old map keep it; those by the new one get the new
+// Queries started with the old map keep it; queries with the new map get the new
 // number of shards, and none mixes the two.
 func TestRepartition(t *testing.T) {
 	is := is.New(t)
-	fleet, system, scatterer := start(t, func(*backend.Options) {})
-	outcomes := load(t, scatterer, system, 2, 5)
+	fleet, cluster, scatterer := start(t, func(*backend.Options) {})
+	outcomes := runLoad(t, scatterer, cluster, 2, 5)
 	const partitions = 12
 	version := fleet.Advance(partitions, 0)
-	spec := *system.services[0].Spec
+	spec := *cluster.services[0].Spec
 	spec.Shards = fleet.Shards(partitions)
-	system.setServices(&config.Service{Name: system.services[0].Name, Revision: 2, Spec: &spec})
-	outcomes = append(outcomes, load(t, scatterer, system, 2, 5)...)
-	compare(t, fleet, outcomes)
+	cluster.setServices(&config.Service{Name: cluster.services[0].Name, Revision: 2, Spec: &spec})
+	outcomes = append(outcomes, runLoad(t, scatterer, cluster, 2, 5)...)
+	checkVerdicts(t, fleet, outcomes)
 	last := outcomes[len(outcomes)-1].answer
 	is.Equal(last.Failure, nil)
 	is.Equal(last.Snapshot, version.Snapshot)
@@ -144,56 +145,55 @@
 	}
 }
 
-// A straggling server does not set the latency of a query: its shards are hedged.
+// A frozen server does not determine the latency of a query: its shards are hedged.
 func TestFrozenServerIsHedged(t *testing.T) {
 	is := is.New(t)
-	fleet, system, scatterer := start(t, func(*backend.Options) {})
-	load(t, scatterer, system, 2, 20)
+	fleet, cluster, scatterer := start(t, func(*backend.Options) {})
+	runLoad(t, scatterer, cluster, 2, 20)
 	is.NoErr(fleet.SetFault(backend.Fault{Server: fleet.Servers()[0].Name, Kind: backend.FaultFreeze}))
 	started := time.Now()
-	_, answer := ask(t, scatterer, system, true)
+	_, answer := runQuery(t, scatterer, cluster, true)
 	is.Equal(answer.Failure, nil)
 	is.Equal(answer.Coverage.Covered, 8)
 	is.True(time.Since(started) < timeout/2)
 	is.NoErr(fleet.SetFault(backend.Fault{Server: fleet.Servers()[0].Name, Kind: backend.FaultNone}))
 }
 
-// Leaving members get no new work, and the next owner has it at once.
-func TestLeavingMemberIsPassedOver(t *testing.T) {
+// Leaving members get no new work; the next owner takes over at once.
+func TestLeavingMemberGetsNoWork(t *testing.T) {
 	is := is.New(t)
-	_, system, scatterer := start(t, func(*backend.Options) {})
-	ask(t, scatterer, system, true)
+	_, cluster, scatterer := start(t, func(*backend.Options) {})
+	runQuery(t, scatterer, cluster, true)
 	for _, id := range []string{"node-1", "node-2"} {
-		is.NoErr(system.owners[id].Stop(t.Context()))
+		is.NoErr(cluster.owners[id].Stop(t.Context()))
 	}
-	_, answer := ask(t, scatterer, system, false) // refused by the stopped ones
+	_, answer := runQuery(t, scatterer, cluster, false) // refused by the stopped nodes
 	is.True(answer.Failure == nil || answer.Verdict != verdict.MayHaveRun)
-	members := append([]swim.Member(nil), system.members...)
+	members := append([]swim.Member(nil), cluster.members...)
 	members[1].State = swim.Leaving
 	members[2].State = swim.Dead
-	system.setMembers(members)
+	cluster.setMembers(members)
 	time.Sleep(50 * time.Millisecond)
-	system.calls.Store(0)
-	_, answer = ask(t, scatterer, system, false)
+	cluster.calls.Store(0)
+	_, answer = runQuery(t, scatterer, cluster, false)
 	is.Equal(answer.Failure, nil)
 	is.Equal(answer.Coverage.Covered, 8)
-	is.Equal(system.calls.Load(), int32(0)) // this node is the only one left
+	is.Equal(cluster.calls.Load(), int32(0)) // this node is the only one left
 }
 
-// Far more load than the servers bear: refusals are NotRun, quick, and say when
-// to come back.
+// Under overload, refusals are NotRun, quick, and carry a retry delay.
 func TestOverloadRefusesAtOnce(t *testing.T) {
-	fleet, system, scatterer := start(t, func(options *backend.Options) {
+	fleet, cluster, scatterer := start(t, func(options *backend.Options) {
 		options.Slots = 1
 		options.Queue = 0
 		options.Time = backend.ServiceTime{Median: 20 * time.Millisecond}
 	})
-	spec := *system.services[0].Spec
+	spec := *cluster.services[0].Spec
 	spec.Limits.Queue = 2
 	spec.Coverage = v1.Coverage{Minimum: 1, Target: 1}
-	system.setServices(&config.Service{Name: system.services[0].Name, Revision: 2, Spec: &spec})
-	outcomes := load(t, scatterer, system, 20, 5)
-	compare(t, fleet, outcomes)
+	cluster.setServices(&config.Service{Name: cluster.services[0].Name, Revision: 2, Spec: &spec})
+	outcomes := runLoad(t, scatterer, cluster, 20, 5)
+	checkVerdicts(t, fleet, outcomes)
 	refused := 0
 	for _, outcome := range outcomes {
 		if outcome.answer.Failure == nil {
--- a/internal/scatter/logs.go
+++ b/internal/scatter/logs.go
@@ -9,11 +9,12 @@
 	"k8s.io/klog/v2"
 )
 
-// faultLogInterval is the least time between log lines of one kind on one
-// service; such faults may come with every request.
+// faultLogInterval is the minimum time between log lines of one kind for one
+// service, since such faults may occur with every request.
 const faultLogInterval = time.Second
 
-// serviceLog writes what goes wrong with a service. It is safe for concurrent use.
+// serviceLog writes rate-limited logs of a service's failures. It is safe for
+// concurrent use.
 type serviceLog struct {
 	service string
 	owners  rate.Sometimes
@@ -28,15 +29,15 @@
 	}
 }
 
-// owner logs an attempt that failed for want of an owner.
-func (log *serviceLog) owner(server string, failure *verdict.Error) {
+// ownerFailed logs an attempt that failed because of its owner.
+func (log *serviceLog) ownerFailed(server string, failure *verdict.Error) {
 	log.owners.Do(func() {
 		klog.InfoS("owner failed", "service", log.service, "server", server,
 			"verdict", failure.Verdict.String(), "code", string(failure.Code), "error", failure.Message)
 	})
 }
 
-// answered logs a query that failed.
+// answered logs a failed query.
 func (log *serviceLog) answered(request string, answer *query.Answer) {
 	if answer.Failure == nil {
 		return
--- a/internal/scatter/metrics.go
+++ b/internal/scatter/metrics.go
@@ -8,11 +8,11 @@
 
 // Metrics are the counters of a Scatterer.
 type Metrics struct {
-	answers  *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	unpaid   *prometheus.CounterVec
-	failures *prometheus.CounterVec
-	stale    prometheus.Counter
+	answers    *prometheus.CounterVec
+	attempts   *prometheus.CounterVec
+	overBudget *prometheus.CounterVec
+	failures   *prometheus.CounterVec
+	stale      prometheus.Counter
 }
 
 // NewMetrics registers the counters; a nil registerer leaves them unregistered.
@@ -22,7 +22,7 @@
 			"Answers, by verdict and failure code (empty for success).", "verdict", "code"),
 		attempts: counters("driftstage_scatter_attempts_total",
 			"Attempts sent, by what they were for: first, retry, hedge, restart.", "purpose"),
-		unpaid: counters("driftstage_scatter_attempts_over_budget_total",
+		overBudget: counters("driftstage_scatter_attempts_over_budget_total",
 			"Retries and hedges not sent for want of budget.", "purpose"),
 		failures: counters("driftstage_scatter_attempt_failures_total",
 			"Attempts that failed, by verdict and code.", "verdict", "code"),
@@ -32,7 +32,7 @@
 		}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(metrics.answers, metrics.attempts, metrics.unpaid, metrics.failures, metrics.stale)
+		registerer.MustRegister(metrics.answers, metrics.attempts, metrics.overBudget, metrics.failures, metrics.stale)
 	}
 	return metrics
 }
@@ -52,8 +52,8 @@
 	add(metrics.attempts, "retry", counts.Retries)
 	add(metrics.attempts, "hedge", counts.Hedges)
 	add(metrics.attempts, "restart", counts.Restarted)
-	add(metrics.unpaid, "retry", counts.OutOfRetries)
-	add(metrics.unpaid, "hedge", counts.OutOfHedges)
+	add(metrics.overBudget, "retry", counts.OutOfRetries)
+	add(metrics.overBudget, "hedge", counts.OutOfHedges)
 	metrics.stale.Add(float64(counts.StaleReplies))
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// replied counts the end of an attempt; failure is nil for a success.
+// replied counts a finished attempt; failure is nil for a success.
 func (metrics *Metrics) replied(failure *verdict.Error) {
 	if failure != nil {
 		metrics.failures.WithLabelValues(failure.Verdict.String(), string(failure.Code)).Inc()
--- a/internal/scatter/routes.go
+++ b/internal/scatter/routes.go
@@ -9,22 +9,22 @@
 	"github.com/driftstage/driftstage/internal/swim"
 )
 
-// routeCheck is how often the members are looked at for changes.
-const routeCheck = 20 * time.Millisecond
+// memberCheckInterval is how often the member list is checked for changes.
+const memberCheckInterval = 20 * time.Millisecond
 
-// target is a node to which attempts go; the zero value is none.
+// target is a node to which attempts are sent; the zero value is none.
 type target struct {
 	id      string
 	address string
 }
 
-// route is the owner of a server and the one that takes over.
+// route holds the first and second owner of a server; the second is the failover.
 type route struct {
 	first  target
 	second target
 }
 
-// members is one state of the membership, prepared for placement.
+// members is a snapshot of the membership, indexed for placement.
 type members struct {
 	list      []swim.Member
 	index     *placement.Index
@@ -36,34 +36,34 @@
 	return target{id: id, address: members.addresses[id]}
 }
 
-// routeTable notices changes of the membership.
-type routeTable struct {
+// memberCache caches the membership and detects changes of it.
+type memberCache struct {
 	members Members
 
 	mutex     sync.Mutex
-	latest    *members
+	cached    *members
 	checkedAt time.Time
 }
 
-// current returns the present state; the pointer changes when the state does.
-func (table *routeTable) current(now time.Time) *members {
+// current returns the current snapshot; the pointer changes when the members do.
+func (table *memberCache) current(now time.Time) *members {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	if table.latest != nil && now.Sub(table.checkedAt) < routeCheck {
-		return table.latest
+	if table.cached != nil && now.Sub(table.checkedAt) < memberCheckInterval {
+		return table.cached
 	}
 	table.checkedAt = now
 	list := table.members.Members()
-	if table.latest == nil || !slices.Equal(list, table.latest.list) {
-		table.latest = newMembers(slices.Clone(list))
+	if table.cached == nil || !slices.Equal(list, table.cached.list) {
+		table.cached = newMembers(slices.Clone(list))
 	}
-	return table.latest
+	return table.cached
 }
 
-// newMembers selects the members that may own servers: leaving ones take no new
-// work, suspect ones still own theirs.
+// newMembers selects the members that may own servers: leaving members get no new
+// work, suspected members keep their servers.
 func newMembers(list []swim.Member) *members {
-	made := &members{list: list, addresses: make(map[string]string, len(list)), suspects: make(map[string]bool)}
+	snapshot := &members{list: list, addresses: make(map[string]string, len(list)), suspects: make(map[string]bool)}
 	var nodes []placement.Node
 	for index := range list {
 		member := &list[index]
@@ -71,9 +71,9 @@
 			continue
 		}
 		nodes = append(nodes, placement.Node{ID: member.ID, Zone: member.Zone})
-		made.addresses[member.ID] = member.Address
-		made.suspects[member.ID] = member.State == swim.Suspect
+		snapshot.addresses[member.ID] = member.Address
+		snapshot.suspects[member.ID] = member.State == swim.Suspect
 	}
-	made.index = placement.NewIndex(nodes)
-	return made
+	snapshot.index = placement.NewIndex(nodes)
+	return snapshot
 }
--- a/internal/scatter/run.go
+++ b/internal/scatter/run.go
@@ -11,10 +11,10 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// replyBuffer is how many replies may wait for the loop of a query.
+// replyBuffer is how many replies may be queued for the loop of a query.
 const replyBuffer = 64
 
-// run is one query under way. Only its loop touches the core.
+// run is one running query. Only its loop accesses the core.
 type run struct {
 	scatterer *Scatterer
 	service   *service
@@ -23,30 +23,31 @@
 	core      *query.Query
 	replies   chan ownerReply
 	cancels   map[query.AttemptID]context.CancelFunc
-	// pending is what the core decided and has yet to be carried out, and routes
-	// are the owners for its Sends.
+	// pending holds the core's actions that have not been performed yet, and routes
+	// the owners for its Sends.
 	pending query.Actions
 	routes  []route
 }
 
-// ownerReply is the end of an attempt as it reaches the loop.
+// ownerReply is the result of an attempt as passed to the loop.
 type ownerReply struct {
 	reply  query.Reply
 	server string
-	// load is what the owner reported; nil when it could not be asked.
+	// load is the server's load as reported by the owner; nil if there is no report.
 	load *message.ServerLoad
 }
 
-// loop feeds replies and the clock to the core until it answers.
+// loop feeds replies and timer events to the core until it answers.
 func (run *run) loop(caller context.Context) Answer {
-	// Attempts end with the loop; losers must not outlive the answer.
+	// Attempts are cancelled when the loop ends: hedges and hedged attempts must not
+	// outlive the answer.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(caller))
 	defer cancel()
 	due := run.step(run.core.Start)
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	for {
-		if answer := run.carryOut(ctx); answer != nil {
+		if answer := run.perform(ctx); answer != nil {
 			return run.answer(answer)
 		}
 		next := due
@@ -66,8 +67,8 @@
 	}
 }
 
-// step advances the core under the lock of the service, and returns when it is
-// due next.
+// step advances the core under the lock of the service, and returns the time of
+// its next tick.
 func (run *run) step(advance func(now time.Time) query.Actions) time.Time {
 	run.service.mutex.Lock()
 	defer run.service.mutex.Unlock()
@@ -75,8 +76,8 @@
 	return run.core.NextTick()
 }
 
-// collect adds the actions of a step to those to be carried out, each attempt
-// with its owners. The mutex of the service is held.
+// collect adds the actions of a step to the pending ones, each attempt with its
+// owners. The mutex of the service is held.
 func (run *run) collect(actions query.Actions) {
 	for index := range actions.Sends {
 		run.routes = append(run.routes, run.service.routes[actions.Sends[index].Server.Name])
@@ -92,7 +93,7 @@
 	}
 }
 
-// handle feeds a reply, and those that wait behind it, to the core.
+// handle feeds a reply and all queued replies to the core.
 func (run *run) handle(reply ownerReply) time.Time {
 	run.service.mutex.Lock()
 	defer run.service.mutex.Unlock()
@@ -109,15 +110,15 @@
 		run.service.fleet.Observe(now, reply.server, loadOf(reply.load))
 	} else if ownerFailed(reply.reply.Failure) {
 		run.service.fleet.Suspect(now, reply.server)
-		run.service.log.owner(reply.server, reply.reply.Failure)
+		run.service.log.ownerFailed(reply.server, reply.reply.Failure)
 	}
 	delete(run.cancels, reply.reply.Attempt)
 	run.scatterer.options.Metrics.replied(reply.reply.Failure)
 	run.collect(run.core.Handle(now, reply.reply))
 }
 
-// ownerFailed tells whether an attempt failed for want of an owner, rather than
-// because it was given up here.
+// ownerFailed reports whether an attempt failed because of its owner, rather than
+// because it was cancelled here.
 func ownerFailed(failure *verdict.Error) bool {
 	switch failure.Code {
 	case verdict.CodeUnreachable, verdict.CodeLost, verdict.CodeDraining, verdict.CodeNotReady, verdict.CodeRevisionMismatch:
@@ -127,9 +128,9 @@
 	}
 }
 
-// carryOut does what the core decided and returns its answer, if there is one.
-// An attempt that a later step has cancelled already is never sent.
-func (run *run) carryOut(ctx context.Context) *query.Answer {
+// perform performs the pending actions and returns the core's answer, if there is
+// one. An attempt that a later step has already cancelled is never sent.
+func (run *run) perform(ctx context.Context) *query.Answer {
 	actions := run.pending
 	routes := run.routes
 	run.pending, run.routes = query.Actions{}, nil
--- a/internal/scatter/scatter.go
+++ b/internal/scatter/scatter.go
@@ -16,7 +16,7 @@
 // Scatterer runs queries. It is safe for concurrent use.
 type Scatterer struct {
 	options  Options
-	routes   routeTable
+	members  memberCache
 	attempts atomic.Int64
 
 	mutex    sync.Mutex
@@ -24,7 +24,7 @@
 	random   *rand.Rand
 }
 
-// New returns a Scatterer that has learned nothing yet.
+// New returns a Scatterer without any service state.
 func New(options Options) *Scatterer {
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
@@ -34,20 +34,20 @@
 	}
 	return &Scatterer{
 		options:  options,
-		routes:   routeTable{members: options.Members},
+		members:  memberCache{members: options.Members},
 		services: make(map[string]*service),
 		random:   rand.New(rand.NewPCG(options.Seed, 0)),
 	}
 }
 
-// Run takes one query from its first attempt to its answer. It returns at the
-// deadline at the latest, or when ctx is done.
+// Run executes one query and returns its answer, at the latest at the deadline or
+// when ctx is done.
 func (scatterer *Scatterer) Run(ctx context.Context, request Query) Answer {
 	start := time.Now()
 	deadline := start.Add(request.Timeout)
 	service := scatterer.service(request.Service.Name)
 	pinned, shardMap := service.configure(request.Service)
-	service.route(start)
+	service.updateRoutes(start)
 	choice, failure := service.pin(ctx, deadline)
 	if failure != nil {
 		return refused(pinned, failure)
@@ -103,7 +103,7 @@
 	return found
 }
 
-// refused answers a query of which nothing was sent.
+// refused returns the answer to a query for which nothing was sent.
 func refused(pinned *config.Service, failure *verdict.Error) Answer {
 	answer := Answer{Revision: pinned.Revision, Verdict: failure.Verdict, Failure: failure}
 	answer.Coverage.Shards = len(pinned.Spec.Shards)
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -22,47 +22,47 @@
 
 const timeout = 3 * time.Second
 
-// nodes stands for a system of nodes in one process: their owners call each
-// other without a network.
-type nodes struct {
-	// mutex guards services and members: attempts that were given up may still read them.
+// fakeCluster simulates a cluster in one process: the owners call each other without a
+// network.
+type fakeCluster struct {
+	// mutex guards services and members: cancelled attempts may still read them.
 	mutex    sync.Mutex
 	services []*config.Service
 	members  []swim.Member
 	owners   map[string]*owner.Manager
-	// unreachable nodes refuse connections; lost ones break them after the call.
+	// unreachable nodes refuse connections; lost ones reset them after the call.
 	unreachable map[string]bool
 	lost        map[string]bool
-	// calls counts the attempts sent to other nodes.
+	// calls counts the attempts sent to other cluster.
 	calls atomic.Int32
 }
 
-func (nodes *nodes) Members() []swim.Member {
-	nodes.mutex.Lock()
-	defer nodes.mutex.Unlock()
-	return nodes.members
+func (cluster *fakeCluster) Members() []swim.Member {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	return cluster.members
 }
 
-func (nodes *nodes) setMembers(members []swim.Member) {
-	nodes.mutex.Lock()
-	defer nodes.mutex.Unlock()
-	nodes.members = members
+func (cluster *fakeCluster) setMembers(members []swim.Member) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.members = members
 }
 
-func (nodes *nodes) Services() []*config.Service {
-	nodes.mutex.Lock()
-	defer nodes.mutex.Unlock()
-	return nodes.services
+func (cluster *fakeCluster) Services() []*config.Service {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	return cluster.services
 }
 
-func (nodes *nodes) setServices(services ...*config.Service) {
-	nodes.mutex.Lock()
-	defer nodes.mutex.Unlock()
-	nodes.services = services
+func (cluster *fakeCluster) setServices(services ...*config.Service) {
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	cluster.services = services
 }
 
-func (nodes *nodes) Service(name string) (*config.Service, bool) {
-	for _, service := range nodes.Services() {
+func (cluster *fakeCluster) Service(name string) (*config.Service, bool) {
+	for _, service := range cluster.Services() {
 		if service.Name == name {
 			return service, true
 		}
@@ -70,27 +70,27 @@
 	return nil, false
 }
 
-func (nodes *nodes) Execute(ctx context.Context, address string, request *message.SubRequest) (*message.SubReply, error) {
-	nodes.calls.Add(1)
-	if nodes.unreachable[address] {
+func (cluster *fakeCluster) Execute(ctx context.Context, address string, request *message.SubRequest) (*message.SubReply, error) {
+	cluster.calls.Add(1)
+	if cluster.unreachable[address] {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection refused")
 	}
-	reply := nodes.owners[address].Execute(ctx, request)
-	if nodes.lost[address] {
+	reply := cluster.owners[address].Execute(ctx, request)
+	if cluster.lost[address] {
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeLost, "connection reset")
 	}
 	return reply, nil
 }
 
-func (nodes *nodes) Loads(_ context.Context, address string, request *message.LoadRequest) (*message.LoadReply, error) {
-	if nodes.unreachable[address] {
+func (cluster *fakeCluster) Loads(_ context.Context, address string, request *message.LoadRequest) (*message.LoadReply, error) {
+	if cluster.unreachable[address] {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection refused")
 	}
-	return nodes.owners[address].Loads(request), nil
+	return cluster.owners[address].Loads(request), nil
 }
 
-// start runs a fleet of stand-ins, three nodes, and a scatterer on the first.
-func start(t *testing.T, change func(*backend.Options)) (*backend.Fleet, *nodes, *scatter.Scatterer) {
+// start runs a fleet of stand-in back ends, three nodes, and a scatterer on the first node.
+func start(t *testing.T, change func(*backend.Options)) (*backend.Fleet, *fakeCluster, *scatter.Scatterer) {
 	t.Helper()
 	options := backend.DefaultOptions()
 	options.Time = backend.ServiceTime{Median: time.Millisecond}
@@ -105,7 +105,7 @@
 	spec.Coverage = v1.Coverage{Minimum: 0.5, Target: 1}
 	spec.Hedging = v1.Hedging{Budget: 0.05, Quantile: 0.95}
 	spec.Limits.Queue = 64
-	system := &nodes{
+	cluster := &fakeCluster{
 		services:    []*config.Service{{Name: options.Service, Revision: 1, Spec: &spec}},
 		owners:      make(map[string]*owner.Manager),
 		unreachable: make(map[string]bool),
@@ -113,40 +113,40 @@
 	}
 	for index := range 3 {
 		id := fmt.Sprintf("node-%d", index)
-		system.members = append(system.members, swim.Member{ID: id, Address: id, Zone: "zone-a"})
-		system.owners[id] = owner.NewManager(owner.Options{Services: system})
+		cluster.members = append(cluster.members, swim.Member{ID: id, Address: id, Zone: "zone-a"})
+		cluster.owners[id] = owner.NewManager(owner.Options{Services: cluster})
 	}
 	scatterer := scatter.New(scatter.Options{
 		NodeID:  "node-0",
 		Zone:    "zone-a",
-		Members: system,
-		Owners:  system,
-		Local:   system.owners["node-0"],
+		Members: cluster,
+		Owners:  cluster,
+		Local:   cluster.owners["node-0"],
 		Seed:    1,
 	})
-	return fleet, system, scatterer
+	return fleet, cluster, scatterer
 }
 
 var lastRequest atomic.Int64
 
-func ask(t *testing.T, scatterer *scatter.Scatterer, system *nodes, repeatable bool) (string, scatter.Answer) {
+func runQuery(t *testing.T, scatterer *scatter.Scatterer, cluster *fakeCluster, repeatable bool) (string, scatter.Answer) {
 	t.Helper()
 	id := fmt.Sprintf("request-%d", lastRequest.Add(1))
 	answer := scatterer.Run(t.Context(), scatter.Query{
 		RequestID:  id,
-		Service:    system.services[0],
+		Service:    cluster.services[0],
 		Body:       []byte(id),
 		Timeout:    timeout,
 		Repeatable: repeatable,
 		Class:      v1.ClassInteractive,
 	})
-	verify(t, id, answer)
+	checkAnswer(t, id, answer)
 	return id, answer
 }
 
-// verify checks what holds for every answer: its parts are of its own request,
-// shard and snapshot, and coverage is what the parts say.
-func verify(t *testing.T, id string, answer scatter.Answer) {
+// checkAnswer checks the invariants of every answer: its parts are of its own request,
+// shard and snapshot, and the coverage matches the parts.
+func checkAnswer(t *testing.T, id string, answer scatter.Answer) {
 	t.Helper()
 	if len(answer.Results) != answer.Coverage.Covered {
 		t.Fatalf("%d results, covered %d", len(answer.Results), answer.Coverage.Covered)
@@ -162,8 +162,8 @@
 	}
 }
 
-// runsOf counts the executions of a request on the back ends, by shard.
-func runsOf(fleet *backend.Fleet, id string) map[v1.ShardID]int {
+// executionsOf counts the executions of a request on the back ends, by shard.
+func executionsOf(fleet *backend.Fleet, id string) map[v1.ShardID]int {
 	runs := make(map[v1.ShardID]int)
 	for _, execution := range fleet.Record().Executions(backend.RecordFilter{RequestID: id}) {
 		for _, shard := range execution.Shards {
@@ -173,38 +173,38 @@
 	return runs
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	is := is.New(t)
-	fleet, system, scatterer := start(t, func(*backend.Options) {})
-	id, answer := ask(t, scatterer, system, true)
+	fleet, cluster, scatterer := start(t, func(*backend.Options) {})
+	id, answer := runQuery(t, scatterer, cluster, true)
 	is.True(answer.Failure == nil)
 	is.Equal(answer.Coverage.Covered, 8)
 	is.Equal(answer.Verdict, verdict.Ran)
-	is.Equal(len(runsOf(fleet, id)), 8)
+	is.Equal(len(executionsOf(fleet, id)), 8)
 }
 
 func TestSecondOwnerTakesOver(t *testing.T) {
 	is := is.New(t)
-	_, system, scatterer := start(t, func(*backend.Options) {})
-	ask(t, scatterer, system, true)
-	system.unreachable["node-1"] = true
+	_, cluster, scatterer := start(t, func(*backend.Options) {})
+	runQuery(t, scatterer, cluster, true)
+	cluster.unreachable["node-1"] = true
 	for range 10 {
-		_, answer := ask(t, scatterer, system, false)
+		_, answer := runQuery(t, scatterer, cluster, false)
 		is.True(answer.Failure == nil)
 		is.Equal(answer.Coverage.Covered, 8)
 	}
 }
 
-// A request that is not repeatable runs at most once on each shard, also when
-// owners lose their connections after it ran.
+// A request that is not repeatable runs at most once on each shard, even if the
+// connections to owners break after it ran.
 func TestNotRepeatableRunsAtMostOnce(t *testing.T) {
-	fleet, system, scatterer := start(t, func(*backend.Options) {})
-	ask(t, scatterer, system, true)
+	fleet, cluster, scatterer := start(t, func(*backend.Options) {})
+	runQuery(t, scatterer, cluster, true)
 	for _, lost := range []string{"node-1", "node-2"} {
-		system.lost[lost] = true
+		cluster.lost[lost] = true
 		for range 10 {
-			id, answer := ask(t, scatterer, system, false)
-			runs := runsOf(fleet, id)
+			id, answer := runQuery(t, scatterer, cluster, false)
+			runs := executionsOf(fleet, id)
 			for shard, count := range runs {
 				if count > 1 {
 					t.Fatalf("shard %d ran %d times", shard, count)
--- a/internal/scatter/service.go
+++ b/internal/scatter/service.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// refreshInterval is how often servers of which too little is known are asked
-	// about, while there are queries.
+	// refreshInterval is how often, while there are queries, the loads are requested
+	// of servers that regular attempts do not reach.
 	refreshInterval = time.Second
-	// refreshTimeout bounds one question.
+	// refreshTimeout bounds one load request.
 	refreshTimeout = 500 * time.Millisecond
-	// pinRetry is the pause before asking again while no version is known.
-	pinRetry = 20 * time.Millisecond
+	// pinRetryInterval is the retry interval while no index version is known.
+	pinRetryInterval = 20 * time.Millisecond
 )
 
-// service is what this node has learned of one service. Its mutex guards the
-// fleet and every query core that works on it.
+// service is this node's state of one service. Its mutex guards the fleet and
+// every query core that uses it.
 type service struct {
 	scatterer *Scatterer
 	name      string
@@ -34,11 +34,11 @@
 	fleet  *query.Fleet
 	pinned *config.Service
 	shards *query.Map
-	// routed is the generation of the routes in use, by server name.
+	// routed is the membership from which routes, by server name, was computed.
 	routed *members
 	routes map[string]route
 
-	// refreshing is closed when the refresh under way has ended.
+	// refreshing is closed when the running refresh has ended; nil if there is none.
 	refreshing  chan struct{}
 	refreshedAt time.Time
 }
@@ -64,9 +64,9 @@
 	return service.pinned, service.shards
 }
 
-// route finds the owners of all servers anew when members have changed.
-func (service *service) route(now time.Time) {
-	current := service.scatterer.routes.current(now)
+// updateRoutes recomputes the owners of all servers if the members have changed.
+func (service *service) updateRoutes(now time.Time) {
+	current := service.scatterer.members.current(now)
 	service.mutex.Lock()
 	defer service.mutex.Unlock()
 	if service.routed == current {
@@ -75,15 +75,16 @@
 	service.routed = current
 	service.routes = make(map[string]route)
 	service.fleet.Servers(func(server *query.Server) {
-		described := placement.Server{Service: service.name, Name: server.Name, Zone: server.Zone}
-		first, second := current.index.Rank(described)
+		placed := placement.Server{Service: service.name, Name: server.Name, Zone: server.Zone}
+		first, second := current.index.Rank(placed)
 		server.Owner = first
 		server.OwnerSuspect = current.suspects[first]
 		service.routes[server.Name] = route{first: current.target(first), second: current.target(second)}
 	})
 }
 
-// pin chooses the index version, after asking owners when none is known.
+// pin chooses the index version. If none is known, it first requests loads from
+// the owners.
 func (service *service) pin(ctx context.Context, deadline time.Time) (snapshot.Choice, *verdict.Error) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -97,11 +98,11 @@
 		}
 		select {
 		case <-refreshed:
-		case <-time.After(pinRetry):
+		case <-time.After(pinRetryInterval):
 		case <-timer.C:
 			return choice, notReady(verdict.CodeVersionNotHeld, "no index version is known")
 		case <-ctx.Done():
-			return choice, notReady(verdict.CodeCanceled, "given up before anything was sent")
+			return choice, notReady(verdict.CodeCanceled, "canceled before anything was sent")
 		}
 	}
 }
@@ -112,51 +113,52 @@
 	return failure
 }
 
-// refresh asks owners about the servers of which too little is known, in the
-// background, and returns what is closed when that has ended. The mutex is held.
+// refresh requests loads from owners in the background, for the servers that need
+// it, and returns a channel that is closed when that has ended; nil if nothing is
+// running. The mutex is held.
 func (service *service) refresh() <-chan struct{} {
 	if service.refreshing != nil {
 		return service.refreshing
 	}
 	interval := refreshInterval
 	if service.fleet.Snapshot().Version == snapshot.Unknown {
-		interval = pinRetry
+		interval = pinRetryInterval
 	}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	now := time.Now()
 	if now.Sub(service.refreshedAt) < interval {
 		return nil
 	}
 	service.refreshedAt = now
-	questions := service.questions(now)
-	if len(questions) == 0 {
+	requests := service.serversToRefresh(now)
+	if len(requests) == 0 {
 		return nil
 	}
-	service.refreshing = ended
-	go service.ask(questions, ended)
-	return ended
+	service.refreshing = done
+	go service.requestLoads(requests, done)
+	return done
 }
 
-// questions groups the servers to ask about by their owner.
-func (service *service) questions(now time.Time) map[target][]string {
-	questions := make(map[target][]string)
+// serversToRefresh groups the servers whose load is needed by their owner.
+func (service *service) serversToRefresh(now time.Time) map[target][]string {
+	requests := make(map[target][]string)
 	service.fleet.Servers(func(server *query.Server) {
 		if !service.fleet.NeedsRefresh(now, server) {
 			return
 		}
 		owner := service.routes[server.Name].first
 		if owner.id != "" {
-			questions[owner] = append(questions[owner], server.Name)
+			requests[owner] = append(requests[owner], server.Name)
 		}
 	})
-	return questions
+	return requests
 }
 
-func (service *service) ask(questions map[target][]string, ended chan struct{}) {
+func (service *service) requestLoads(requests map[target][]string, done chan struct{}) {
 	ctx, cancel := context.WithTimeout(context.Background(), refreshTimeout)
 	defer cancel()
 	var group sync.WaitGroup
-	for owner, servers := range questions {
+	for owner, servers := range requests {
 		group.Go(func() {
 			request := &message.LoadRequest{Service: service.name, Servers: servers}
 			reply, err := service.scatterer.loads(ctx, owner, request)
@@ -174,7 +176,7 @@
 	service.mutex.Lock()
 	service.refreshing = nil
 	service.mutex.Unlock()
-	close(ended)
+	close(done)
 }
 
 func (scatterer *Scatterer) loads(ctx context.Context, owner target, request *message.LoadRequest) (*message.LoadReply, error) {
--- a/internal/scatter/types.go
+++ b/internal/scatter/types.go
@@ -11,22 +11,22 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// Query is one request of a caller.
+// Query is a caller's request.
 type Query struct {
 	RequestID string
-	// Service is the revision that the gateway knows; the query works by it or,
-	// if another query has already seen a newer one, by that.
+	// Service is the revision known to the gateway. The query uses it, or a newer
+	// one if another query has already supplied that.
 	Service *config.Service
 	Body    []byte
-	// Timeout is how long the caller waits.
+	// Timeout is the time until the deadline of the query.
 	Timeout    time.Duration
 	Repeatable bool
 	Class      v1.Class
-	// MinimumCoverage replaces the service's minimum, 0 to 1; nil keeps that.
+	// MinimumCoverage overrides the service's minimum, 0 to 1; nil keeps it.
 	MinimumCoverage *float64
 }
 
-// Answer is what the caller gets.
+// Answer is the response to the caller.
 type Answer struct {
 	Revision int64
 	Snapshot int64
@@ -37,7 +37,7 @@
 	Failure *verdict.Error
 }
 
-// Coverage tells which shards an answer covers.
+// Coverage describes which shards an answer covers.
 type Coverage struct {
 	Shards  int
 	Covered int
@@ -56,7 +56,7 @@
 	Body  []byte
 }
 
-// Members gives the members of the system, this node included.
+// Members lists the cluster members, including this node.
 type Members interface {
 	Members() []swim.Member
 }
@@ -67,7 +67,7 @@
 	Loads(ctx context.Context, address string, request *message.LoadRequest) (*message.LoadReply, error)
 }
 
-// LocalOwner is the owner role of this node.
+// LocalOwner is this node's own owner role.
 type LocalOwner interface {
 	Execute(ctx context.Context, request *message.SubRequest) *message.SubReply
 	Loads(request *message.LoadRequest) *message.LoadReply
@@ -82,7 +82,7 @@
 	Members Members
 	Owners  Owners
 	Local   LocalOwner
-	// Seed is that of choices by chance; zero takes one at random.
+	// Seed seeds random choices; zero selects a random seed.
 	Seed uint64
 	// Metrics may be nil.
 	Metrics *Metrics
