--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BenchmarkExecute takes attempts through admission and over loopback to a
-// minimal server in the same process, whose cost is included.
+// BenchmarkExecute runs attempts through admission and over loopback to a minimal
+// server in the same process, whose cost is included.
 func BenchmarkExecute(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,12 +28,12 @@
 	}}
 	go func() { _ = server.Serve(listener) }()
 	defer func() { _ = server.Shutdown() }()
-	rig := newRig(v1.Server{Name: testServer, Address: listener.Addr().String(), Slots: 32, Connections: 64})
-	rig.manager.options.Dial = nil
+	tb := newTestbed(v1.Server{Name: testServer, Address: listener.Addr().String(), Slots: 32, Connections: 64})
+	tb.manager.options.Dial = nil
 	b.ReportAllocs()
 	b.RunParallel(func(loop *testing.PB) {
 		for loop.Next() {
-			reply := rig.manager.Execute(b.Context(), &message.SubRequest{
+			reply := tb.manager.Execute(b.Context(), &message.SubRequest{
 				RequestID:       "request-0123456789",
 				AttemptID:       1,
 				Service:         testService,
--- a/internal/owner/doc.go
+++ b/internal/owner/doc.go
@@ -1,3 +1,3 @@
 // Package owner runs the admission core for every server that this node owns and
-// carries sub-requests to the back ends.
+// sends sub-requests to the back ends.
 package owner
--- a/internal/owner/execution.go
+++ b/internal/owner/execution.go
@@ -11,18 +11,18 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// execution is a started attempt. Its outcome and its end at the server come in
-// either order: one that was given up may go on at the server for a while.
+// execution is a started attempt. Its outcome and its end at the server occur in
+// either order: a cancelled attempt may keep running at the server for a while.
 type execution struct {
 	server *server
 	id     admission.ID
 	// request is the caller's request, for the log.
 	request string
-	// first is set by whichever of judge and end comes first.
+	// first is set by whichever of recordOutcome and end is called first.
 	first atomic.Bool
 }
 
-// end notes that the server stopped working for the attempt.
+// end records that the server has stopped running the attempt.
 func (execution *execution) end() {
 	if execution.first.CompareAndSwap(false, true) {
 		return
@@ -32,13 +32,14 @@
 	execution.server.apply(execution.server.core.Release(execution.server.options.Now(), execution.id))
 }
 
-// judge counts the outcome, and the end as well if that came before.
-func (execution *execution) judge(result backend.Result) {
+// recordOutcome records the outcome in the admission core, and releases the slot
+// if the end was already reported.
+func (execution *execution) recordOutcome(result backend.Result) {
 	server := execution.server
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	now := server.options.Now()
-	server.learn(now, result.Draining, result.SnapshotsHeld)
+	server.observe(now, result.Draining, result.SnapshotsHeld)
 	outcome := outcomeOf(result)
 	server.apply(server.core.RecordOutcome(now, execution.id, outcome))
 	server.log.state(server.core.View())
--- a/internal/owner/logs.go
+++ b/internal/owner/logs.go
@@ -9,16 +9,16 @@
 	"k8s.io/klog/v2"
 )
 
-// faultLogInterval is the least time between log lines on faults of one server,
-// which may come with every request.
+// faultLogInterval is the minimum time between log lines on failures of one server,
+// since failures may occur with every request.
 const faultLogInterval = time.Second
 
-// serverLog writes what happens to one server. The mutex of the server guards it.
+// serverLog logs the events of one server. The mutex of the server guards it.
 type serverLog struct {
 	service string
 	server  string
 	faults  rate.Sometimes
-	// last is the state that was logged last.
+	// last is the last logged state.
 	last admission.View
 }
 
@@ -26,7 +26,7 @@
 	return serverLog{service: service, server: server, faults: rate.Sometimes{Interval: faultLogInterval}}
 }
 
-// state logs that the server drains, is ejected, or is back.
+// state logs changes of the server's draining and ejection.
 func (log *serverLog) state(view admission.View) {
 	if view.Draining != log.last.Draining {
 		klog.InfoS("server draining changed", "service", log.service, "server", log.server, "draining", view.Draining)
@@ -37,7 +37,7 @@
 	log.last = view
 }
 
-// fault logs an attempt that failed at the server, other than by its refusal.
+// fault logs an attempt that failed at the server, except for refusals.
 func (log *serverLog) fault(request string, failure *verdict.Error) {
 	log.faults.Do(func() {
 		klog.InfoS("attempt failed at the server", "service", log.service, "server", log.server, "request", request,
--- a/internal/owner/manager.go
+++ b/internal/owner/manager.go
@@ -12,31 +12,31 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// Services is the accepted configuration as this node knows it.
+// Services is this node's view of the accepted configuration.
 type Services interface {
 	Service(name string) (*config.Service, bool)
 	Services() []*config.Service
 }
 
-// Ownership tells which servers this node owns, by placement.
+// Ownership reports which servers this node owns by placement.
 type Ownership interface {
 	Owns(service, server string) bool
 }
 
-// Machines tells what the platform's machine list says.
+// Machines provides access to the platform's machine list.
 type Machines interface {
-	// Leaving tells whether the machine at the IP:port is listed as leaving.
+	// Leaving reports whether the machine of the IP:port is listed as leaving.
 	Leaving(address string) bool
 }
 
 // Options configures a Manager.
 type Options struct {
 	Services Services
-	// Ownership selects the servers that Run polls; nil polls those in use.
+	// Ownership selects the servers that Run polls; nil polls only servers in use.
 	Ownership Ownership
 	// Machines may be nil.
 	Machines Machines
-	// Now reads the clock; nil means time.Now, whose monotonic part counts.
+	// Now reads the clock; nil means time.Now. Its monotonic reading is required.
 	Now func() time.Time
 	// Dial opens connections to servers; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -45,7 +45,7 @@
 }
 
 // Manager holds the admission state and the connections of every server that
-// this node serves. A server is taken up when it is first asked for.
+// this node serves. The state of a server is created on its first use.
 type Manager struct {
 	options Options
 	pauses  pauseDetector
@@ -53,7 +53,7 @@
 	mutex    sync.Mutex
 	servers  map[serverKey]*server
 	stopping bool
-	// active counts attempts that were let in and have not been answered.
+	// active counts attempts that were accepted and have not been answered.
 	active sync.WaitGroup
 }
 
@@ -76,8 +76,8 @@
 	}
 }
 
-// Execute runs one attempt at one server and answers it, whole or by a failure
-// with its verdict. It never sends an attempt more than once.
+// Execute runs one attempt at one server and returns its parts, or a failure with
+// its verdict. It never runs an attempt more than once.
 func (manager *Manager) Execute(ctx context.Context, request *message.SubRequest) *message.SubReply {
 	now := manager.options.Now()
 	deadline := now.Add(time.Duration(request.RemainingMicros)*time.Microsecond - manager.pauses.lost(now))
@@ -97,7 +97,7 @@
 	return reply
 }
 
-// enter counts an attempt in, unless the node is stopping.
+// enter registers an attempt as active, unless the node is stopping.
 func (manager *Manager) enter() *verdict.Error {
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// find returns the server of a request by the newest revision known here.
+// find returns the server of a request according to this node's newest revision.
 func (manager *Manager) find(now time.Time, request *message.SubRequest) (*server, *verdict.Error) {
 	service, ok := manager.options.Services.Service(request.Service)
 	if !ok {
@@ -124,8 +124,8 @@
 	return nil, verdict.New(verdict.NotRun, verdict.CodeRevisionMismatch, "server %q is not known in revision %d", request.Server, service.Revision)
 }
 
-// server returns the state of a server, brought up to date with the service,
-// or nil when the service does not name it.
+// server returns the state of a server, updated to the service's revision, or nil
+// if the service does not list it.
 func (manager *Manager) server(now time.Time, service *config.Service, name string) *server {
 	key := serverKey{service: service.Name, server: name}
 	manager.mutex.Lock()
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Loads tells what is known of servers of a service. Servers whose index
-// versions are not known yet are asked for them in the background.
+// Loads returns the loads of servers of a service. Servers whose index versions
+// are not known yet are polled in the background.
 func (manager *Manager) Loads(request *message.LoadRequest) *message.LoadReply {
 	reply := &message.LoadReply{}
 	service, ok := manager.options.Services.Service(request.Service)
@@ -184,7 +184,7 @@
 	return reply
 }
 
-// Stop refuses new attempts as NotRun and waits until all that were let in are
+// Stop refuses new attempts as NotRun and waits until all accepted attempts are
 // answered, or ctx is done.
 func (manager *Manager) Stop(ctx context.Context) error {
 	manager.mutex.Lock()
--- a/internal/owner/pause.go
+++ b/internal/owner/pause.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// heartbeatInterval is how often a running process notes that it runs.
+	// heartbeatInterval is the time between heartbeats of a running process.
 	heartbeatInterval = 25 * time.Millisecond
-	// pauseThreshold is the gap between notes from which the process counts as
-	// having been paused.
+	// pauseThreshold is the gap between heartbeats above which the process is
+	// considered to have been paused.
 	pauseThreshold = 150 * time.Millisecond
-	// pauseGrace is how long after a pause requests may still come out of
-	// buffers that filled during it.
+	// pauseGrace is how long after a pause requests may still be read from buffers
+	// that were filled during it.
 	pauseGrace = 100 * time.Millisecond
 )
 
-// pauseDetector notices that the process was stopped (SIGSTOP, a frozen machine).
-// Requests read soon after may have waited in a socket buffer for all of the
-// pause, so that their remaining time is shorter by as much.
+// pauseDetector detects that the process was paused (SIGSTOP, a frozen machine).
+// Requests read soon after may have been in a socket buffer for the whole pause,
+// which shortens their remaining time by its length.
 type pauseDetector struct {
 	mutex sync.Mutex
-	// seen is the last note; zero until the first, before which nothing is detected.
+	// seen is the last heartbeat; zero before the first, when nothing is detected.
 	seen time.Time
-	// ended and length describe the last pause.
+	// ended and length are the end and the length of the last pause.
 	ended  time.Time
 	length time.Duration
 }
 
-// beat notes that the process runs.
+// beat records a heartbeat.
 func (detector *pauseDetector) beat(now time.Time) {
 	detector.mutex.Lock()
 	defer detector.mutex.Unlock()
-	detector.note(now)
+	detector.detectPause(now)
 	detector.seen = now
 }
 
-func (detector *pauseDetector) note(now time.Time) {
+func (detector *pauseDetector) detectPause(now time.Time) {
 	if detector.seen.IsZero() {
 		return
 	}
@@ -50,11 +50,12 @@
 	}
 }
 
-// lost is the time that a request read now may have waited unseen.
+// lost returns the time that a request read now may have spent in a buffer during
+// a pause.
 func (detector *pauseDetector) lost(now time.Time) time.Duration {
 	detector.mutex.Lock()
 	defer detector.mutex.Unlock()
-	detector.note(now)
+	detector.detectPause(now)
 	if detector.length == 0 || now.Sub(detector.ended) > pauseGrace {
 		return 0
 	}
--- a/internal/owner/poll.go
+++ b/internal/owner/poll.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// poll asks the server for its load: index versions, and a hint of draining.
+// poll requests the server's load: its index versions and a draining hint.
 func (server *server) poll(ctx context.Context) {
 	server.mutex.Lock()
 	busy := server.polling
@@ -25,13 +25,13 @@
 		if !load.Draining && now.Sub(server.drainSeen) > drainHold {
 			server.drainSeen = time.Time{}
 		}
-		server.learn(now, load.Draining, server.notOlder(load.Snapshots))
+		server.observe(now, load.Draining, server.notOlder(load.Snapshots))
 	}
 	server.updateDrain(now)
 }
 
-// notOlder returns what a poll said of the index versions, or nil when replies
-// have told of newer ones: the load endpoint lags.
+// notOlder returns the polled index versions, or nil if replies have already
+// reported newer ones, since the load endpoint lags.
 func (server *server) notOlder(polled []int64) []int64 {
 	if len(polled) == 0 || len(server.held) == 0 || slices.Max(polled) >= slices.Max(server.held) {
 		return polled
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// learn takes over what a reply or a poll told. The mutex is held. The slice is
-// replaced, never changed, for reports share it.
-func (server *server) learn(now time.Time, draining bool, held []int64) {
+// observe applies the state reported by a reply or a poll. The mutex is held. The
+// slice is replaced, never modified, because load reports share it.
+func (server *server) observe(now time.Time, draining bool, held []int64) {
 	if draining {
 		server.drainSeen = now
 		server.updateDrain(now)
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// pollInterval is how often a server is asked for its load.
+	// pollInterval is how often a server's load is polled.
 	pollInterval = time.Second
-	// pollConcurrency bounds the load polls at a time.
+	// pollConcurrency bounds the number of concurrent load polls.
 	pollConcurrency = 16
-	// unusedAfter is how long the state of a server is kept that this node neither
-	// owns nor is asked for.
-	unusedAfter = 10 * time.Second
+	// unusedTimeout is how long the state of an idle server is kept after its last
+	// use; servers that this node owns are always in use.
+	unusedTimeout = 10 * time.Second
 )
 
-// Run polls the servers that this node owns or serves, lets go of servers that
-// left the configuration, and watches for pauses of the process, until ctx ends.
+// Run polls the servers that this node owns or serves, removes servers that are no
+// longer configured, and detects pauses of the process, until ctx ends.
 func (manager *Manager) Run(ctx context.Context) {
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -50,10 +50,10 @@
 	}
 }
 
-// reconcile does one round of polls and removals.
+// reconcile updates the set of servers and polls all of them once.
 func (manager *Manager) reconcile(ctx context.Context) {
 	now := manager.options.Now()
-	wanted := manager.takeUp(now)
+	wanted := manager.updateServers(now)
 	var polls errgroup.Group
 	polls.SetLimit(pollConcurrency)
 	for _, server := range wanted {
@@ -65,10 +65,10 @@
 	_ = polls.Wait()
 }
 
-// takeUp creates the state of owned servers, brings all to the newest revision,
-// lets go of those that left the configuration or are no longer used here, and
-// returns what remains.
-func (manager *Manager) takeUp(now time.Time) []*server {
+// updateServers creates the state of owned servers, applies the newest revision to
+// all servers, removes those that are no longer configured or used here, and
+// returns the remaining ones.
+func (manager *Manager) updateServers(now time.Time) []*server {
 	configured := make(map[serverKey]*config.Service)
 	for _, service := range manager.options.Services.Services() {
 		for index := range service.Spec.Servers {
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	kept, removed := manager.sift(now, configured)
+	kept, removed := manager.removeUnused(now, configured)
 	for _, server := range removed {
 		server.remove(now)
 	}
@@ -93,15 +93,16 @@
 	return manager.options.Ownership != nil && manager.options.Ownership.Owns(key.service, key.server)
 }
 
-// sift takes out the servers that have left the configuration or that another
-// node owns and nobody asks for here: their connections count at the server.
-func (manager *Manager) sift(now time.Time, configured map[serverKey]*config.Service) (map[serverKey]*server, []*server) {
+// removeUnused removes the servers that are no longer configured, or that another
+// node owns and that are unused here: their connections count at the server. It
+// returns the kept and the removed servers.
+func (manager *Manager) removeUnused(now time.Time, configured map[serverKey]*config.Service) (map[serverKey]*server, []*server) {
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
 	kept := make(map[serverKey]*server, len(manager.servers))
 	var removed []*server
 	for key, server := range manager.servers {
-		unused := now.Sub(server.usedAt) > unusedAfter && server.idle()
+		unused := now.Sub(server.usedAt) > unusedTimeout && server.idle()
 		if configured[key] != nil && !unused {
 			kept[key] = server
 			continue
--- a/internal/owner/server.go
+++ b/internal/owner/server.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// pollConnections are kept free of attempts, for load polls.
+	// pollConnections is the number of connections reserved for load polls.
 	pollConnections = 1
 	// pollTimeout bounds one load poll.
 	pollTimeout = 500 * time.Millisecond
 	// shedRetries is how often an attempt that the server shed is queued again.
 	shedRetries = 1
-	// drainHold is how long an announcement of draining holds against a load
-	// endpoint that says otherwise, for that one lags.
+	// drainHold is how long an announced drain overrides a load endpoint that
+	// reports no draining, since that endpoint lags.
 	drainHold = 15 * time.Second
 )
 
-// server is one back-end server: its admission core, its connections, and what
-// its replies told.
+// server is one back-end server: its admission core, its connections, and the
+// state reported by its replies.
 type server struct {
 	options  Options
 	name     string
 	revision atomic.Int64
-	// usedAt is when the server was last asked for; the manager's mutex guards it.
+	// usedAt is when the server was last used; the manager's mutex guards it.
 	usedAt time.Time
 
 	mutex   sync.Mutex
@@ -42,21 +42,21 @@
 	path    string
 	waiters map[admission.ID]*waiter
 	lastID  admission.ID
-	// held are the index versions that the server last said it holds.
+	// held are the index versions that the server last reported.
 	held []int64
-	// drainOrdered is the state in the resource; drainSeen is when the server
-	// last announced itself that it drains, zero for never.
+	// drainOrdered is the draining state in the resource; drainSeen is when the
+	// server itself last announced draining, zero for never.
 	drainOrdered bool
 	drainSeen    time.Time
 	polling      bool
 	log          serverLog
 }
 
-// waiter is an attempt between its offer and its decision.
+// waiter is an attempt offered to the admission core and not decided yet.
 type waiter struct {
 	decided bool
 	failure *verdict.Error
-	// ready is made only when the attempt has to wait.
+	// ready is created only if the attempt has to wait.
 	ready chan struct{}
 }
 
@@ -78,7 +78,7 @@
 	}
 }
 
-// configure takes over a newer revision of the resource.
+// configure applies a newer revision of the resource.
 func (server *server) configure(now time.Time, service *config.Service, spec *v1.Server) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -95,8 +95,8 @@
 	server.revision.Store(service.Revision)
 }
 
-// update takes over the service's revision if it is newer, looks at the sources
-// that say whether the server leaves, and closes connections that have been idle for long.
+// update applies the service's revision if it is newer, re-evaluates the draining
+// signals, and closes connections that have been idle for too long.
 func (server *server) update(now time.Time, service *config.Service) {
 	if service.Revision > server.revision.Load() {
 		if spec := serverSpec(service, server.name); spec != nil {
@@ -110,7 +110,7 @@
 	client.CloseIdle()
 }
 
-// connect replaces the client; attempts under way end on the old one.
+// connect replaces the client; attempts in flight finish on the old one.
 func (server *server) connect(spec *v1.Server, path string) {
 	if server.client != nil {
 		server.client.Close()
@@ -127,7 +127,8 @@
 	})
 }
 
-// updateDrain tells the core whether any source says that the server leaves.
+// updateDrain passes to the core whether any source reports that the server is
+// draining: the resource, the server itself or the machine list.
 func (server *server) updateDrain(now time.Time) {
 	leaving := server.options.Machines != nil && server.options.Machines.Leaving(server.address)
 	draining := server.drainOrdered || !server.drainSeen.IsZero() || leaving
@@ -135,7 +136,7 @@
 	server.log.state(server.core.View())
 }
 
-// remove refuses what waits and closes connections as they become idle.
+// remove refuses the queued attempts and closes connections as they become idle.
 func (server *server) remove(now time.Time) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -143,9 +144,9 @@
 	server.client.Close()
 }
 
-// execute takes one attempt from its offer to its answer. An attempt that the
-// server sheds has not run: it waits once more for a free slot, instead of
-// costing the gateway a retry.
+// execute runs one attempt and fills in its reply. An attempt that the server sheds
+// has not run: it is queued once more for a free slot, which saves the gateway a
+// retry.
 func (server *server) execute(ctx context.Context, request *message.SubRequest, deadline time.Time, reply *message.SubReply) {
 	for remaining := shedRetries; ; remaining-- {
 		result := server.attempt(ctx, request, deadline)
@@ -165,18 +166,18 @@
 	}
 	state := &execution{server: server, id: id, request: request.RequestID}
 	result := client.Do(ctx, backendRequest(request, deadline), state.end)
-	state.judge(result)
+	state.recordOutcome(result)
 	return result
 }
 
-// shed tells whether the server refused for load, and certainly did not run the attempt.
+// shed reports whether the server refused the attempt because of load, without running it.
 func shed(result backend.Result) bool {
 	failure := result.Failure
 	return failure != nil && failure.Verdict == verdict.NotRun && failure.Code == verdict.CodeShed
 }
 
-// admit waits for the start of an attempt, or returns why it was refused. A
-// refused attempt was not sent and never will be.
+// admit waits until the attempt may be sent, or returns why it was refused. A
+// refused attempt was not and will not be sent.
 func (server *server) admit(ctx context.Context, class v1.Class, deadline time.Time) (admission.ID, *backend.Client, *verdict.Error) {
 	server.mutex.Lock()
 	now := server.options.Now()
@@ -199,13 +200,13 @@
 		server.wait(ctx, id, waiter, deadline)
 	}
 	if waiter.failure == nil && ctx.Err() != nil {
-		return 0, nil, server.giveBack(id)
+		return 0, nil, server.releaseUnsent(id)
 	}
 	return id, client, waiter.failure
 }
 
-// wait returns when the attempt is decided; cancellation and the deadline make
-// it so.
+// wait returns when the attempt is decided. On cancellation or at the deadline it
+// cancels the attempt, which decides it.
 func (server *server) wait(ctx context.Context, id admission.ID, waiter *waiter, deadline time.Time) {
 	timer := time.NewTimer(deadline.Sub(server.options.Now()))
 	defer timer.Stop()
@@ -221,15 +222,15 @@
 	<-waiter.ready
 }
 
-// giveBack returns the slot of an attempt that was started and not sent.
-func (server *server) giveBack(id admission.ID) *verdict.Error {
+// releaseUnsent frees the slot of an attempt that was admitted but not sent.
+func (server *server) releaseUnsent(id admission.ID) *verdict.Error {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.apply(server.core.Release(server.options.Now(), id))
-	return verdict.New(verdict.NotRun, verdict.CodeCanceled, "given up before it was sent")
+	return verdict.New(verdict.NotRun, verdict.CodeCanceled, "canceled before it was sent")
 }
 
-// apply hands decisions of the core to those who wait for them. The mutex is held.
+// apply passes decisions of the core to their waiters. The mutex is held.
 func (server *server) apply(actions []admission.Action) {
 	for _, action := range actions {
 		waiter := server.waiters[action.ID]
@@ -242,7 +243,7 @@
 	}
 }
 
-// load reports the state to gateways.
+// load returns the state as reported to gateways.
 func (server *server) load() message.ServerLoad {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
@@ -259,7 +260,7 @@
 	}
 }
 
-// idle tells that nothing runs or waits here.
+// idle reports whether no attempt is in flight or queued.
 func (server *server) idle() bool {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
