--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -17,7 +17,7 @@
 	defaultMaxIdle       = 30 * time.Second
 )
 
-// longAgo is a deadline that interrupts reads and writes at once.
+// longAgo is a past deadline that interrupts reads and writes at once.
 var longAgo = time.Unix(1, 0)
 
 // Options configures a Client.
@@ -34,16 +34,17 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Client sends attempts to one server. HTTP is read and written by fasthttp's
-// Request and Response on connections of its own pool rather than by fasthttp's
-// client: only so it is known whether a byte was written, nothing is ever sent
-// twice, and an attempt can be cancelled by closing its connection.
+// Client sends attempts to one server. It uses fasthttp's Request and Response on
+// connections of its own pool instead of fasthttp's client: this makes it known
+// whether a byte was written, guarantees that nothing is sent twice, and allows
+// an attempt to be cancelled by closing its connection.
 type Client struct {
 	uri           string
 	loadURI       string
 	maxReplyBytes int
 	pool          pool
-	// attempts numbers the attempts, so that replies tell them apart.
+	// attempts is the number of the last attempt; the number identifies the attempt
+	// in its reply.
 	attempts atomic.Uint64
 }
 
@@ -81,14 +82,13 @@
 // CloseIdle closes the connections that have not been used for a while.
 func (client *Client) CloseIdle() { client.pool.closeIdle(time.Now()) }
 
-// Close closes idle connections at once and busy ones after their attempt.
+// Close closes idle connections at once and connections in use after their attempt.
 func (client *Client) Close() { client.pool.close() }
 
-// Do makes one attempt and never a second one. It returns when the attempt ends,
-// ctx is cancelled or the deadline of the request passes. ended is called once,
-// perhaps after Do has returned, when the server has stopped working for this
-// attempt as far as can be known: it answered, its connection closed, or the
-// deadline has passed.
+// Do makes exactly one attempt. It returns when the attempt ends, ctx is cancelled
+// or the deadline of the request passes. ended is called once, possibly after Do
+// has returned, when the server has stopped running this attempt as far as can be
+// known: it replied, its connection closed, or the deadline has passed.
 func (client *Client) Do(ctx context.Context, request *Request, ended func()) Result {
 	conn, err := client.pool.get(ctx, request.Deadline)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return verdict.New(verdict.NotRun, code, "connect: %v", err)
 }
 
-// exchange is one request and its reply on one connection.
+// exchange is one HTTP request and its reply on one connection.
 type exchange struct {
 	client  *Client
 	conn    *connection
@@ -154,7 +154,7 @@
 	return result
 }
 
-// transfer writes the request and reads the reply. The first result tells
+// transfer writes the request and reads the reply. The first result reports
 // whether the whole request was written.
 func (exchange *exchange) transfer(reply *fasthttp.Response) (bool, error) {
 	if err := exchange.write(); err != nil {
@@ -164,7 +164,7 @@
 	if err := reply.Header.Read(reader); err != nil {
 		return true, err
 	}
-	// Without a length or a terminator a cut cannot be told from the end.
+	// Without a length or a terminator, a truncated body looks complete.
 	if reply.Header.ContentLength() < -1 {
 		return true, errNoLength
 	}
@@ -184,7 +184,7 @@
 	return exchange.conn.writer.Flush()
 }
 
-// fail ends an exchange whose reply was not read whole.
+// fail ends an exchange whose reply was not read completely.
 func (exchange *exchange) fail(err error, complete, canceled bool, reply *fasthttp.Response) Result {
 	written := exchange.conn.written
 	timedOut := exchange.conn.timedOut
@@ -202,7 +202,7 @@
 	}
 	switch {
 	case canceled:
-		return Result{Failure: verdict.New(verdict.MayHaveRun, verdict.CodeCanceled, "given up while under way")}
+		return Result{Failure: verdict.New(verdict.MayHaveRun, verdict.CodeCanceled, "canceled in flight")}
 	case timedOut:
 		return Result{Failure: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no reply in time")}
 	case reply.Header.StatusCode() == fasthttp.StatusOK && string(reply.Header.Peek(HeaderRequestID)) == exchange.request.RequestID:
@@ -218,8 +218,9 @@
 	exchange.ended()
 }
 
-// abandon tells the server that the attempt is given up, and waits in the
-// background until the server closes the connection or the deadline passes.
+// abandon signals the server that the attempt is cancelled by closing the sending
+// side, and waits in the background until the server closes the connection or the
+// deadline passes.
 func (exchange *exchange) abandon() {
 	if !time.Now().Before(exchange.request.Deadline) || exchange.conn.closeWrite() != nil {
 		exchange.close()
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -17,11 +17,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// answer writes raw bytes in reply to one request and tells whether to go on.
+// answer writes raw bytes in reply to one request and reports whether the connection stays open.
 type answer func(conn net.Conn) bool
 
-// serve runs a server that answers the requests of all connections by the given
-// answers in turn, the last one for ever. It counts the requests it read.
+// serve runs a server that replies to the requests of all connections with the given
+// answers in order, repeating the last one. It counts the requests that it read.
 func serve(t *testing.T, answers ...answer) (string, *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +57,7 @@
 	}
 }
 
-// raw answers with a status line, headers, and a body of declared length.
+// raw returns an answer with a status line, headers, and a body with Content-Length.
 func raw(status int, headers, body string) answer {
 	return func(conn net.Conn) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 %d x\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
@@ -138,8 +138,8 @@
 	}
 }
 
-// A part must not change when its connection carries the next reply.
-func TestPartsOutliveTheConnectionBuffers(t *testing.T) {
+// A part must not change when the next reply is read from its connection.
+func TestPartsOutliveConnectionBuffers(t *testing.T) {
 	is := is.New(t)
 	address, _ := serve(t,
 		raw(200, goodHeaders, goodBody),
@@ -151,8 +151,8 @@
 	is.Equal(string(second.Parts[0].Body), `{"b":1}`)
 }
 
-// A reply that comes twice must not be taken for that of the next request.
-func TestSecondReplyIsNotTakenForTheNextRequest(t *testing.T) {
+// The second copy of a duplicated reply must not be used for the next request.
+func TestDuplicateReplyIsNotUsedForNextRequest(t *testing.T) {
 	is := is.New(t)
 	twice := func(conn net.Conn) bool {
 		raw(200, goodHeaders, goodBody)(conn)
@@ -168,9 +168,9 @@
 	is.True(result.Failure == nil || result.Failure.Code == verdict.CodeBadReply)
 }
 
-// A late copy of the refusal of one attempt is not the refusal of the next one
-// of the same request: that one may have run.
-func TestLateCopyOfARefusalIsNotTakenForTheNextAttempt(t *testing.T) {
+// A late copy of an attempt's refusal must not be used for the next attempt of the
+// same request, which may have run.
+func TestLateRefusalIsNotUsedForNextAttempt(t *testing.T) {
 	is := is.New(t)
 	refusal := "Driftstage-Request-Id: r1\r\nDriftstage-Attempt-Id: 1\r\nDriftstage-Not-Run: true\r\n"
 	late := func(conn net.Conn) bool {
@@ -207,13 +207,13 @@
 		result := client.Do(t.Context(), request(), func() {})
 		is.Equal(result.Failure, nil)
 		is.Equal(received.Load(), int32(count+1))
-		time.Sleep(20 * time.Millisecond) // lets the server's close arrive
+		time.Sleep(20 * time.Millisecond) // wait until the server's close has arrived
 	}
 }
 
-// Cancellation closes the sending side at once; the attempt counts, and its
-// connection too, until the server closes.
-func TestCancelReachesServer(t *testing.T) {
+// Cancellation closes the sending side at once; the attempt and its connection count
+// until the server closes.
+func TestCancellationReachesServer(t *testing.T) {
 	is := is.New(t)
 	seen := make(chan struct{})
 	finish := make(chan struct{})
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -12,13 +12,13 @@
 // the current request was accepted by the kernel: before that, NotRun is certain.
 type connection struct {
 	net.Conn
-	// raw gives access to the socket; nil when there is none.
+	// raw provides access to the socket; nil if there is none.
 	raw     syscall.RawConn
 	reader  *bufio.Reader
 	writer  *bufio.Writer
 	written bool
-	// timedOut tells that a read or write ran into the deadline; fasthttp's errors
-	// do not always say so.
+	// timedOut is set when a read or write has exceeded the deadline; fasthttp's
+	// errors do not always show it.
 	timedOut bool
 	idleAt   time.Time
 }
@@ -33,7 +33,7 @@
 	return conn
 }
 
-// Write sends bytes and remembers that it did.
+// Write writes to the connection and records whether any byte was written.
 func (conn *connection) Write(data []byte) (int, error) {
 	count, err := conn.Conn.Write(data)
 	if count > 0 {
@@ -43,7 +43,7 @@
 	return count, err
 }
 
-// Read receives bytes and remembers whether the deadline passed.
+// Read reads from the connection and records whether the deadline was exceeded.
 func (conn *connection) Read(data []byte) (int, error) {
 	count, err := conn.Conn.Read(data)
 	conn.noteTimeout(err)
@@ -60,9 +60,9 @@
 	}
 }
 
-// usable tells whether an idle connection is still open and silent. A server
-// that closed it, or sent bytes that nobody asked for, makes it useless: it is
-// better to learn that now than after a request was written.
+// usable reports whether an idle connection is still open and has no unread bytes.
+// A connection that the server has closed or sent unexpected bytes on is detected
+// here, before a request is written to it.
 func (conn *connection) usable() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
@@ -70,18 +70,18 @@
 	if conn.raw == nil {
 		return true
 	}
-	silent := false
+	noData := false
 	err := conn.raw.Read(func(descriptor uintptr) bool {
 		var probe [1]byte
 		_, _, receiveErr := syscall.Recvfrom(int(descriptor), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = receiveErr == syscall.EAGAIN
+		noData = receiveErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && noData
 }
 
-// closeWrite ends the sending side: the server sees the end of the stream, as
-// with a full close, while its own close can still be seen here.
+// closeWrite closes the sending side: the server reads the end of the stream, as
+// with a full close, while its own close can still be detected here.
 func (conn *connection) closeWrite() error {
 	if half, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -1,3 +1,4 @@
-// Package backend speaks the HTTP protocol of the back ends: one attempt each, no
-// retries by the library, verdicts from what was written and read.
+// Package backend implements the HTTP client protocol of the back ends. It makes
+// one attempt per call, without retries by the HTTP library, and derives the
+// verdict from what was written and read.
 package backend
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -14,7 +14,7 @@
 	maxLoadBytes = 64 << 10
 )
 
-// Load is what a server says of itself. It lags and may mislead: a hint only.
+// Load is a server's own load report. It lags and may be wrong: use it as a hint only.
 type Load struct {
 	Running   int     `json:"running"`
 	Slots     int     `json:"slots"`
@@ -22,7 +22,7 @@
 	Draining  bool    `json:"draining"`
 }
 
-// Load asks the server for its load. It uses a connection of the same limit.
+// Load requests the server's load. Its connection counts against the client's limit.
 func (client *Client) Load(ctx context.Context, deadline time.Time) (Load, error) {
 	conn, err := client.pool.get(ctx, deadline)
 	if err != nil {
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -14,8 +14,8 @@
 	errClosed          = errors.New("client is closed")
 )
 
-// pool keeps the connections to one server under a limit. A connection counts
-// from before it is dialled until it is closed, idle ones included.
+// pool limits the connections to one server. A connection counts from before it is
+// dialled until it is closed, including while it is idle.
 type pool struct {
 	dial    func(ctx context.Context) (net.Conn, error)
 	maxIdle time.Duration
@@ -27,8 +27,8 @@
 	closed bool
 }
 
-// get returns an idle connection or dials one until the deadline. The error is errConnectionLimit,
-// errClosed or that of the dial; nothing was sent in any case.
+// get returns an idle connection or dials a new one within the deadline. The error is errConnectionLimit,
+// errClosed or a dial error; in each case nothing was sent.
 func (pool *pool) get(ctx context.Context, deadline time.Time) (*connection, error) {
 	for {
 		conn, err := pool.takeIdle()
@@ -53,8 +53,8 @@
 	return newConnection(raw), nil
 }
 
-// takeIdle returns the youngest idle connection, or nil after it has counted
-// one to be dialled.
+// takeIdle returns the most recently used idle connection. If there is none, it
+// reserves a connection for the caller to dial and returns nil.
 func (pool *pool) takeIdle() (*connection, error) {
 	pool.mutex.Lock()
 	defer pool.mutex.Unlock()
@@ -74,7 +74,7 @@
 	return nil, nil
 }
 
-// put gives a healthy connection back for the next request.
+// put returns a healthy connection to the pool.
 func (pool *pool) put(conn *connection) {
 	_ = conn.SetDeadline(time.Time{})
 	conn.written = false
@@ -111,7 +111,7 @@
 	}
 }
 
-// takeSurplus removes idle connections over the limit; the caller closes them.
+// takeSurplus removes idle connections above the limit; the caller closes them.
 func (pool *pool) takeSurplus() []*connection {
 	count := min(max(pool.open-pool.limit, 0), len(pool.idle))
 	surplus := slices.Clone(pool.idle[:count])
@@ -119,23 +119,23 @@
 	return surplus
 }
 
-// closeIdle closes the connections that have been idle for too long; the eldest
-// come first in the list.
+// closeIdle closes the connections that have been idle for too long. The list is
+// sorted by idle time, longest first.
 func (pool *pool) closeIdle(now time.Time) {
 	pool.mutex.Lock()
 	count := 0
 	for count < len(pool.idle) && now.Sub(pool.idle[count].idleAt) >= pool.maxIdle {
 		count++
 	}
-	old := slices.Clone(pool.idle[:count])
+	expired := slices.Clone(pool.idle[:count])
 	pool.idle = slices.Delete(pool.idle, 0, count)
 	pool.mutex.Unlock()
-	for _, conn := range old {
+	for _, conn := range expired {
 		pool.discard(conn)
 	}
 }
 
-// close closes the idle connections now and the others when they are given back.
+// close closes the idle connections now and the others when they are returned.
 func (pool *pool) close() {
 	pool.mutex.Lock()
 	pool.closed = true
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -13,24 +13,24 @@
 
 // Headers of the protocol between an owner and a back-end server.
 const (
-	// HeaderRequestID names the caller's request; replies echo it.
+	// HeaderRequestID identifies the caller's request; replies echo it.
 	HeaderRequestID = "Driftstage-Request-Id"
-	// HeaderAttemptID tells the attempts of one owner at one server apart; servers
-	// that know it echo it, so that a late copy of an earlier reply is noticed.
+	// HeaderAttemptID identifies an attempt of one owner at one server; servers that
+	// support it echo it, so that a late copy of an earlier reply is detected.
 	HeaderAttemptID = "Driftstage-Attempt-Id"
-	// HeaderShards lists the shards asked or answered, such as "0,3".
+	// HeaderShards lists the shards requested or returned, such as "0,3".
 	HeaderShards = "Driftstage-Shards"
-	// HeaderPartitions is the number of shards of the map that the sender works by.
+	// HeaderPartitions is the number of shards of the sender's shard map.
 	HeaderPartitions = "Driftstage-Partitions"
-	// HeaderSnapshot is the index version asked or answered; 0 asks for any.
+	// HeaderSnapshot is the index version requested or returned; 0 requests any.
 	HeaderSnapshot = "Driftstage-Snapshot"
 	// HeaderSnapshotsHeld lists the index versions that the server holds.
 	HeaderSnapshotsHeld = "Driftstage-Snapshots-Held"
-	// HeaderDeadline is the time left, in milliseconds.
+	// HeaderDeadline is the remaining time in milliseconds.
 	HeaderDeadline = "Driftstage-Deadline-Millis"
-	// HeaderNotRun is "true" when the server promises that it did not run the request.
+	// HeaderNotRun is "true" if the server guarantees that it did not run the request.
 	HeaderNotRun = "Driftstage-Not-Run"
-	// HeaderDraining is "true" when the server is leaving.
+	// HeaderDraining is "true" if the server is draining.
 	HeaderDraining = "Driftstage-Draining"
 )
 
@@ -45,26 +45,26 @@
 	// Snapshot is the pinned index version; 0 accepts any.
 	Snapshot int64
 	Body     []byte
-	// Deadline is when the attempt is given up.
+	// Deadline is when the attempt is abandoned.
 	Deadline time.Time
 }
 
-// Part is the answer of one shard. Its body belongs to the receiver.
+// Part is the answer of one shard. The receiver owns its body.
 type Part struct {
 	Shard v1.ShardID
 	Body  []byte
 }
 
-// Result is the outcome of one attempt: all parts asked for, or a failure.
+// Result is the outcome of one attempt: all requested parts, or a failure.
 type Result struct {
 	// Snapshot is the index version of the parts.
 	Snapshot int64
 	Parts    []Part
-	// Failure is nil when the parts are there.
+	// Failure is nil if Parts is complete.
 	Failure *verdict.Error
-	// Draining tells that the server announced that it is leaving.
+	// Draining is set if the server announced that it is draining.
 	Draining bool
-	// SnapshotsHeld is what the server said it holds; nil when it did not say.
+	// SnapshotsHeld are the index versions that the server reported; nil for no report.
 	SnapshotsHeld []int64
 }
 
@@ -91,8 +91,8 @@
 	return string(text)
 }
 
-// parseVersions reads a list such as "40,41"; it returns nil when it is malformed.
-func parseVersions(text string) []int64 {
+// parseList parses a list of integers such as "40,41"; it returns nil if the list is malformed.
+func parseList(text string) []int64 {
 	if text == "" {
 		return nil
 	}
@@ -108,7 +108,7 @@
 	return versions
 }
 
-// writeHeader fills in everything of an HTTP request but its body.
+// writeHeader fills in an HTTP request except for its body.
 func writeHeader(target *fasthttp.Request, uri, attempt string, request *Request, remaining time.Duration) {
 	target.SetRequestURI(uri)
 	header := &target.Header
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -11,24 +11,24 @@
 	"github.com/valyala/fasthttp"
 )
 
-// interpret turns a completely read reply into a result. The second result
-// tells whether the reply was certainly meant for this request, without which
-// its connection must not be used again.
+// interpret converts a complete reply into a result. The second result reports
+// whether the reply is certainly the one to this request; otherwise its connection
+// must not be reused.
 func interpret(request *Request, attempt string, reply *fasthttp.Response) (Result, bool) {
 	header := &reply.Header
 	result := Result{
 		Draining:      string(header.Peek(HeaderDraining)) == valueTrue,
-		SnapshotsHeld: parseVersions(string(header.Peek(HeaderSnapshotsHeld))),
+		SnapshotsHeld: parseList(string(header.Peek(HeaderSnapshotsHeld))),
 	}
-	echoed := string(header.Peek(HeaderRequestID))
-	matches := echoed == request.RequestID
-	if echoed != "" && !matches {
-		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply is for request %q", echoed)
+	requestID := string(header.Peek(HeaderRequestID))
+	matches := requestID == request.RequestID
+	if requestID != "" && !matches {
+		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply is for request %q", requestID)
 		result.SnapshotsHeld = nil
 		return result, false
 	}
-	if answered := string(header.Peek(HeaderAttemptID)); answered != "" && answered != attempt {
-		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply is for attempt %q", answered)
+	if attemptID := string(header.Peek(HeaderAttemptID)); attemptID != "" && attemptID != attempt {
+		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply is for attempt %q", attemptID)
 		return result, false
 	}
 	if reply.StatusCode() != fasthttp.StatusOK {
@@ -36,15 +36,15 @@
 		return result, matches
 	}
 	if !matches {
-		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply names no request")
+		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply has no request id")
 		return result, false
 	}
 	result.Failure = readParts(request, reply, &result)
 	return result, result.Failure == nil
 }
 
-// refusal reads a reply other than 200. Only the explicit promise of the server
-// makes it NotRun.
+// refusal converts a reply with a status other than 200. It is NotRun only if the
+// server says so explicitly.
 func refusal(reply *fasthttp.Response) *verdict.Error {
 	header := &reply.Header
 	status := reply.StatusCode()
@@ -66,8 +66,8 @@
 	return failure
 }
 
-// readParts takes the parts of a reply, all or none: they must be for this
-// request, of the pinned version, and of exactly the shards asked for.
+// readParts reads all parts of a reply, or none: they must be for this request, of
+// the pinned version, and of exactly the requested shards.
 func readParts(request *Request, reply *fasthttp.Response, result *Result) *verdict.Error {
 	bad := func(format string, args ...any) *verdict.Error {
 		return verdict.New(verdict.Ran, verdict.CodeBadReply, format, args...)
@@ -79,8 +79,8 @@
 	if body.RequestID != request.RequestID {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply body is for request %q", body.RequestID)
 	}
-	declared, err := strconv.ParseInt(string(reply.Header.Peek(HeaderSnapshot)), 10, 64)
-	if err != nil || declared != body.Snapshot {
+	headerSnapshot, err := strconv.ParseInt(string(reply.Header.Peek(HeaderSnapshot)), 10, 64)
+	if err != nil || headerSnapshot != body.Snapshot {
 		return bad("header names snapshot %q, body %d", reply.Header.Peek(HeaderSnapshot), body.Snapshot)
 	}
 	if request.Snapshot != 0 && body.Snapshot != request.Snapshot {
@@ -106,9 +106,9 @@
 	return nil
 }
 
-// sameShards tells whether a list such as "0,3" names exactly the shards, in any order.
+// sameShards reports whether a list such as "0,3" contains exactly the shards, in any order.
 func sameShards(text string, shards []v1.ShardID) bool {
-	listed := parseVersions(text)
+	listed := parseList(text)
 	if len(listed) != len(shards) {
 		return false
 	}
