--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -7,12 +7,13 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// cache holds the resources as last seen. One that is missing must be read.
+// cache holds the last seen version of each resource. A missing resource must be
+// read from the Object API.
 type cache struct {
 	mutex   sync.Mutex
 	objects map[string]*v1.QueryServiceObject
-	// deleted holds the version at which an object was deleted: a reply that was
-	// on its way meanwhile must not bring the object back.
+	// deleted holds the version at which an object was deleted: a delayed reply must
+	// not restore the object.
 	deleted map[string]int64
 }
 
@@ -29,8 +30,7 @@
 	return cache.objects[name]
 }
 
-// put keeps the object unless a newer one is there already, or it was deleted
-// since.
+// put stores the object unless a newer version is cached or it was deleted since.
 func (cache *cache) put(object *v1.QueryServiceObject) {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
@@ -38,20 +38,20 @@
 	if found && version(held) > version(object) {
 		return
 	}
-	if cache.endedAfter(object) {
+	if cache.deletedSinceLocked(object) {
 		return
 	}
 	cache.objects[object.Metadata.Name] = object
 }
 
-// drop makes the next reader read the object from the Object API.
+// drop removes the object, so that it is read again from the Object API.
 func (cache *cache) drop(name string) {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
 	delete(cache.objects, name)
 }
 
-// delete drops an object that the Object API has deleted.
+// delete removes an object that was deleted in the Object API.
 func (cache *cache) delete(object *v1.QueryServiceObject) {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
@@ -60,21 +60,22 @@
 	delete(cache.objects, name)
 }
 
-// deletedSince reports whether the Object API has deleted the object after this version
-// of it.
+// deletedSince reports whether the object was deleted in the Object API after this
+// version of it.
 func (cache *cache) deletedSince(object *v1.QueryServiceObject) bool {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
-	return cache.endedAfter(object)
+	return cache.deletedSinceLocked(object)
 }
 
-// endedAfter is deletedSince with the lock held.
-func (cache *cache) endedAfter(object *v1.QueryServiceObject) bool {
+// deletedSinceLocked is deletedSince with the lock held.
+func (cache *cache) deletedSinceLocked(object *v1.QueryServiceObject) bool {
 	deletedAt := cache.deleted[object.Metadata.Name]
 	return deletedAt > 0 && version(object) <= deletedAt
 }
 
-// replace takes in a whole list; objects seen in a newer version stay.
+// replace replaces the contents by a complete list; objects cached in a newer
+// version are kept.
 func (cache *cache) replace(items []v1.QueryServiceObject) {
 	listed := make(map[string]bool, len(items))
 	for index := range items {
@@ -100,8 +101,8 @@
 	return names
 }
 
-// version orders the versions of one object; zero when they are not numbers,
-// and then the last one seen counts.
+// version returns the resource version as a number to compare versions of one
+// object. It is zero for versions that are not numbers; then the last one seen wins.
 func version(object *v1.QueryServiceObject) int64 {
 	number, err := strconv.ParseInt(object.Metadata.ResourceVersion, 10, 64)
 	if err != nil {
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -12,9 +12,9 @@
 	return &v1.QueryServiceObject{Metadata: v1.ObjectMeta{Name: "fleet", ResourceVersion: version}}
 }
 
-// The reply to a write may be read after the watch has told of the deletion: it
-// must not bring the object back, or the deletion would never be noticed.
-func TestLateReplyDoesNotUndoADeletion(t *testing.T) {
+// The reply to a write may be read after the watch has reported the deletion. It
+// must not restore the object, or the deletion would never be noticed.
+func TestLateReplyDoesNotUndoDeletion(t *testing.T) {
 	is := is.New(t)
 	cache := newCache()
 	cache.put(objectAt("5"))
@@ -25,7 +25,7 @@
 	is.Equal(cache.get("fleet").Metadata.ResourceVersion, "7")
 }
 
-func TestVersionsThatAreNoNumbersAreKept(t *testing.T) {
+func TestNonNumericVersionsAreKept(t *testing.T) {
 	is := is.New(t)
 	cache := newCache()
 	cache.put(objectAt("first"))
@@ -34,9 +34,9 @@
 	is.Equal(cache.get("fleet").Metadata.ResourceVersion, "third")
 }
 
-// A reconciliation that took the object just before the watch told of its end must not
-// take the end back; an object that was made anew does.
-func TestObjectTakenBeforeItsEndHasEnded(t *testing.T) {
+// A reconciliation that read the object just before the watch reported its deletion must
+// not undo the deletion; a recreated object does.
+func TestObjectReadBeforeDeletionIsDeleted(t *testing.T) {
 	is := is.New(t)
 	cache := newCache()
 	taken := objectAt("5")
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -9,11 +9,11 @@
 	"github.com/driftstage/driftstage/internal/swim"
 )
 
-// Candidates returns the two members that may take the lease besides its
-// holder: the highest-ranked live one, and the highest-ranked of another zone
-// if there is one. Rank is a hash of the ID, so that control does not pile up
-// on one machine, and is the same on every node. When regions lose each other,
-// each part names its own two.
+// Candidates returns the two members that may acquire the lease besides its
+// holder: the highest-ranked live member, and the highest-ranked one of another
+// zone if there is one, else the second-ranked. The rank is a hash of the ID, so
+// that leadership roles do not accumulate on one machine and all nodes agree on it.
+// In a network partition between regions, each side has its own two candidates.
 func Candidates(members []swim.Member) []string {
 	ranked := slices.DeleteFunc(slices.Clone(members), func(member swim.Member) bool {
 		return member.State != swim.Alive
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -20,12 +20,12 @@
 
 const (
 	testTerm = time.Second
-	// patience is a generous bound on what must happen in the end.
-	patience = 30 * time.Second
+	// eventuallyTimeout is a generous bound on eventual conditions.
+	eventuallyTimeout = 30 * time.Second
 )
 
 // cluster is a stand-in platform, some nodes with controllers, and dissemination
-// that reaches every member at once unless one is cut off.
+// that reaches every member immediately, except those that are cut off.
 type cluster struct {
 	t         *testing.T
 	server    *standin.Server
@@ -34,8 +34,8 @@
 	mutex     sync.Mutex
 	nodes     map[string]*testNode
 	published []config.Entry
-	// answers, when set, holds back the answers of Applied until it is closed.
-	answers chan struct{}
+	// blockApplied, if set, blocks Applied until it is closed.
+	blockApplied chan struct{}
 }
 
 // testNode is one node; it publishes for its controller.
@@ -108,7 +108,7 @@
 	<-node.stopped
 }
 
-// kill ends the node without a release of its lease.
+// kill stops the node without releasing its lease.
 func (node *testNode) kill() {
 	node.cluster.server.SetFaults(standin.Faults{Client: node.name, Refuse: true})
 	node.stop()
@@ -118,7 +118,7 @@
 	node.cluster.server.SetFaults(standin.Faults{})
 }
 
-// Publish reaches every member that is not cut off.
+// Publish applies the entries on every member that is not cut off.
 func (node *testNode) Publish(entries ...config.Entry) {
 	cluster := node.cluster
 	cluster.mutex.Lock()
@@ -131,10 +131,10 @@
 	}
 }
 
-// Applied counts what the members hold.
+// Applied implements controller.Spread.
 func (cluster *cluster) Applied(service string, revision int64) (total, applied int, lagging []string) {
-	if cluster.answers != nil {
-		<-cluster.answers
+	if cluster.blockApplied != nil {
+		<-cluster.blockApplied
 	}
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
@@ -156,7 +156,7 @@
 	node.cutOff = cutOff
 }
 
-// publishedOf lists what was published of a service, in order.
+// publishedOf returns the published entries of a service, in order.
 func (cluster *cluster) publishedOf(service string) []config.Entry {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
@@ -169,7 +169,7 @@
 	return entries
 }
 
-// holder is the name of the node in the lease record.
+// holder returns the name of the node in the lease record.
 func (cluster *cluster) holder() string {
 	record, err := cluster.operator.Leases.Get(context.Background(), controller.LeaseName)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return name
 }
 
-// leader is the node that holds the lease.
+// leader waits for a node that holds the lease and returns it.
 func (cluster *cluster) leader() *testNode {
 	var leading *testNode
 	cluster.eventually("some node leads", func() bool {
@@ -198,10 +198,10 @@
 
 func (cluster *cluster) eventually(what string, holds func() bool) {
 	cluster.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(eventuallyTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			cluster.t.Fatalf("not within %v: %s", patience, what)
+			cluster.t.Fatalf("not within %v: %s", eventuallyTimeout, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -215,8 +215,8 @@
 	}
 }
 
-// apply writes a spec as an operator does: over the version just read, again
-// after a conflict, and after a lost reply only if the read shows it missing.
+// apply writes a spec as an operator does: it updates the version just read, and
+// tries again with a new read after any failure.
 func (cluster *cluster) apply(name string, spec v1.QueryServiceSpec) {
 	cluster.t.Helper()
 	ctx := context.Background()
@@ -236,7 +236,7 @@
 	})
 }
 
-// get reads a resource; nil when there is none or the platform does not answer.
+// get reads a resource; nil if there is none or the platform does not reply.
 func (cluster *cluster) get(name string) *v1.QueryService {
 	service, err := cluster.operator.QueryServices.Get(context.Background(), name)
 	if err != nil {
@@ -254,8 +254,8 @@
 	return v1.ConditionUnknown
 }
 
-// awaitInForce waits until the newest spec has this path, is accepted and held
-// by every node, and returns the resource.
+// awaitInForce waits until the newest spec has this path, is accepted and in force
+// on every node, and returns the resource.
 func (cluster *cluster) awaitInForce(name, path string) *v1.QueryService {
 	cluster.t.Helper()
 	var service *v1.QueryService
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,21 +12,21 @@
 	"github.com/driftstage/driftstage/internal/platform"
 )
 
-// Publisher spreads accepted revisions and tombstones to the members. Publish
-// may be called again with the same entry, and from several goroutines.
+// Publisher disseminates accepted revisions and tombstones to the members. Publish
+// may be called repeatedly with the same entry, and from several goroutines.
 type Publisher interface {
 	Publish(entries ...config.Entry)
 }
 
-// Spread tells how far a revision has come among the members.
+// Spread reports how far a revision has propagated among the members.
 type Spread interface {
-	// Applied counts the members, failed ones that may still exist included, and
-	// those that hold this revision of the service or a higher one, and names
-	// some that do not.
+	// Applied returns the number of members, including failed ones that may still
+	// exist, the number of those that hold this revision of the service or a higher
+	// one, and the names of some that do not.
 	Applied(service string, revision int64) (total, applied int, lagging []string)
 }
 
-// Known is what this node itself holds in force; config.Store is one.
+// Known is the configuration in force on this node; config.Store implements it.
 type Known interface {
 	Service(name string) (*config.Service, bool)
 	Services() []*config.Service
@@ -40,24 +40,24 @@
 	// Name is the node's name.
 	Name   string
 	Client *platform.Client
-	// Candidate tells whether this node may take the lease; see Candidates.
+	// Candidate reports whether this node may acquire the lease; see Candidates.
 	Candidate func() bool
 	Publisher Publisher
 	Spread    Spread
 	Known     Known
 	Registry  prometheus.Registerer
-	// Term is the least term of the lease; zero means lease.DefaultTerm.
+	// Term is the minimum term of the lease; zero means lease.DefaultTerm.
 	Term time.Duration
 }
 
-// Controller runs on every node; it acts on the one that holds the lease.
+// Controller runs on every node, but acts only on the node that holds the lease.
 type Controller struct {
 	options Options
 	elector *elector
 	metrics *metrics
 }
 
-// New returns a Controller that does nothing before Run.
+// New returns a Controller; Run starts it.
 func New(options Options) *Controller {
 	holder := options.Name + "/" + rand.Text()
 	core := lease.New(lease.Options{Self: holder, MinTerm: options.Term})
@@ -66,25 +66,26 @@
 	return controller
 }
 
-// Run takes part until ctx ends, and then releases the lease if it holds it.
+// Run participates in the leader election until ctx ends, and then releases the
+// lease if this node holds it.
 func (controller *Controller) Run(ctx context.Context) {
 	controller.elector.run(ctx, controller.lead)
 }
 
-// State is what an operator can see of the controller on one node.
+// State is the controller's state on one node, as shown to operators.
 type State struct {
-	// Leading tells whether this node holds the lease, Epoch in which epoch.
+	// Leading is true if this node holds the lease, in the given Epoch.
 	Leading bool  `json:"leading"`
 	Epoch   int64 `json:"epoch,omitempty"`
 }
 
-// State returns the state at this moment.
+// State returns the current state.
 func (controller *Controller) State() State {
 	epoch, held := controller.elector.held()
 	return State{Leading: held, Epoch: epoch}
 }
 
-// lead acts for one epoch, until ctx ends.
+// lead runs the leader of one epoch until ctx ends.
 func (controller *Controller) lead(ctx context.Context, epoch int64) {
 	controller.metrics.leading.Set(1)
 	defer controller.metrics.leading.Set(0)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -49,9 +49,9 @@
 	is.True(third.Status.Accepted.Revision > first.Status.Accepted.Revision)
 }
 
-// TestBrokenResourceHidesNoOther: unknown fields are refused by name, and what
-// is not a spec at all does not stop the others.
-func TestBrokenResourceHidesNoOther(t *testing.T) {
+// An unknown field is refused and named, and a resource that cannot be decoded does
+// not block the others.
+func TestInvalidResourceDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
 	ctx := context.Background()
@@ -71,7 +71,7 @@
 	is.Equal(odd.Metadata.Generation, int64(1)) // the spec stays as written
 }
 
-func TestInForceNamesLaggards(t *testing.T) {
+func TestInForceNamesLaggingMembers(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
 	cluster.start("a")
@@ -88,12 +88,12 @@
 	cluster.awaitInForce("fleet", "/one")
 }
 
-// TestAcceptanceWaitsForNoMember: members that do not answer how far a revision
-// has come hold up neither acceptance nor the release of the lease.
-func TestAcceptanceWaitsForNoMember(t *testing.T) {
+// A propagation check that gets no reply delays neither acceptance nor the release of
+// the lease.
+func TestAcceptanceDoesNotWaitForMembers(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
-	cluster.answers = make(chan struct{})
+	cluster.blockApplied = make(chan struct{})
 	node := cluster.start("a")
 	for round := range 3 {
 		path := fmt.Sprint("/", round)
@@ -106,7 +106,7 @@
 	is.Equal(conditionStatus(cluster.get("fleet"), v1.ConditionInForce), v1.ConditionFalse)
 	node.stop()
 	is.Equal(cluster.holder(), "")
-	close(cluster.answers)
+	close(cluster.blockApplied)
 }
 
 func TestDeletionWaitsForTheTombstone(t *testing.T) {
@@ -132,12 +132,12 @@
 	is.True(again.Status.Accepted.Revision > tombstone.Revision)
 }
 
-// TestTombstoneSurvivesTheController that dies between publishing it and
-// removing the finalizer, with the tombstone known to no other node.
-func TestTombstoneSurvivesTheController(t *testing.T) {
+// The controller crashes between publishing a tombstone and removing the finalizer,
+// and no other node has received the tombstone. The next leader completes the deletion.
+func TestTombstoneSurvivesControllerCrash(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
-	dying := cluster.start("a")
+	crashing := cluster.start("a")
 	cluster.leader()
 	other := cluster.start("b")
 	cluster.apply("fleet", validSpec("/one"))
@@ -145,7 +145,7 @@
 	cluster.setCutOff(other, true)
 	is.NoErr(cluster.operator.QueryServices.Delete(context.Background(), "fleet", ""))
 	cluster.eventually("tombstone", func() bool { return len(cluster.publishedOf("fleet")) == 2 })
-	dying.kill()
+	crashing.kill()
 	cluster.setCutOff(other, false)
 	is.Equal(other.store.Revision("fleet"), accepted.Status.Accepted.Revision)
 	cluster.eventually("deleted by the next leader", func() bool { return cluster.get("fleet") == nil })
@@ -154,25 +154,25 @@
 	is.True(!inForce)
 }
 
-// TestKillInTheMiddleOfAnAcceptance: the leader dies after its write stood and
-// before it reached any other node. The next leader publishes the same revision.
-func TestKillInTheMiddleOfAnAcceptance(t *testing.T) {
+// The leader crashes after its write was stored and before the revision reached any
+// other node. The next leader publishes the same revision.
+func TestCrashDuringAcceptance(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
-	dying := cluster.start("a")
+	crashing := cluster.start("a")
 	cluster.leader()
 	other := cluster.start("b")
 	cluster.setCutOff(other, true)
 	cluster.apply("fleet", validSpec("/one"))
 	cluster.eventually("accepted", func() bool { return cluster.get("fleet").Status.Accepted != nil })
 	revision := cluster.get("fleet").Status.Accepted.Revision
-	dying.kill()
+	crashing.kill()
 	is.Equal(other.store.Revision("fleet"), int64(0))
 	cluster.setCutOff(other, false)
 	is.Equal(cluster.awaitInForce("fleet", "/one").Status.Accepted.Revision, revision)
 }
 
-// writeAccepted puts a status in the Object API, as if from an earlier time.
+// writeAccepted stores an accepted status in the Object API, as an earlier leader would.
 func (cluster *cluster) writeAccepted(name string, revision int64) {
 	cluster.t.Helper()
 	cluster.apply(name, validSpec("/"+name))
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestLostLeaseRecord: accepted revisions of a later epoch raise the epoch, so
-// that new ones are above tombstones that this node never saw.
+// If the lease record is lost, accepted revisions of a later epoch raise the epoch,
+// so that new revisions are above tombstones that this node never received.
 func TestLostLeaseRecord(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
@@ -197,8 +197,9 @@
 	is.True(cluster.awaitInForce("fleet", "/one").Status.Accepted.Revision > 8<<32)
 }
 
-// TestOlderAcceptedIsRaised: the Object API went back, the members did not.
-func TestOlderAcceptedIsRaised(t *testing.T) {
+// The Object API was restored to an older state and the members hold a newer revision:
+// the accepted revision is raised above it.
+func TestOlderAcceptedRevisionIsRaised(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
 	cluster.writeAccepted("fleet", 1<<32|1)
@@ -207,7 +208,7 @@
 	is.True(cluster.awaitInForce("fleet", "/fleet").Status.Accepted.Revision > 3<<32|5)
 }
 
-// TestForcedDeletion past the finalizer still gives a tombstone.
+// A deletion that bypasses the finalizer still publishes a tombstone.
 func TestForcedDeletion(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
@@ -228,8 +229,8 @@
 	})
 }
 
-// TestLostStoreDeletesNothing: a platform that comes back empty takes no
-// service out of force, and a resource applied again is accepted above it.
+// A platform that has lost its data removes no service that is in force; a resource
+// applied again is accepted with a higher revision.
 func TestLostStoreDeletesNothing(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
@@ -246,8 +247,8 @@
 	is.True(again.Status.Accepted.Revision > known.Revision)
 }
 
-// TestLostReplies drops the reply to each write in turn, for all writes of an
-// acceptance and a deletion.
+// TestLostReplies drops the replies to the first writes, one more each time, for the
+// writes of an acceptance and of a deletion.
 func TestLostReplies(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
@@ -269,8 +270,7 @@
 	}
 }
 
-// TestLostReplyIsReadFirst: with no events arriving, only a read can tell what
-// became of a write without a reply.
+// Without watch events, only a read shows whether a write without a reply took effect.
 func TestLostReplyIsReadFirst(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
@@ -281,7 +281,7 @@
 	is.Equal(cluster.server.Stats()["a"].Conflicts, int64(0)) // nothing was sent blindly
 }
 
-func TestWatchEndsAndGrowsTooOld(t *testing.T) {
+func TestWatchEndsAndExpires(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.start("a")
 	for round := range 3 {
@@ -293,8 +293,9 @@
 	}
 }
 
-// TestPlatformDown at the start, in the middle and past the lease's term: what
-// is in force stays, and what was written is accepted afterwards.
+// The platform is down at the start, and later for longer than the lease's term: the
+// configuration in force is kept, and the specs written meanwhile are accepted
+// afterwards.
 func TestPlatformDown(t *testing.T) {
 	for name, down := range map[string]standin.Faults{
 		"refuse": {Client: "a", Refuse: true},
@@ -329,9 +330,9 @@
 	cluster.awaitInForce("fleet", "/one")
 }
 
-// TestLateWriteOfALapsedHolder: the holder's write hangs until another holder
-// has accepted something else; then it arrives and must fail.
-func TestLateWriteOfALapsedHolder(t *testing.T) {
+// The holder's write hangs until another holder has accepted a different spec; when it
+// arrives it must fail.
+func TestLateWriteAfterLeaseExpiry(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
 	late := cluster.start("a")
@@ -353,7 +354,7 @@
 	is.True(cluster.server.Stats()["a"].Conflicts > 0) // it did arrive
 }
 
-// TestFewReaders counts who reads the Object API at 40 nodes.
+// TestFewReaders counts the readers of the Object API in a cluster of 40 nodes.
 func TestFewReaders(t *testing.T) {
 	const size = 40
 	is := is.New(t)
@@ -384,7 +385,7 @@
 	t.Logf("%d nodes: %d readers, %d open watches", size, readers, watches)
 }
 
-func TestCandidatesAreOfTwoZones(t *testing.T) {
+func TestCandidatesAreInTwoZones(t *testing.T) {
 	is := is.New(t)
 	members := []swim.Member{
 		{ID: "a", Zone: "x"}, {ID: "b", Zone: "x"}, {ID: "c", Zone: "y"},
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -8,57 +8,56 @@
 )
 
 const (
-	// inForceGrace is how long a lagging member is borne before InForce, once
-	// true, turns false: members that are just starting must not make it flap.
+	// inForceGrace is how long a member may lag before InForce turns from true to
+	// false, so that starting members do not make it flap.
 	inForceGrace = 5 * time.Second
-	// laggingInterval is the least time between reports while InForce is false.
+	// laggingInterval is the minimum time between reports while InForce is false.
 	laggingInterval = 2 * time.Second
-	// countInterval is the least time between reports of a mere change of the
-	// number of members.
+	// countInterval is the minimum time between reports if only the number of
+	// members changes.
 	countInterval = time.Minute
-	// tombstoneGrace is how long a tombstone waits for every member; then most
-	// of them are enough, since members repair each other.
+	// tombstoneGrace is how long a deletion waits for every member to hold the
+	// tombstone. After that a majority suffices, since members repair each other.
 	tombstoneGrace = 5 * time.Second
 )
 
-// stepKind is what to do next for a resource.
+// stepKind is the kind of the next step for a resource.
 type stepKind uint8
 
 const (
 	stepNone stepKind = iota
-	// stepAddFinalizer comes before the first acceptance.
+	// stepAddFinalizer adds the finalizer, before the first acceptance.
 	stepAddFinalizer
-	// stepAccept writes the judged spec and a new revision to the status.
+	// stepAccept writes the validated spec and a new revision to the status.
 	stepAccept
-	// stepRefuse writes the faults to the status.
+	// stepRefuse writes the validation errors to the status.
 	stepRefuse
-	// stepReport writes how far the accepted revision has come.
+	// stepReport writes the propagation of the accepted revision to the status.
 	stepReport
 	// stepTombstone publishes a tombstone.
 	stepTombstone
-	// stepRemoveFinalizer lets the deletion end.
+	// stepRemoveFinalizer removes the finalizer, which completes the deletion.
 	stepRemoveFinalizer
 )
 
 // step is a decision.
 type step struct {
 	kind stepKind
-	// spec, as written in generation, is to be accepted; or faults are to be
-	// reported.
-	spec       *v1.QueryServiceSpec
-	generation int64
-	faults     []v1.FieldError
-	// spread is to be reported.
-	spread *progress
+	// spec and its generation are set for stepAccept, fieldErrors for stepRefuse.
+	spec        *v1.QueryServiceSpec
+	generation  int64
+	fieldErrors []v1.FieldError
+	// propagation is set for stepReport.
+	propagation *propagation
 }
 
-// situation is what a decision rests on besides the resource.
-type situation struct {
-	// knownRevision is the highest that this node holds of the service.
+// decisionInput is the input of a decision besides the resource.
+type decisionInput struct {
+	// knownRevision is the highest revision of the service on this node.
 	knownRevision int64
-	// spread is that of the tombstone if there is one, else of what was
-	// accepted; nil while it is unknown.
-	spread *progress
+	// propagation is that of the tombstone if there is one, else of the accepted
+	// revision; nil while it is unknown.
+	propagation *propagation
 	// sinceReport is the time since the last report of this resource.
 	sinceReport time.Duration
 	// tombstone is the revision of a tombstone published in this epoch, or zero.
@@ -66,33 +65,33 @@
 }
 
 // decide returns the next step for a resource; it has no effects.
-func decide(object *v1.QueryServiceObject, status *v1.QueryServiceStatus, situation *situation) step {
+func decide(object *v1.QueryServiceObject, status *v1.QueryServiceStatus, input *decisionInput) step {
 	if object.Metadata.DeletionTimestamp != nil {
-		return step{kind: decideDeletion(object, situation)}
+		return step{kind: decideDeletion(object, input)}
 	}
 	accepted := status.Accepted
 	if accepted != nil && !hasFinalizer(object) {
 		return step{kind: stepAddFinalizer}
 	}
 	if status.ObservedGeneration != object.Metadata.Generation {
-		return judge(object)
+		return validate(object)
 	}
-	if accepted != nil && situation.knownRevision > accepted.Revision {
-		// What is in force is newer than what the Object API tells: accept the
-		// same spec again, above it.
+	if accepted != nil && input.knownRevision > accepted.Revision {
+		// The revision in force is newer than the one in the Object API: accept the
+		// same spec again with a higher revision.
 		return step{kind: stepAccept, spec: &accepted.Spec, generation: accepted.Generation}
 	}
-	if accepted != nil && mustReport(status, situation) {
-		return step{kind: stepReport, spread: situation.spread}
+	if accepted != nil && mustReport(status, input) {
+		return step{kind: stepReport, propagation: input.propagation}
 	}
 	return step{}
 }
 
-func judge(object *v1.QueryServiceObject) step {
-	spec, faults := object.Judge()
+func validate(object *v1.QueryServiceObject) step {
+	spec, fieldErrors := object.Judge()
 	switch {
-	case len(faults) > 0:
-		return step{kind: stepRefuse, faults: faults}
+	case len(fieldErrors) > 0:
+		return step{kind: stepRefuse, fieldErrors: fieldErrors}
 	case !hasFinalizer(object):
 		return step{kind: stepAddFinalizer}
 	default:
@@ -100,28 +99,28 @@
 	}
 }
 
-func decideDeletion(object *v1.QueryServiceObject, situation *situation) stepKind {
+func decideDeletion(object *v1.QueryServiceObject, input *decisionInput) stepKind {
 	if !hasFinalizer(object) {
 		return stepNone
 	}
-	if situation.tombstone == 0 {
+	if input.tombstone == 0 {
 		return stepTombstone
 	}
-	spread := situation.spread
-	if spread == nil {
+	p := input.propagation
+	if p == nil {
 		return stepNone
 	}
-	mostHaveIt := spread.laggingFor >= tombstoneGrace && 2*spread.applied > spread.total
-	if spread.complete() || mostHaveIt {
+	majorityAfterGrace := p.laggingFor >= tombstoneGrace && 2*p.applied > p.total
+	if p.complete() || majorityAfterGrace {
 		return stepRemoveFinalizer
 	}
 	return stepNone
 }
 
-// mustReport tells whether the status differs enough from the truth.
-func mustReport(status *v1.QueryServiceStatus, situation *situation) bool {
-	spread := situation.spread
-	if spread == nil {
+// mustReport reports whether the status must be updated with the propagation.
+func mustReport(status *v1.QueryServiceStatus, input *decisionInput) bool {
+	p := input.propagation
+	if p == nil {
 		return false
 	}
 	reported := findCondition(status.Conditions, v1.ConditionInForce)
@@ -129,16 +128,16 @@
 		return true
 	}
 	if reported.Status == v1.ConditionTrue {
-		if !spread.complete() {
-			return spread.laggingFor >= inForceGrace
+		if !p.complete() {
+			return p.laggingFor >= inForceGrace
 		}
-		return spread.total != status.Nodes.Total && situation.sinceReport >= countInterval
+		return p.total != status.Nodes.Total && input.sinceReport >= countInterval
 	}
-	if spread.complete() {
+	if p.complete() {
 		return true
 	}
-	changed := spread.total != status.Nodes.Total || spread.applied != status.Nodes.Applied
-	return changed && situation.sinceReport >= laggingInterval
+	changed := p.total != status.Nodes.Total || p.applied != status.Nodes.Applied
+	return changed && input.sinceReport >= laggingInterval
 }
 
 func hasFinalizer(object *v1.QueryServiceObject) bool {
--- a/internal/controller/decide_test.go
+++ b/internal/controller/decide_test.go
@@ -11,20 +11,20 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-func drawSituation(t *rapid.T) *situation {
+func drawInput(t *rapid.T) *decisionInput {
 	total := rapid.IntRange(0, 5).Draw(t, "total")
-	result := &situation{
+	result := &decisionInput{
 		knownRevision: rapid.Int64Range(0, 5).Draw(t, "known"),
 		tombstone:     rapid.Int64Range(0, 2).Draw(t, "tombstone"),
 		sinceReport:   time.Duration(rapid.IntRange(0, 120).Draw(t, "since report")) * time.Second,
-		spread: &progress{
+		propagation: &propagation{
 			total:      total,
 			applied:    rapid.IntRange(0, total).Draw(t, "applied"),
 			laggingFor: time.Duration(rapid.IntRange(0, 10).Draw(t, "lagging")) * time.Second,
 		},
 	}
 	if rapid.Bool().Draw(t, "spread unknown") {
-		result.spread = nil
+		result.propagation = nil
 	}
 	return result
 }
@@ -53,12 +53,12 @@
 	return object, status
 }
 
-// TestDecisionsAreSafe states what must never be decided.
+// TestDecisionsAreSafe checks the invariants of decisions.
 func TestDecisionsAreSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		object, status := drawObject(t)
-		situation := drawSituation(t)
-		next := decide(object, status, situation)
+		input := drawInput(t)
+		next := decide(object, status, input)
 		deleted := object.Metadata.DeletionTimestamp != nil
 		switch next.kind {
 		case stepAccept:
@@ -72,11 +72,11 @@
 			if !deleted {
 				t.Fatal("ended a service that nobody deleted")
 			}
-			if next.kind == stepRemoveFinalizer && (situation.tombstone == 0 || situation.spread == nil || 2*situation.spread.applied <= situation.spread.total) {
+			if next.kind == stepRemoveFinalizer && (input.tombstone == 0 || input.propagation == nil || 2*input.propagation.applied <= input.propagation.total) {
 				t.Fatal("let the deletion end before most members have the tombstone")
 			}
 		case stepRefuse:
-			if len(next.faults) == 0 {
+			if len(next.fieldErrors) == 0 {
 				t.Fatal("refused without a reason")
 			}
 		case stepReport:
@@ -87,8 +87,8 @@
 	})
 }
 
-// TestRefusalKeepsWhatWasAccepted for any status and faults.
-func TestRefusalKeepsWhatWasAccepted(t *testing.T) {
+// A refusal keeps the accepted spec for any status and validation errors.
+func TestRefusalKeepsAcceptedSpec(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		object, status := drawObject(t)
 		after := refusedStatus(*status, object.Metadata.Generation, []v1.FieldError{{Path: "spec", Message: "wrong"}}, time.Now())
@@ -98,23 +98,23 @@
 	})
 }
 
-// TestInForceDoesNotFlap: a member that is starting does not turn InForce false.
+// A starting member does not turn InForce to false.
 func TestInForceDoesNotFlap(t *testing.T) {
 	is := is.New(t)
-	status := reportedStatus(v1.QueryServiceStatus{Accepted: &v1.Accepted{}}, progress{total: 3, applied: 3}, time.Now())
-	starting := situation{spread: &progress{total: 4, applied: 3, laggingFor: inForceGrace - 1}, sinceReport: time.Hour}
+	status := reportedStatus(v1.QueryServiceStatus{Accepted: &v1.Accepted{}}, propagation{total: 3, applied: 3}, time.Now())
+	starting := decisionInput{propagation: &propagation{total: 4, applied: 3, laggingFor: inForceGrace - 1}, sinceReport: time.Hour}
 	is.True(!mustReport(&status, &starting))
-	starting.spread.laggingFor = inForceGrace
+	starting.propagation.laggingFor = inForceGrace
 	is.True(mustReport(&status, &starting))
-	status = reportedStatus(status, *starting.spread, time.Now())
+	status = reportedStatus(status, *starting.propagation, time.Now())
 	is.Equal(status.Conditions[0].Status, v1.ConditionFalse)
-	starting.spread.applied = 4
+	starting.propagation.applied = 4
 	is.True(mustReport(&status, &starting))
 }
 
-// TestAcceptedNeverReverts: a revision that is given out is above the one it
-// replaces and above all that were given out before, in this epoch or an earlier one.
-func TestAcceptedNeverReverts(t *testing.T) {
+// A new revision is above the one that it replaces and above all earlier ones, of this
+// epoch or an earlier one.
+func TestRevisionsAlwaysIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		accepted := int64(0)
 		for epoch := range int64(4) {
@@ -146,34 +146,34 @@
 	second, possible := revisions.next(first)
 	is.True(possible && second > first)
 	_, possible = revisions.next(4 << 32)
-	is.True(!possible) // a later epoch's revision stands
+	is.True(!possible) // a revision of a later epoch is in force
 }
 
-// TestSpreadTracker asks often while a member lags, and seldom afterwards.
-func TestSpreadTracker(t *testing.T) {
+// Checks are frequent while a member lags, and rare afterwards.
+func TestPropagationTracker(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	tracker := &spreadTracker{}
+	tracker := &propagationTracker{}
 	is.True(!tracker.due(now))
-	tracker.follow(7, false, now)
+	tracker.track(7, false, now)
 	is.True(tracker.due(now))
-	is.True(tracker.spread() == nil)
+	is.True(tracker.latest() == nil)
 	asked := 0
-	for end := now.Add(time.Minute); now.Before(end); now = now.Add(measureTick) {
+	for end := now.Add(time.Minute); now.Before(end); now = now.Add(trackerInterval) {
 		if tracker.due(now) {
 			asked++
-			tracker.take(7, progress{total: 3, applied: 2}, now)
+			tracker.record(7, propagation{total: 3, applied: 2}, now)
 		}
 	}
 	is.True(asked > 25 && asked < 40)
-	is.True(tracker.spread().laggingFor > 50*time.Second)
-	tracker.take(6, progress{total: 3, applied: 3}, now) // a late answer about another revision
-	is.Equal(tracker.spread().applied, 2)
-	tracker.take(7, progress{total: 3, applied: 3}, now)
-	is.True(!tracker.due(now.Add(settledInterval/2 - 1)))
-	is.True(tracker.due(now.Add(settledInterval)))
-	tracker.take(7, progress{total: 4, applied: 3}, now)
-	is.Equal(tracker.spread().laggingFor, time.Duration(0)) // counted anew
-	tracker.follow(8, false, now)
-	is.True(tracker.spread() == nil && tracker.due(now))
+	is.True(tracker.latest().laggingFor > 50*time.Second)
+	tracker.record(6, propagation{total: 3, applied: 3}, now) // a late result for another revision
+	is.Equal(tracker.latest().applied, 2)
+	tracker.record(7, propagation{total: 3, applied: 3}, now)
+	is.True(!tracker.due(now.Add(completeCheckInterval/2 - 1)))
+	is.True(tracker.due(now.Add(completeCheckInterval)))
+	tracker.record(7, propagation{total: 4, applied: 3}, now)
+	is.Equal(tracker.latest().laggingFor, time.Duration(0)) // counted from zero again
+	tracker.track(8, false, now)
+	is.True(tracker.latest() == nil && tracker.due(now))
 }
--- a/internal/controller/elector.go
+++ b/internal/controller/elector.go
@@ -17,18 +17,19 @@
 const (
 	// LeaseName is the name of the lease record in the Object API.
 	LeaseName = "controller"
-	// releaseTimeout bounds the release of the lease at a planned stop.
+	// releaseTimeout bounds the release of the lease on shutdown.
 	releaseTimeout = time.Second
-	// shortestSleep keeps a due action that waits for a reply from spinning.
-	shortestSleep = 5 * time.Millisecond
-	// jitterFraction spreads the candidates' reads.
+	// minSleep prevents busy waiting while a due action waits for a reply.
+	minSleep = 5 * time.Millisecond
+	// jitterFraction is the maximum jitter of the candidates' lease reads, as a
+	// fraction of the wait.
 	jitterFraction = 0.1
 )
 
 // leadFunc acts as the leader of one epoch until its context ends.
 type leadFunc func(ctx context.Context, epoch int64)
 
-// elector drives the lease core by the clock and the Object API.
+// elector drives the lease core with the clock and the Object API.
 type elector struct {
 	client    *platform.Client
 	candidate func() bool
@@ -51,12 +52,12 @@
 	}
 }
 
-// now is monotonic time.
+// now returns the monotonic time since the start.
 func (elector *elector) now() time.Duration {
 	return time.Since(elector.started)
 }
 
-// held returns the epoch that this node may act on at this moment.
+// held returns the epoch of the lease and whether this node holds it now.
 func (elector *elector) held() (int64, bool) {
 	elector.mutex.Lock()
 	defer elector.mutex.Unlock()
@@ -69,8 +70,7 @@
 	return elector.core.Step(elector.now(), event)
 }
 
-// raiseEpoch asks for an epoch above the one given; it may be called from any
-// goroutine.
+// raiseEpoch requests an epoch above the given one. It is safe for concurrent use.
 func (elector *elector) raiseEpoch(above int64) {
 	elector.step(lease.RaiseEpoch{Above: above})
 	select {
@@ -79,20 +79,20 @@
 	}
 }
 
-// run takes part in the election until ctx ends.
+// run participates in the election until ctx ends.
 func (elector *elector) run(ctx context.Context, lead leadFunc) {
 	current := &leadership{}
 	for ctx.Err() == nil {
 		elector.act(ctx, elector.step(lease.Tick{Candidate: elector.candidate()}))
 		epoch, held := elector.held()
-		current.follow(ctx, epoch, held, lead)
+		current.update(ctx, epoch, held, lead)
 		elector.sleep(ctx)
 	}
 	current.stop()
 	elector.release()
 }
 
-// sleep waits for a reply, a wake-up or the next moment of the core.
+// sleep waits for a reply, a wake-up or the next due time of the core.
 func (elector *elector) sleep(ctx context.Context) {
 	timer := time.NewTimer(elector.untilNext())
 	defer timer.Stop()
@@ -112,10 +112,10 @@
 	if _, held := elector.core.Held(elector.now()); !held {
 		wait += time.Duration(rand.Float64() * jitterFraction * float64(wait))
 	}
-	return max(wait, shortestSleep)
+	return max(wait, minSleep)
 }
 
-// act carries out an action without waiting for its reply.
+// act starts an action without waiting for its reply.
 func (elector *elector) act(ctx context.Context, action lease.Action) {
 	if action == nil {
 		return
@@ -136,7 +136,7 @@
 	case platform.IsNotFound(err):
 		return lease.ReadDone{}
 	case err != nil:
-		klog.V(1).InfoS("lease can not be read", "error", err.Error())
+		klog.V(1).InfoS("lease cannot be read", "error", err.Error())
 		return lease.ReadDone{Failed: true}
 	}
 	return lease.ReadDone{Found: true, Record: recordOf(object), Version: object.Metadata.ResourceVersion}
@@ -155,12 +155,12 @@
 	case verdict.Of(err) == verdict.NotRun:
 		return lease.WriteDone{Outcome: lease.Refused}
 	default:
-		klog.InfoS("lease write without a clear reply", "error", err.Error())
+		klog.InfoS("lease write has an uncertain outcome", "error", err.Error())
 		return lease.WriteDone{Outcome: lease.Uncertain}
 	}
 }
 
-// release gives the lease up so that another node need not wait for its term.
+// release releases the lease, so that another node need not wait until it expires.
 func (elector *elector) release() {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
@@ -202,15 +202,15 @@
 	}
 }
 
-// leadership runs the leader of the epoch held, one at a time.
+// leadership runs the leader of the current epoch, one at a time.
 type leadership struct {
 	epoch   int64
 	cancel  context.CancelFunc
 	stopped chan struct{}
 }
 
-// follow starts or stops the leader after the lease.
-func (leadership *leadership) follow(ctx context.Context, epoch int64, held bool, lead leadFunc) {
+// update starts or stops the leader when the lease changes.
+func (leadership *leadership) update(ctx context.Context, epoch int64, held bool, lead leadFunc) {
 	if held && epoch == leadership.epoch {
 		return
 	}
@@ -218,7 +218,7 @@
 	if !held {
 		return
 	}
-	klog.InfoS("lease taken", "epoch", epoch)
+	klog.InfoS("lease acquired", "epoch", epoch)
 	leading, cancel := context.WithCancel(ctx)
 	stopped := make(chan struct{})
 	leadership.epoch, leadership.cancel, leadership.stopped = epoch, cancel, stopped
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -12,71 +12,72 @@
 )
 
 const (
-	// workers bounds the resources handled at a time.
+	// workers is the number of resources reconciled concurrently.
 	workers = 4
-	// measureTick is how often the trackers of spreading are looked at.
-	measureTick = 100 * time.Millisecond
-	// sweepInterval is how often every resource is looked at, from the cache.
-	sweepInterval = 10 * time.Second
+	// trackerInterval is how often the propagation trackers are checked.
+	trackerInterval = 100 * time.Millisecond
+	// resyncInterval is how often every cached resource is reconciled.
+	resyncInterval = 10 * time.Second
 )
 
-// leader acts for one epoch of the lease.
+// leader reconciles the resources during one epoch of the lease.
 type leader struct {
 	controller *Controller
 	client     *platform.Collection[v1.QueryServiceObject]
 	revisions  *revisions
 	cache      *cache
 	queue      *queue
-	// measures holds the resources to ask the members about.
-	measures *queue
+	// propagationChecks holds the resources whose propagation is to be requested
+	// from the members.
+	propagationChecks *queue
 
 	mutex   sync.Mutex
 	records map[string]*record
 }
 
-// record is what the leader remembers of one resource in this epoch.
+// record is the leader's state of one resource in this epoch.
 type record struct {
 	// published is the highest revision published in this epoch.
 	published int64
-	// tombstone is that of the object with tombstoneUID, once published.
+	// tombstone is the published tombstone of the object with tombstoneUID, or zero.
 	tombstone    int64
 	tombstoneUID string
-	// deleted tells that the watch showed the end of the object.
+	// deleted is set when the watch has reported the deletion of the object.
 	deleted bool
-	// spread is that of the tombstone or the accepted revision.
-	spread     spreadTracker
+	// tracker tracks the tombstone or the accepted revision.
+	tracker    propagationTracker
 	reportedAt time.Time
 }
 
 func newLeader(controller *Controller, epoch int64) *leader {
 	return &leader{
-		controller: controller,
-		client:     controller.options.Client.QueryServiceObjects,
-		revisions:  &revisions{epoch: epoch},
-		cache:      newCache(),
-		queue:      newQueue(),
-		measures:   newQueue(),
-		records:    make(map[string]*record),
+		controller:        controller,
+		client:            controller.options.Client.QueryServiceObjects,
+		revisions:         &revisions{epoch: epoch},
+		cache:             newCache(),
+		queue:             newQueue(),
+		propagationChecks: newQueue(),
+		records:           make(map[string]*record),
 	}
 }
 
-// run lists, watches and reconciles until ctx ends.
+// run lists, watches and reconciles resources until ctx ends.
 func (leader *leader) run(ctx context.Context) {
 	var group sync.WaitGroup
 	for range workers {
 		group.Go(func() { leader.work(ctx) })
 	}
-	for range measureWorkers {
-		group.Go(func() { leader.measure(ctx) })
+	for range checkWorkers {
+		group.Go(func() { leader.checkPropagation(ctx) })
 	}
-	group.Go(func() { leader.lookAgain(ctx) })
-	leader.follow(ctx)
+	group.Go(func() { leader.requeue(ctx) })
+	leader.listAndWatch(ctx)
 	group.Wait()
 }
 
 func (leader *leader) work(ctx context.Context) {
 	for {
-		name, more := leader.queue.take(ctx)
+		name, more := leader.queue.get(ctx)
 		if !more {
 			return
 		}
@@ -88,26 +89,26 @@
 	}
 }
 
-// lookAgain queues the questions to the members that are due, and now and then
-// all resources.
-func (leader *leader) lookAgain(ctx context.Context) {
-	measure, sweep := time.NewTicker(measureTick), time.NewTicker(sweepInterval)
-	defer measure.Stop()
-	defer sweep.Stop()
+// requeue queues the propagation checks that are due, and periodically all
+// resources.
+func (leader *leader) requeue(ctx context.Context) {
+	check, resync := time.NewTicker(trackerInterval), time.NewTicker(resyncInterval)
+	defer check.Stop()
+	defer resync.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-measure.C:
-			leader.measures.add(leader.dueMeasures(now)...)
-		case <-sweep.C:
+		case now := <-check.C:
+			leader.propagationChecks.add(leader.dueChecks(now)...)
+		case <-resync.C:
 			leader.queue.add(leader.cache.names()...)
 		}
 	}
 }
 
-// follow keeps the cache up to date by one watch at a time.
-func (leader *leader) follow(ctx context.Context) {
+// listAndWatch keeps the cache up to date by one watch at a time.
+func (leader *leader) listAndWatch(ctx context.Context) {
 	resourceVersion, failures := "", 0
 	for ctx.Err() == nil {
 		var err error
@@ -115,9 +116,9 @@
 			resourceVersion, err = leader.list(ctx)
 		}
 		if err == nil {
-			var progressed bool
-			progressed, err = leader.watch(ctx, &resourceVersion)
-			if progressed {
+			var received bool
+			received, err = leader.watch(ctx, &resourceVersion)
+			if received {
 				failures = 0
 			}
 		}
@@ -129,14 +130,14 @@
 	}
 }
 
-// list reads everything once, and queues it.
+// list reads all resources once and queues them.
 func (leader *leader) list(ctx context.Context) (string, error) {
 	listed, err := leader.client.List(ctx)
 	if err != nil {
 		return "", err
 	}
 	if above, behind := leader.highestEpoch(listed.Items); behind {
-		klog.InfoS("accepted revisions are of a later epoch than the lease: its record was lost", "epoch", above)
+		klog.InfoS("accepted revisions have a later epoch than the lease: the lease record was lost", "epoch", above)
 		leader.controller.elector.raiseEpoch(above)
 	}
 	leader.cache.replace(listed.Items)
@@ -145,7 +146,7 @@
 	return listed.Metadata.ResourceVersion, nil
 }
 
-// highestEpoch returns the highest epoch of any revision, and whether it is
+// highestEpoch returns the highest epoch of any known revision, and whether it is
 // above that of the lease.
 func (leader *leader) highestEpoch(items []v1.QueryServiceObject) (int64, bool) {
 	highest := int64(0)
@@ -162,7 +163,7 @@
 	return epoch, epoch > leader.revisions.epoch
 }
 
-// reportMissing tells of services in force that the list does not have.
+// reportMissing logs and counts services in force that are missing from the list.
 func (leader *leader) reportMissing() {
 	missing := 0
 	for _, service := range leader.controller.options.Known.Services() {
@@ -174,40 +175,40 @@
 	leader.controller.metrics.missing.Set(float64(missing))
 }
 
-// watch takes in events until the watch ends, and tells whether any came.
+// watch processes events until the watch ends, and reports whether there were any.
 func (leader *leader) watch(ctx context.Context, resourceVersion *string) (bool, error) {
 	watch, err := leader.client.Watch(ctx, *resourceVersion)
 	if err != nil {
 		return false, err
 	}
 	defer watch.Close()
-	for progressed := false; ; progressed = true {
+	for received := false; ; received = true {
 		event, err := watch.Next()
 		if err != nil {
-			return progressed, err
+			return received, err
 		}
 		*resourceVersion = event.ResourceVersion
-		leader.take(event)
+		leader.handleEvent(event)
 	}
 }
 
-func (leader *leader) take(event platform.Event[v1.QueryServiceObject]) {
+func (leader *leader) handleEvent(event platform.Event[v1.QueryServiceObject]) {
 	if event.Object == nil {
 		return
 	}
 	name := event.Object.Metadata.Name
 	if event.Type == platform.EventDeleted {
 		leader.cache.delete(event.Object)
-		leader.update(name, func(record *record) { record.deleted = true })
+		leader.updateRecord(name, func(record *record) { record.deleted = true })
 	} else {
 		leader.cache.put(event.Object)
-		leader.update(name, func(record *record) { record.deleted = false })
+		leader.updateRecord(name, func(record *record) { record.deleted = false })
 	}
 	leader.queue.add(name)
 }
 
-// update changes the record of a resource under the lock.
-func (leader *leader) update(name string, change func(*record)) {
+// updateRecord changes the record of a resource under the lock.
+func (leader *leader) updateRecord(name string, change func(*record)) {
 	leader.mutex.Lock()
 	defer leader.mutex.Unlock()
 	held, found := leader.records[name]
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are what the controller counts.
+// metrics are the controller's metrics.
 type metrics struct {
 	leading  prometheus.Gauge
 	missing  prometheus.Gauge
--- a/internal/controller/process_test.go
+++ b/internal/controller/process_test.go
@@ -19,15 +19,15 @@
 	"github.com/driftstage/driftstage/internal/platform"
 )
 
-// The environment of a process that runs one controller until it is killed.
+// Environment variables of a process that runs one controller until it is killed.
 const (
-	environmentPlatform = "DRIFTSTAGE_TEST_PLATFORM"
-	environmentName     = "DRIFTSTAGE_TEST_NAME"
+	envPlatform = "DRIFTSTAGE_TEST_PLATFORM"
+	envName     = "DRIFTSTAGE_TEST_NAME"
 )
 
 func TestMain(m *testing.M) {
-	if address := os.Getenv(environmentPlatform); address != "" {
-		runControllerProcess(address, os.Getenv(environmentName))
+	if address := os.Getenv(envPlatform); address != "" {
+		runControllerProcess(address, os.Getenv(envName))
 		return
 	}
 	os.Exit(m.Run())
@@ -47,7 +47,7 @@
 	}).Run(context.Background())
 }
 
-// printingStore prints what is published, and applies it to itself alone.
+// printingStore prints published entries and applies them only to itself.
 type printingStore struct {
 	*config.Store
 }
@@ -66,7 +66,7 @@
 	return 1, 0, []string{"self"}
 }
 
-// controllerProcess is a controller in a process of its own.
+// controllerProcess is a controller in a separate process.
 type controllerProcess struct {
 	command   *exec.Cmd
 	mutex     sync.Mutex
@@ -76,7 +76,7 @@
 func startProcess(t *testing.T, cluster *cluster, name string) *controllerProcess {
 	t.Helper()
 	process := &controllerProcess{command: exec.Command(os.Args[0])}
-	process.command.Env = append(os.Environ(), environmentPlatform+"="+cluster.address, environmentName+"="+name)
+	process.command.Env = append(os.Environ(), envPlatform+"="+cluster.address, envName+"="+name)
 	output, err := process.command.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (process *controllerProcess) highest() int64 {
+func (process *controllerProcess) maxPublished() int64 {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
 	highest := int64(0)
@@ -118,10 +118,10 @@
 	return highest
 }
 
-// TestFrozenHolder: SIGSTOP of the holder in the middle of changes, past its
-// term; another takes over and accepts; after SIGCONT nothing goes back, and
-// what the first one publishes is never above what stands. Three times over.
-func TestFrozenHolder(t *testing.T) {
+// The lease holder is frozen (SIGSTOP) during changes, for longer than its term, and
+// another node takes over and accepts. After SIGCONT no revision reverts, and the first
+// holder never publishes a revision above the accepted one. Repeated three times.
+func TestFrozenLeaseHolder(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
 	observer := observe(t, cluster)
@@ -149,8 +149,8 @@
 		cluster.apply("fleet", validSpec(third))
 		final := cluster.awaitInForce("fleet", third)
 		for _, process := range processes {
-			is.True(process.highest() <= final.Status.Accepted.Revision)
+			is.True(process.maxPublished() <= final.Status.Accepted.Revision)
 		}
 	}
-	is.True(observer.last("fleet") > 2<<32) // the lease did change hands
+	is.True(observer.last("fleet") > 2<<32) // the lease did change its holder
 }
--- a/internal/controller/queue.go
+++ b/internal/controller/queue.go
@@ -12,22 +12,22 @@
 	maxBackoff   = 2 * time.Second
 )
 
-// backoff is a capped exponential time with jitter: half to all of it.
+// backoff returns a capped exponential delay with jitter: half to all of it.
 func backoff(failures int) time.Duration {
 	full := min(firstBackoff<<min(failures, 16), maxBackoff)
 	return full/2 + rand.N(full/2+1)
 }
 
-// queue holds names that need work. A name is in the hands of one worker at a
-// time; one added meanwhile comes again afterwards. One that failed comes again
-// after its backoff, and not before, however often it is added.
+// queue is a work queue of names. A name is processed by one worker at a time; a
+// name added during that is processed again afterwards. A failed name is processed
+// again after its backoff, and not earlier, however often it is added.
 type queue struct {
 	mutex    sync.Mutex
 	waiting  map[string]bool
 	working  map[string]bool
 	delayed  map[string]bool
 	failures map[string]int
-	// ready is signalled when a name may be taken.
+	// ready is signalled when a name may be available.
 	ready chan struct{}
 }
 
@@ -57,10 +57,10 @@
 	}
 }
 
-// take waits for a name; it returns false when ctx ends.
-func (queue *queue) take(ctx context.Context) (string, bool) {
+// get waits for a name; it returns false when ctx ends.
+func (queue *queue) get(ctx context.Context) (string, bool) {
 	for {
-		if name, found := queue.tryTake(); found {
+		if name, found := queue.tryGet(); found {
 			return name, true
 		}
 		select {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (queue *queue) tryTake() (string, bool) {
+func (queue *queue) tryGet() (string, bool) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	for name := range queue.waiting {
@@ -80,15 +80,15 @@
 		}
 		delete(queue.waiting, name)
 		queue.working[name] = true
-		queue.signal() // there may be more for another worker
+		queue.signal() // there may be more names for another worker
 		return name, true
 	}
 	return "", false
 }
 
-// done gives a name back; the worker that calls it takes the next one itself.
-// After a failure it comes again by itself, later with
-// each failure in a row.
+// done marks a name as processed; the calling worker gets the next name itself.
+// After a failure the name is queued again, with a longer delay for each
+// consecutive failure.
 func (queue *queue) done(name string, err error) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
--- a/internal/controller/queue_test.go
+++ b/internal/controller/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// TestFailuresBackOff however often a name is added meanwhile.
+// A failed name is delayed by its backoff, however often it is added meanwhile.
 func TestFailuresBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -23,12 +23,12 @@
 		adding.Go(func() {
 			for ctx.Err() == nil {
 				queue.add("broken", "fine")
-				time.Sleep(measureTick)
+				time.Sleep(trackerInterval)
 			}
 		})
 		taken := map[string]int{}
 		for {
-			name, more := queue.take(ctx)
+			name, more := queue.get(ctx)
 			if !more {
 				break
 			}
@@ -43,12 +43,12 @@
 		minute := int(time.Minute / maxBackoff)
 		is.True(taken["broken"] >= minute)
 		is.True(taken["broken"] <= 2*minute+10) // jitter halves the backoff at most
-		is.True(taken["fine"] >= 500)           // not held up by the other
+		is.True(taken["fine"] >= 500)           // not delayed by the other
 	})
 }
 
-// TestOneWorkerAName: no name is in two hands, and none is forgotten.
-func TestOneWorkerAName(t *testing.T) {
+// A name is never processed by two workers at a time, and no added name is lost.
+func TestOneWorkerPerName(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue := newQueue()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -58,7 +58,7 @@
 		for range workers {
 			group.Go(func() {
 				for {
-					name, more := queue.take(ctx)
+					name, more := queue.get(ctx)
 					if !more {
 						return
 					}
@@ -77,7 +77,7 @@
 			before := done.Load()
 			queue.add("fleet")
 			time.Sleep(500 * time.Microsecond)
-			queue.add("fleet") // while a worker has it
+			queue.add("fleet") // while a worker processes it
 			time.Sleep(10 * time.Millisecond)
 			if got := done.Load() - before; got != 2 {
 				t.Fatalf("taken %d times after two adds, the second one during the work", got)
--- a/internal/controller/race_test.go
+++ b/internal/controller/race_test.go
@@ -14,8 +14,7 @@
 	standin "github.com/driftstage/driftstage/internal/standin/platform"
 )
 
-// observer watches the Object API and keeps every accepted revision that ever
-// stood there.
+// observer watches the Object API and records every accepted revision.
 type observer struct {
 	t        *testing.T
 	mutex    sync.Mutex
@@ -38,7 +37,7 @@
 	return observer
 }
 
-// watch takes in events until the watch ends, and returns where to go on.
+// watch processes events until the watch ends, and returns the version to continue from.
 func (observer *observer) watch(ctx context.Context, client *platform.Client, version string) string {
 	watch, err := client.QueryServices.Watch(ctx, version)
 	if err != nil {
@@ -52,13 +51,13 @@
 		}
 		version = event.ResourceVersion
 		if event.Object != nil && event.Object.Status.Accepted != nil {
-			observer.take(event.Object.Metadata.Name, *event.Object.Status.Accepted)
+			observer.record(event.Object.Metadata.Name, *event.Object.Status.Accepted)
 		}
 	}
 }
 
-// take checks that revisions and generations only grow.
-func (observer *observer) take(name string, accepted v1.Accepted) {
+// record checks that revisions and generations only increase, and stores them.
+func (observer *observer) record(name string, accepted v1.Accepted) {
 	observer.mutex.Lock()
 	defer observer.mutex.Unlock()
 	seen := observer.accepted[name]
@@ -78,7 +77,7 @@
 	observer.accepted[name] = append(seen, accepted)
 }
 
-// last is the highest revision seen.
+// last returns the highest revision seen.
 func (observer *observer) last(name string) int64 {
 	observer.mutex.Lock()
 	defer observer.mutex.Unlock()
@@ -89,25 +88,25 @@
 	return seen[len(seen)-1].Revision
 }
 
-// check compares what was published with what stood accepted.
-func (observer *observer) check(cluster *cluster, name string) {
+// checkPublished checks that every published entry was accepted with the same spec.
+func (observer *observer) checkPublished(cluster *cluster, name string) {
 	final := cluster.get(name).Status.Accepted.Revision
 	cluster.eventually("observer sees the last revision", func() bool { return observer.last(name) == final })
 	observer.mutex.Lock()
 	defer observer.mutex.Unlock()
-	stood := make(map[int64]v1.QueryServiceSpec)
+	specs := make(map[int64]v1.QueryServiceSpec)
 	for _, accepted := range observer.accepted[name] {
-		stood[accepted.Revision] = accepted.Spec
+		specs[accepted.Revision] = accepted.Spec
 	}
 	for _, entry := range cluster.publishedOf(name) {
-		spec, found := stood[entry.Revision]
+		spec, found := specs[entry.Revision]
 		if !found || !reflect.DeepEqual(spec, *entry.Spec) {
 			observer.t.Errorf("%s: published revision %d was never accepted as such", name, entry.Revision)
 		}
 	}
 }
 
-// randomFaults are one draw of what fails, mostly for the leader.
+// randomFaults returns random faults, mostly for the leader.
 func randomFaults(random *rand.Rand, leader string) standin.Faults {
 	faults := standin.Faults{Client: leader}
 	if random.IntN(4) == 0 {
@@ -130,10 +129,10 @@
 	return faults
 }
 
-// TestRacingOperatorsAndHolders: two operators write the same resources while
-// three controllers lose and take the lease under random faults. No accepted
-// revision is lost or reverts, nothing is published that was not accepted, and
-// in the end every node holds what the last operator wrote.
+// Two operators write the same resources while three controllers lose and acquire the
+// lease under random faults. No accepted revision is lost or reverts, no revision is
+// published that was not accepted, and in the end every node holds the last written
+// spec.
 func TestRacingOperatorsAndHolders(t *testing.T) {
 	const seed, rounds = 7, 12
 	names := []string{"fleet", "desk"}
@@ -166,7 +165,7 @@
 	operators.Wait()
 	for _, name := range names {
 		cluster.awaitInForce(name, cluster.get(name).Spec.Path)
-		observer.check(cluster, name)
+		observer.checkPublished(cluster, name)
 	}
 	t.Logf("accepted: %d and %d revisions, last epoch %d", len(observer.accepted[names[0]]),
 		len(observer.accepted[names[1]]), cluster.get(names[0]).Status.Accepted.Revision>>32)
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -14,13 +14,13 @@
 	"github.com/driftstage/driftstage/internal/platform"
 )
 
-// maxSteps bounds the steps for one resource before others have their turn.
+// maxSteps bounds the steps for one resource before others are processed.
 const maxSteps = 8
 
-// errEpochTooLow means that a revision in force is above all of this epoch.
-var errEpochTooLow = errors.New("the lease's epoch is below a revision in force")
+// errEpochTooLow means that a revision in force is above all revisions of this epoch.
+var errEpochTooLow = errors.New("the lease's epoch is lower than that of a revision in force")
 
-// reconcile brings one resource forward until nothing is left to do.
+// reconcile performs steps for one resource until there is nothing left to do.
 func (leader *leader) reconcile(ctx context.Context, name string) error {
 	for range maxSteps {
 		object, err := leader.read(ctx, name)
@@ -28,18 +28,18 @@
 			return err
 		}
 		if object == nil {
-			return leader.bury(name)
+			return leader.handleMissing(name)
 		}
 		status, err := object.DecodeStatus()
 		if err != nil {
-			klog.ErrorS(err, "status can not be read, it is written anew", "service", name)
+			klog.ErrorS(err, "status cannot be decoded and will be rewritten", "service", name)
 		}
 		leader.publishAccepted(object, &status)
-		next := decide(object, &status, leader.situation(object, &status))
+		next := decide(object, &status, leader.decisionInput(object, &status))
 		if next.kind == stepNone {
 			return nil
 		}
-		err = leader.carryOut(ctx, object, status, next)
+		err = leader.perform(ctx, object, status, next)
 		if err != nil && !platform.IsConflict(err) {
 			return err
 		}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// read returns the resource as last seen, or reads it; nil when it does not exist.
+// read returns the resource from the cache or reads it; nil if it does not exist.
 func (leader *leader) read(ctx context.Context, name string) (*v1.QueryServiceObject, error) {
 	if held := leader.cache.get(name); held != nil {
 		return held, nil
@@ -64,15 +64,15 @@
 	return object, nil
 }
 
-// publishAccepted publishes what stands accepted in the Object API, once in
-// each epoch: whoever led before may have died before it did.
+// publishAccepted publishes the accepted revision in the Object API, once per epoch,
+// because the previous leader may have crashed before publishing it.
 func (leader *leader) publishAccepted(object *v1.QueryServiceObject, status *v1.QueryServiceStatus) {
 	if status.Accepted == nil || object.Metadata.DeletionTimestamp != nil {
 		return
 	}
 	name, revision := object.Metadata.Name, status.Accepted.Revision
 	isNew := false
-	leader.update(name, func(record *record) {
+	leader.updateRecord(name, func(record *record) {
 		isNew = revision > record.published
 		record.published = max(record.published, revision)
 	})
@@ -83,32 +83,32 @@
 	leader.controller.options.Publisher.Publish(config.Entry{Service: name, Revision: revision, Spec: &spec})
 }
 
-// situation gathers what a decision rests on.
-func (leader *leader) situation(object *v1.QueryServiceObject, status *v1.QueryServiceStatus) *situation {
+// decisionInput collects the input of a decision.
+func (leader *leader) decisionInput(object *v1.QueryServiceObject, status *v1.QueryServiceStatus) *decisionInput {
 	name, now := object.Metadata.Name, time.Now()
-	result := &situation{knownRevision: leader.controller.options.Known.Revision(name)}
+	result := &decisionInput{knownRevision: leader.controller.options.Known.Revision(name)}
 	due := false
-	leader.update(name, func(record *record) {
-		// The object may have been taken from the cache just before the watch showed its end.
+	leader.updateRecord(name, func(record *record) {
+		// The object may have been read from the cache just before the watch reported its deletion.
 		record.deleted = record.deleted && leader.cache.deletedSince(object)
 		result.sinceReport = now.Sub(record.reportedAt)
 		if record.tombstoneUID == object.Metadata.UID {
 			result.tombstone = record.tombstone
 		}
-		revision, everywhere := revisionToFollow(status, result.tombstone)
-		record.spread.follow(revision, everywhere, now)
-		result.spread = record.spread.spread()
-		due = record.spread.due(now)
+		revision, everywhere := revisionToTrack(status, result.tombstone)
+		record.tracker.track(revision, everywhere, now)
+		result.propagation = record.tracker.latest()
+		due = record.tracker.due(now)
 	})
 	if due {
-		leader.measures.add(name)
+		leader.propagationChecks.add(name)
 	}
 	return result
 }
 
-// revisionToFollow is the tombstone's, or the accepted one; the status may
-// tell that every member has it.
-func revisionToFollow(status *v1.QueryServiceStatus, tombstone int64) (revision int64, everywhere bool) {
+// revisionToTrack returns the revision of the tombstone or the accepted revision,
+// and whether the status says that every member holds it.
+func revisionToTrack(status *v1.QueryServiceStatus, tombstone int64) (revision int64, everywhere bool) {
 	if tombstone > 0 || status.Accepted == nil {
 		return tombstone, false
 	}
@@ -116,7 +116,7 @@
 	return status.Accepted.Revision, inForce != nil && inForce.Status == v1.ConditionTrue
 }
 
-func (leader *leader) carryOut(ctx context.Context, object *v1.QueryServiceObject, status v1.QueryServiceStatus, next step) error {
+func (leader *leader) perform(ctx context.Context, object *v1.QueryServiceObject, status v1.QueryServiceStatus, next step) error {
 	switch next.kind {
 	case stepAddFinalizer:
 		return leader.writeFinalizers(ctx, object, append(slices.Clone(object.Metadata.Finalizers), v1.Finalizer))
@@ -124,10 +124,10 @@
 		return leader.accept(ctx, object, status, next)
 	case stepRefuse:
 		leader.controller.metrics.accepted.WithLabelValues("false").Inc()
-		klog.InfoS("resource refused", "service", object.Metadata.Name, "generation", object.Metadata.Generation, "error", joinFaults(next.faults))
-		return leader.writeStatus(ctx, object, refusedStatus(status, object.Metadata.Generation, next.faults, time.Now()))
+		klog.InfoS("resource refused", "service", object.Metadata.Name, "generation", object.Metadata.Generation, "error", joinFieldErrors(next.fieldErrors))
+		return leader.writeStatus(ctx, object, refusedStatus(status, object.Metadata.Generation, next.fieldErrors, time.Now()))
 	case stepReport:
-		return leader.report(ctx, object, reportedStatus(status, *next.spread, time.Now()))
+		return leader.report(ctx, object, reportedStatus(status, *next.propagation, time.Now()))
 	case stepTombstone:
 		return leader.publishTombstone(object.Metadata.Name, object.Metadata.UID, &status)
 	default:
@@ -135,8 +135,8 @@
 	}
 }
 
-// accept writes a new revision. It is published when the reply, or a later
-// read, has shown that it stands.
+// accept writes a new revision. It is published after the reply, or a later read,
+// has confirmed the write.
 func (leader *leader) accept(ctx context.Context, object *v1.QueryServiceObject, status v1.QueryServiceStatus, next step) error {
 	name := object.Metadata.Name
 	revision, err := leader.nextRevision(name, &status)
@@ -152,7 +152,7 @@
 	return err
 }
 
-// nextRevision is above everything accepted or known of the service.
+// nextRevision returns a revision above all accepted or known ones of the service.
 func (leader *leader) nextRevision(name string, status *v1.QueryServiceStatus) (int64, error) {
 	above := leader.controller.options.Known.Revision(name)
 	if status.Accepted != nil {
@@ -169,20 +169,20 @@
 func (leader *leader) report(ctx context.Context, object *v1.QueryServiceObject, status v1.QueryServiceStatus) error {
 	err := leader.writeStatus(ctx, object, status)
 	if err == nil {
-		leader.update(object.Metadata.Name, func(record *record) { record.reportedAt = time.Now() })
+		leader.updateRecord(object.Metadata.Name, func(record *record) { record.reportedAt = time.Now() })
 	}
 	return err
 }
 
-// publishTombstone ends a service on every member. The finalizer stays until it
-// has spread.
+// publishTombstone removes a service from every member. The finalizer is kept until
+// the tombstone has been propagated.
 func (leader *leader) publishTombstone(name, uid string, status *v1.QueryServiceStatus) error {
 	revision, err := leader.nextRevision(name, status)
 	if err != nil {
 		return err
 	}
 	leader.controller.options.Publisher.Publish(config.Entry{Service: name, Revision: revision, Deleted: true})
-	leader.update(name, func(record *record) {
+	leader.updateRecord(name, func(record *record) {
 		record.published = revision
 		record.tombstone, record.tombstoneUID = revision, uid
 	})
@@ -190,13 +190,13 @@
 	return nil
 }
 
-// bury publishes a tombstone for a service that somebody deleted past the
-// finalizer. A service that is merely missing stays in force.
-func (leader *leader) bury(name string) error {
+// handleMissing publishes a tombstone for a service that was deleted despite the
+// finalizer. A service that is only missing stays in force.
+func (leader *leader) handleMissing(name string) error {
 	deleted := false
-	leader.update(name, func(record *record) {
+	leader.updateRecord(name, func(record *record) {
 		deleted = record.deleted
-		record.spread = spreadTracker{}
+		record.tracker = propagationTracker{}
 	})
 	if _, inForce := leader.controller.options.Known.Service(name); !inForce || !deleted {
 		return nil
@@ -223,12 +223,12 @@
 // send is Update or UpdateStatus of the collection.
 type send func(context.Context, *v1.QueryServiceObject) (*v1.QueryServiceObject, error)
 
-// write sends one compare-and-set while the lease is held. After any failure
-// the resource is read before anything else is done about it.
+// write sends one compare-and-set while the lease is held. After any failure the
+// resource is read again before the next step.
 func (leader *leader) write(ctx context.Context, wanted *v1.QueryServiceObject, send send) error {
 	name := wanted.Metadata.Name
 	if epoch, held := leader.controller.elector.held(); !held || epoch != leader.revisions.epoch {
-		return errors.New("the lease has lapsed")
+		return errors.New("the lease is no longer held")
 	}
 	written, err := send(ctx, wanted)
 	leader.controller.metrics.writes.WithLabelValues(resultOf(err)).Inc()
@@ -237,7 +237,7 @@
 		return err
 	}
 	if written.Metadata.DeletionTimestamp != nil && len(written.Metadata.Finalizers) == 0 {
-		leader.cache.drop(name) // that write ended it
+		leader.cache.drop(name) // the write completed the deletion
 		return nil
 	}
 	leader.cache.put(written)
--- a/internal/controller/spread.go
+++ b/internal/controller/spread.go
@@ -7,130 +7,130 @@
 )
 
 const (
-	// measureWorkers bounds the questions to the members at a time.
-	measureWorkers = 2
-	// firstMeasureInterval and lastMeasureInterval bound the time between two
-	// questions about a revision that some member lacks; it doubles.
-	firstMeasureInterval = 100 * time.Millisecond
-	lastMeasureInterval  = 2 * time.Second
-	// settledInterval is the most time between two questions about a revision
-	// that every member had: each one costs a message to every member.
-	settledInterval = 2 * time.Minute
+	// checkWorkers is the number of concurrent propagation checks.
+	checkWorkers = 2
+	// minCheckInterval and maxCheckInterval bound the time between two checks of a
+	// revision that some member lacks; the interval doubles.
+	minCheckInterval = 100 * time.Millisecond
+	maxCheckInterval = 2 * time.Second
+	// completeCheckInterval is the maximum time between two checks of a revision
+	// that every member holds: each check costs a message to every member.
+	completeCheckInterval = 2 * time.Minute
 )
 
-// progress is how far a revision has come among the members.
-type progress struct {
+// propagation is how far a revision has propagated among the members.
+type propagation struct {
 	total   int
 	applied int
 	lagging []string
-	// laggingFor is how long some member has been without it.
+	// laggingFor is how long at least one member has lacked the revision.
 	laggingFor time.Duration
 }
 
-func (progress *progress) complete() bool {
-	return progress.total > 0 && progress.applied >= progress.total
+func (p *propagation) complete() bool {
+	return p.total > 0 && p.applied >= p.total
 }
 
-// spreadTracker remembers how far one revision of a resource has come, and
-// when to ask again.
-type spreadTracker struct {
-	revision  int64
-	nextAt    time.Time
-	interval  time.Duration
-	known     bool
-	last      progress
-	lagsSince time.Time
+// propagationTracker tracks the propagation of one revision of a resource, and
+// schedules its checks.
+type propagationTracker struct {
+	revision     int64
+	nextAt       time.Time
+	interval     time.Duration
+	checked      bool
+	last         propagation
+	laggingSince time.Time
 }
 
-// follow turns to another revision. One that is reported to be everywhere
-// already need not be asked about at once.
-func (tracker *spreadTracker) follow(revision int64, everywhere bool, now time.Time) {
+// track switches to another revision. The first check is delayed if every member is
+// already reported to hold the revision.
+func (tracker *propagationTracker) track(revision int64, everywhere bool, now time.Time) {
 	if tracker.revision == revision {
 		return
 	}
-	*tracker = spreadTracker{revision: revision, nextAt: now, interval: firstMeasureInterval, lagsSince: now}
+	*tracker = propagationTracker{revision: revision, nextAt: now, interval: minCheckInterval, laggingSince: now}
 	if everywhere {
-		tracker.nextAt = now.Add(rand.N(settledInterval))
+		tracker.nextAt = now.Add(rand.N(completeCheckInterval))
 	}
 }
 
-// due tells whether to ask the members.
-func (tracker *spreadTracker) due(now time.Time) bool {
+// due reports whether a check is due.
+func (tracker *propagationTracker) due(now time.Time) bool {
 	return tracker.revision > 0 && !now.Before(tracker.nextAt)
 }
 
-// take remembers an answer, unless it is about another revision.
-func (tracker *spreadTracker) take(revision int64, answer progress, now time.Time) {
+// record stores the result of a check, unless it is for another revision.
+func (tracker *propagationTracker) record(revision int64, answer propagation, now time.Time) {
 	if tracker.revision != revision {
 		return
 	}
 	if answer.complete() {
-		tracker.lagsSince = time.Time{}
-		tracker.interval = firstMeasureInterval
-		tracker.nextAt = now.Add(settledInterval/2 + rand.N(settledInterval/2))
+		tracker.laggingSince = time.Time{}
+		tracker.interval = minCheckInterval
+		tracker.nextAt = now.Add(completeCheckInterval/2 + rand.N(completeCheckInterval/2))
 	} else {
-		if tracker.lagsSince.IsZero() {
-			tracker.lagsSince = now
+		if tracker.laggingSince.IsZero() {
+			tracker.laggingSince = now
 		}
-		answer.laggingFor = now.Sub(tracker.lagsSince)
+		answer.laggingFor = now.Sub(tracker.laggingSince)
 		tracker.nextAt = now.Add(tracker.interval)
-		tracker.interval = min(2*tracker.interval, lastMeasureInterval)
+		tracker.interval = min(2*tracker.interval, maxCheckInterval)
 	}
-	tracker.known, tracker.last = true, answer
+	tracker.checked, tracker.last = true, answer
 }
 
-// spread returns the last answer, nil before the first.
-func (tracker *spreadTracker) spread() *progress {
-	if !tracker.known {
+// latest returns the last result, or nil before the first.
+func (tracker *propagationTracker) latest() *propagation {
+	if !tracker.checked {
 		return nil
 	}
 	last := tracker.last
 	return &last
 }
 
-// measure asks the members about resources whose turn it is, apart from the
-// workers: an answer may take seconds, and no acceptance waits for it.
-func (leader *leader) measure(ctx context.Context) {
+// checkPropagation checks the queued resources. It is separate from the workers
+// because a check may take seconds and must not delay acceptances.
+func (leader *leader) checkPropagation(ctx context.Context) {
 	for {
-		name, more := leader.measures.take(ctx)
+		name, more := leader.propagationChecks.get(ctx)
 		if !more {
 			return
 		}
-		leader.measureOne(ctx, name)
-		leader.measures.done(name, nil)
+		leader.checkOne(ctx, name)
+		leader.propagationChecks.done(name, nil)
 	}
 }
 
-func (leader *leader) measureOne(ctx context.Context, name string) {
+func (leader *leader) checkOne(ctx context.Context, name string) {
 	revision := int64(0)
-	leader.update(name, func(record *record) {
-		if record.spread.due(time.Now()) {
-			revision = record.spread.revision
+	leader.updateRecord(name, func(record *record) {
+		if record.tracker.due(time.Now()) {
+			revision = record.tracker.revision
 		}
 	})
 	if revision == 0 {
 		return
 	}
-	answers := make(chan progress, 1)
+	answers := make(chan propagation, 1)
 	go func() {
 		total, applied, lagging := leader.controller.options.Spread.Applied(name, revision)
-		answers <- progress{total: total, applied: applied, lagging: lagging}
+		answers <- propagation{total: total, applied: applied, lagging: lagging}
 	}()
 	select {
-	case <-ctx.Done(): // the answer is of no use any more
+	case <-ctx.Done(): // the result is not needed any more
 	case answer := <-answers:
-		leader.update(name, func(record *record) { record.spread.take(revision, answer, time.Now()) })
+		leader.updateRecord(name, func(record *record) { record.tracker.record(revision, answer, time.Now()) })
 		leader.queue.add(name)
 	}
 }
 
-// dueMeasures lists the resources to ask about.
-func (leader *leader) dueMeasures(now time.Time) []string {
+// dueChecks returns the resources whose check is due.
+func (leader *leader) dueChecks(now time.Time) []string {
 	leader.mutex.Lock()
 	defer leader.mutex.Unlock()
 	var names []string
 	for name, record := range leader.records {
-		if record.spread.due(now) {
+		if record.tracker.due(now) {
 			names = append(names, name)
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -9,7 +9,7 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// The reasons in conditions.
+// The reasons of conditions.
 const (
 	reasonValid     = "Valid"
 	reasonInvalid   = "Invalid"
@@ -17,11 +17,11 @@
 	reasonSpreading = "Spreading"
 )
 
-// maxReportedFaults bounds the message of a refusal.
-const maxReportedFaults = 32
+// maxReportedErrors bounds the number of errors in the message of a refusal.
+const maxReportedErrors = 32
 
-// acceptedStatus is the status after an acceptance. The Accepted condition
-// speaks of the newest generation judged: it stays when an earlier one is
+// acceptedStatus returns the status after an acceptance. The Accepted condition
+// refers to the newest validated generation; it is unchanged if an earlier one is
 // accepted again.
 func acceptedStatus(status v1.QueryServiceStatus, accepted v1.Accepted, observed int64, now time.Time) v1.QueryServiceStatus {
 	status.ObservedGeneration = observed
@@ -45,31 +45,31 @@
 	return status
 }
 
-// refusedStatus is the status after a refusal: what was accepted stays.
-func refusedStatus(status v1.QueryServiceStatus, generation int64, faults []v1.FieldError, now time.Time) v1.QueryServiceStatus {
+// refusedStatus returns the status after a refusal; the accepted spec is unchanged.
+func refusedStatus(status v1.QueryServiceStatus, generation int64, fieldErrors []v1.FieldError, now time.Time) v1.QueryServiceStatus {
 	status.ObservedGeneration = generation
 	status.Conditions = withCondition(status.Conditions, v1.Condition{
 		Type:               v1.ConditionAccepted,
 		Status:             v1.ConditionFalse,
 		Reason:             reasonInvalid,
-		Message:            joinFaults(faults),
+		Message:            joinFieldErrors(fieldErrors),
 		ObservedGeneration: generation,
 	}, now)
 	return status
 }
 
-// reportedStatus tells how far the accepted revision has come.
-func reportedStatus(status v1.QueryServiceStatus, spread progress, now time.Time) v1.QueryServiceStatus {
-	lagging := spread.lagging[:min(len(spread.lagging), v1.MaxLaggingNames)]
-	status.Nodes = v1.NodeCounts{Total: spread.total, Applied: spread.applied, Lagging: lagging}
+// reportedStatus returns the status with the propagation of the accepted revision.
+func reportedStatus(status v1.QueryServiceStatus, p propagation, now time.Time) v1.QueryServiceStatus {
+	lagging := p.lagging[:min(len(p.lagging), v1.MaxLaggingNames)]
+	status.Nodes = v1.NodeCounts{Total: p.total, Applied: p.applied, Lagging: lagging}
 	condition := v1.Condition{
 		Type:               v1.ConditionInForce,
 		Status:             v1.ConditionFalse,
 		Reason:             reasonSpreading,
-		Message:            fmt.Sprintf("%d of %d nodes", spread.applied, spread.total),
+		Message:            fmt.Sprintf("%d of %d nodes", p.applied, p.total),
 		ObservedGeneration: status.Accepted.Generation,
 	}
-	if spread.complete() {
+	if p.complete() {
 		condition.Status = v1.ConditionTrue
 		condition.Reason = reasonEveryNode
 		status.Nodes.Lagging = nil
@@ -78,8 +78,8 @@
 	return status
 }
 
-// withCondition returns a copy with one condition replaced. The time of the
-// transition stays when the condition's status does.
+// withCondition returns a copy with one condition replaced. The transition time is
+// kept if the condition's status is unchanged.
 func withCondition(conditions []v1.Condition, condition v1.Condition, now time.Time) []v1.Condition {
 	result := slices.Clone(conditions)
 	condition.LastTransitionTime = now.UTC().Truncate(time.Millisecond)
@@ -94,12 +94,12 @@
 	return result
 }
 
-func joinFaults(faults []v1.FieldError) string {
+func joinFieldErrors(fieldErrors []v1.FieldError) string {
 	var lines []string
-	for _, fault := range faults[:min(len(faults), maxReportedFaults)] {
-		lines = append(lines, fault.Error())
+	for _, fieldError := range fieldErrors[:min(len(fieldErrors), maxReportedErrors)] {
+		lines = append(lines, fieldError.Error())
 	}
-	if more := len(faults) - len(lines); more > 0 {
+	if more := len(fieldErrors) - len(lines); more > 0 {
 		lines = append(lines, fmt.Sprintf("and %d more", more))
 	}
 	return strings.Join(lines, "; ")
