--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// ClientHeader is the request header with the client's name.
+	// ClientHeader is the request header that carries the client's name.
 	ClientHeader = "Driftstage-Client"
 	basePath     = "/apis/" + v1.APIVersion + "/"
 	// DefaultTimeout bounds one request other than a watch.
 	DefaultTimeout = 5 * time.Second
-	// DefaultWatchIdle is the silence after which a watch counts as broken.
+	// DefaultWatchIdle is how long a watch may receive nothing before it fails.
 	DefaultWatchIdle = 10 * time.Second
 	maxReplyBytes    = 256 << 20
 	maxConnections   = 16
@@ -29,29 +29,29 @@
 
 // Options configure a Client.
 type Options struct {
-	// Address is IP:port of the platform.
+	// Address is the IP:port of the platform.
 	Address string
-	// Name tells the platform who asks.
+	// Name identifies the client to the platform.
 	Name string
 	// Timeout bounds one request; zero means DefaultTimeout.
 	Timeout time.Duration
-	// WatchIdle ends a watch on which nothing arrives for so long, bookmarks
-	// included; zero means DefaultWatchIdle.
+	// WatchIdle is how long a watch may receive nothing, not even a bookmark,
+	// before it fails; zero means DefaultWatchIdle.
 	WatchIdle time.Duration
 }
 
-// Client speaks to the Object API and the machine list. It never repeats a
-// request by itself.
+// Client is a client of the Object API and the machine list. It never retries a
+// request.
 type Client struct {
 	options       Options
 	http          *fasthttp.HostClient
 	QueryServices *Collection[v1.QueryService]
-	// QueryServiceObjects are the same with spec and status as written.
+	// QueryServiceObjects are the same objects with spec and status as undecoded JSON.
 	QueryServiceObjects *Collection[v1.QueryServiceObject]
 	Leases              *Collection[v1.Lease]
 }
 
-// NewClient returns a client; it connects at the first request.
+// NewClient returns a client, which connects on the first request.
 func NewClient(options Options) *Client {
 	if options.Timeout <= 0 {
 		options.Timeout = DefaultTimeout
@@ -92,11 +92,11 @@
 	}
 }
 
-// dialError marks a failure before anything was sent.
+// dialError is a failure to connect: nothing was sent.
 type dialError struct{ cause error }
 
-func (failure *dialError) Error() string { return failure.cause.Error() }
-func (failure *dialError) Unwrap() error { return failure.cause }
+func (e *dialError) Error() string { return e.cause.Error() }
+func (e *dialError) Unwrap() error { return e.cause }
 
 func dial(address string, timeout time.Duration) (net.Conn, error) {
 	if timeout <= 0 || timeout > DefaultTimeout {
@@ -109,13 +109,13 @@
 	return connection, nil
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (client *Client) Close() {
 	client.http.CloseIdleConnections()
 }
 
-// exchange sends one request and decodes its reply. It returns as soon as ctx
-// ends; the request may take effect after that.
+// exchange sends one request and decodes the reply. It returns as soon as ctx
+// is done; the request may still take effect after that.
 func (client *Client) exchange(ctx context.Context, method, path string, body, reply any) error {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	if err := client.prepare(request, method, path, body); err != nil {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// transportError tells failures before the first byte from later ones.
+// transportError distinguishes failures before the first byte was sent from later ones.
 func transportError(err error) *Error {
 	var unreachable *dialError
 	if errors.As(err, &unreachable) || errors.Is(err, fasthttp.ErrNoFreeConns) {
@@ -168,7 +168,7 @@
 func decodeReply(response *fasthttp.Response, reply any) error {
 	status := response.StatusCode()
 	if status != http.StatusOK && status != http.StatusCreated {
-		return refusal(status, response.Body())
+		return decodeError(status, response.Body())
 	}
 	if reply == nil {
 		return nil
@@ -179,10 +179,10 @@
 	return nil
 }
 
-func refusal(status int, body []byte) *Error {
-	var reply replyStatus
+func decodeError(status int, body []byte) *Error {
+	var reply errorReply
 	if err := json.Unmarshal(body, &reply); err != nil {
-		reply = replyStatus{Reason: http.StatusText(status), Message: string(body)}
+		reply = errorReply{Reason: http.StatusText(status), Message: string(body)}
 	}
 	return newStatusError(status, reply)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -15,8 +15,8 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// start runs a stand-in and returns it with a client.
-func start(t *testing.T, options standin.Options) (*standin.Server, *platform.Client) {
+// startServer runs a stand-in of the platform and returns it with a client.
+func startServer(t *testing.T, options standin.Options) (*standin.Server, *platform.Client) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 	return server, client
 }
 
-func sample(name string) *v1.QueryService {
+func newService(name string) *v1.QueryService {
 	return &v1.QueryService{
 		APIVersion: v1.APIVersion,
 		Kind:       v1.KindQueryService,
@@ -41,14 +41,14 @@
 	}
 }
 
-func TestCompareAndSet(t *testing.T) {
+func TestConditionalUpdates(t *testing.T) {
 	is := is.New(t)
-	_, client := start(t, standin.Options{})
+	_, client := startServer(t, standin.Options{})
 	ctx := context.Background()
-	created, err := client.QueryServices.Create(ctx, sample("fleet"))
+	created, err := client.QueryServices.Create(ctx, newService("fleet"))
 	is.NoErr(err)
 	is.Equal(created.Metadata.Generation, int64(1))
-	_, err = client.QueryServices.Create(ctx, sample("fleet"))
+	_, err = client.QueryServices.Create(ctx, newService("fleet"))
 	is.True(platform.IsConflict(err))
 
 	first, second := *created, *created
@@ -70,13 +70,13 @@
 	is.Equal(withStatus.Status.ObservedGeneration, int64(2))
 }
 
-func TestFinalizersHoldDeletion(t *testing.T) {
+func TestFinalizersDelayDeletion(t *testing.T) {
 	is := is.New(t)
-	_, client := start(t, standin.Options{})
+	_, client := startServer(t, standin.Options{})
 	ctx := context.Background()
-	wanted := sample("fleet")
-	wanted.Metadata.Finalizers = []string{v1.Finalizer}
-	_, err := client.QueryServices.Create(ctx, wanted)
+	service := newService("fleet")
+	service.Metadata.Finalizers = []string{v1.Finalizer}
+	_, err := client.QueryServices.Create(ctx, service)
 	is.NoErr(err)
 	is.NoErr(client.QueryServices.Delete(ctx, "fleet", ""))
 	marked, err := client.QueryServices.Get(ctx, "fleet")
@@ -89,16 +89,16 @@
 	is.True(platform.IsNotFound(err))
 }
 
-func TestWatchSeesEveryChangeInOrder(t *testing.T) {
+func TestWatchReturnsChangesInOrder(t *testing.T) {
 	is := is.New(t)
-	server, client := start(t, standin.Options{BookmarkInterval: 10 * time.Millisecond})
+	server, client := startServer(t, standin.Options{BookmarkInterval: 10 * time.Millisecond})
 	ctx := context.Background()
 	listed, err := client.QueryServices.List(ctx)
 	is.NoErr(err)
 	watch, err := client.QueryServices.Watch(ctx, listed.Metadata.ResourceVersion)
 	is.NoErr(err)
 	defer watch.Close()
-	created, err := client.QueryServices.Create(ctx, sample("fleet"))
+	created, err := client.QueryServices.Create(ctx, newService("fleet"))
 	is.NoErr(err)
 	_, err = client.QueryServices.UpdateStatus(ctx, created)
 	is.NoErr(err)
@@ -133,7 +133,7 @@
 
 func TestWatchEndsWithContext(t *testing.T) {
 	is := is.New(t)
-	_, client := start(t, standin.Options{})
+	_, client := startServer(t, standin.Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	watch, err := client.QueryServices.Watch(ctx, "0")
 	is.NoErr(err)
@@ -143,11 +143,11 @@
 	}
 }
 
-// TestSilentWatchEnds needs the idle limit: a watch on which not even
-// bookmarks arrive is broken.
-func TestSilentWatchEnds(t *testing.T) {
+// TestIdleWatchEnds checks that a watch which receives not even bookmarks fails
+// after the idle time.
+func TestIdleWatchEnds(t *testing.T) {
 	is := is.New(t)
-	server, _ := start(t, standin.Options{})
+	server, _ := startServer(t, standin.Options{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	go func() { _ = server.Serve(listener) }()
@@ -161,14 +161,14 @@
 	}
 }
 
-// TestLostReplyIsUncertain: a write that took effect without a reply must not
-// look refused.
+// TestLostReplyIsUncertain checks that a write whose reply was lost counts as
+// uncertain, not as rejected: it took effect.
 func TestLostReplyIsUncertain(t *testing.T) {
 	is := is.New(t)
-	server, client := start(t, standin.Options{})
+	server, client := startServer(t, standin.Options{})
 	ctx := context.Background()
 	server.SetFaults(standin.Faults{DropReplies: 1})
-	_, err := client.QueryServices.Create(ctx, sample("fleet"))
+	_, err := client.QueryServices.Create(ctx, newService("fleet"))
 	is.True(platform.IsUncertain(err))
 	_, err = client.QueryServices.Get(ctx, "fleet")
 	is.NoErr(err)
@@ -190,14 +190,14 @@
 	is.NoErr(err)
 	is.NoErr(listener.Close())
 	client := platform.NewClient(platform.Options{Address: listener.Addr().String()})
-	_, err = client.QueryServices.Create(context.Background(), sample("fleet"))
+	_, err = client.QueryServices.Create(context.Background(), newService("fleet"))
 	is.Equal(verdict.Of(err), verdict.NotRun)
 }
 
 func TestMachineListLags(t *testing.T) {
 	is := is.New(t)
 	first := []standin.Machine{{Name: "node-1", Address: "127.0.0.1:7001", Zone: "tbilisi-a", State: standin.MachineLive}}
-	server, client := start(t, standin.Options{Machines: first, MachineLag: time.Hour})
+	server, client := startServer(t, standin.Options{Machines: first, MachineLag: time.Hour})
 	server.SetMachines(nil)
 	machines, err := client.Machines(context.Background())
 	is.NoErr(err)
@@ -205,10 +205,11 @@
 	is.Equal(machines[0].State, platform.MachineLive)
 }
 
-// TestWatchesLeaveNothingBehind: neither goroutines nor connections.
-func TestWatchesLeaveNothingBehind(t *testing.T) {
+// TestWatchesLeakNoGoroutines checks that closed and failed watches leave no goroutines, and so
+// no connections, behind.
+func TestWatchesLeakNoGoroutines(t *testing.T) {
 	is := is.New(t)
-	server, client := start(t, standin.Options{BookmarkInterval: 10 * time.Millisecond})
+	server, client := startServer(t, standin.Options{BookmarkInterval: 10 * time.Millisecond})
 	before := runtime.NumGoroutine()
 	const watches = 50
 	for range watches {
@@ -219,7 +220,7 @@
 		watch.Close()
 		_, err = watch.Next()
 		is.True(err != nil)
-		watch.Close() // again does no harm
+		watch.Close() // a second call has no effect
 	}
 	server.SetFaults(standin.Faults{Refuse: true})
 	for range watches {
--- a/internal/platform/collection.go
+++ b/internal/platform/collection.go
@@ -8,25 +8,25 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// Collection is all objects of one kind.
+// Collection accesses the objects of one kind.
 type Collection[Object any] struct {
 	client   *Client
 	resource string
 	metadata func(*Object) *v1.ObjectMeta
 }
 
-// List is all objects of one kind at one version.
+// List holds all objects of one kind at one resource version.
 type List[Object any] struct {
 	Metadata ListMetadata `json:"metadata"`
 	Items    []Object     `json:"items"`
 }
 
-// ListMetadata holds the version of a list, from which a watch goes on.
+// ListMetadata holds the resource version of a list, from which a watch can start.
 type ListMetadata struct {
 	ResourceVersion string `json:"resourceVersion"`
 }
 
-// List reads every object.
+// List returns all objects.
 func (collection *Collection[Object]) List(ctx context.Context) (*List[Object], error) {
 	reply := new(List[Object])
 	if err := collection.client.exchange(ctx, http.MethodGet, basePath+collection.resource, nil, reply); err != nil {
@@ -35,31 +35,31 @@
 	return reply, nil
 }
 
-// Get reads one object.
+// Get returns one object.
 func (collection *Collection[Object]) Get(ctx context.Context, name string) (*Object, error) {
 	return collection.object(ctx, http.MethodGet, objectPath(collection.resource, name), nil)
 }
 
-// Create makes an object that does not exist yet.
+// Create creates an object. If it exists the error is a conflict.
 func (collection *Collection[Object]) Create(ctx context.Context, object *Object) (*Object, error) {
 	return collection.object(ctx, http.MethodPost, basePath+collection.resource, object)
 }
 
-// Update replaces the spec and the finalizers by compare-and-set: it fails as
-// a conflict unless the object still has the resource version given.
+// Update replaces the spec and the finalizers by a conditional write: it fails
+// with a conflict unless the object still has the given resource version.
 func (collection *Collection[Object]) Update(ctx context.Context, object *Object) (*Object, error) {
 	path := objectPath(collection.resource, collection.metadata(object).Name)
 	return collection.object(ctx, http.MethodPut, path, object)
 }
 
-// UpdateStatus replaces the status alone, by compare-and-set.
+// UpdateStatus replaces only the status, by a conditional write.
 func (collection *Collection[Object]) UpdateStatus(ctx context.Context, object *Object) (*Object, error) {
 	path := objectPath(collection.resource, collection.metadata(object).Name) + "/status"
 	return collection.object(ctx, http.MethodPut, path, object)
 }
 
-// Delete asks for the deletion of an object, which stays while it has
-// finalizers. An empty resourceVersion deletes whatever is there.
+// Delete requests the deletion of an object, which exists until its finalizers
+// are removed. An empty resourceVersion makes the deletion unconditional.
 func (collection *Collection[Object]) Delete(ctx context.Context, name, resourceVersion string) error {
 	path := objectPath(collection.resource, name)
 	if resourceVersion != "" {
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,2 +1,2 @@
-// Package platform is the client of the Object API and of the machine list.
+// Package platform is the client of the platform's Object API and machine list.
 package platform
--- a/internal/platform/error.go
+++ b/internal/platform/error.go
@@ -8,56 +8,56 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// Error is a request to the platform that failed.
+// Error describes a failed request to the platform.
 type Error struct {
-	// Verdict tells whether the request may have taken effect. After
-	// MayHaveRun the object must be read before anything else is done.
+	// Verdict states whether the request may have taken effect. After
+	// MayHaveRun the object must be read before any further write.
 	Verdict verdict.Verdict
-	// Status is the HTTP status, or zero when no whole reply arrived.
+	// Status is the HTTP status, or zero if no complete reply arrived.
 	Status  int
 	Reason  string
 	Message string
 }
 
 // Error returns the reason, the verdict and the message on one line.
-func (failure *Error) Error() string {
-	if failure.Status == 0 {
-		return fmt.Sprintf("platform: %s (%s): %s", failure.Reason, failure.Verdict, failure.Message)
+func (e *Error) Error() string {
+	if e.Status == 0 {
+		return fmt.Sprintf("platform: %s (%s): %s", e.Reason, e.Verdict, e.Message)
 	}
-	return fmt.Sprintf("platform: %d %s (%s): %s", failure.Status, failure.Reason, failure.Verdict, failure.Message)
+	return fmt.Sprintf("platform: %d %s (%s): %s", e.Status, e.Reason, e.Verdict, e.Message)
 }
 
-// IsNotFound tells that the object does not exist.
+// IsNotFound reports whether the object does not exist.
 func IsNotFound(err error) bool { return hasStatus(err, http.StatusNotFound) }
 
-// IsConflict tells that the object changed since it was read, or exists already.
+// IsConflict reports whether the object has changed since it was read, or already exists.
 func IsConflict(err error) bool { return hasStatus(err, http.StatusConflict) }
 
-// IsGone tells that a watch is too old: list again.
+// IsGone reports whether the resource version of a watch is too old, so that a new list is needed.
 func IsGone(err error) bool { return hasStatus(err, http.StatusGone) }
 
-// IsUncertain tells that a write may have taken effect although it failed.
+// IsUncertain reports whether a write may have taken effect although it failed.
 func IsUncertain(err error) bool { return err != nil && verdict.Of(err) == verdict.MayHaveRun }
 
 func hasStatus(err error, status int) bool {
-	var failure *Error
-	return errors.As(err, &failure) && failure.Status == status
+	var e *Error
+	return errors.As(err, &e) && e.Status == status
 }
 
-// Unwrap gives the failure as a verdict.Error, for verdict.Of.
-func (failure *Error) Unwrap() error {
-	return verdict.New(failure.Verdict, verdict.CodeUnreachable, "%s", failure.Message)
+// Unwrap returns the error as a verdict.Error, for verdict.Of.
+func (e *Error) Unwrap() error {
+	return verdict.New(e.Verdict, verdict.CodeUnreachable, "%s", e.Message)
 }
 
-// replyStatus is the body of a refusal (Kubernetes conventions: Status).
-type replyStatus struct {
+// errorReply is the body of an error reply (the Status object of the Kubernetes conventions).
+type errorReply struct {
 	Reason  string `json:"reason"`
 	Message string `json:"message"`
 }
 
-// newStatusError reads a refusal. Below 500 the platform has refused the
-// request; from 500 on it may have failed half way.
-func newStatusError(status int, reply replyStatus) *Error {
+// newStatusError returns the error of a reply. Below 500 the platform has rejected
+// the request; from 500 on the request may have been carried out in part.
+func newStatusError(status int, reply errorReply) *Error {
 	result := verdict.NotRun
 	if status >= http.StatusInternalServerError {
 		result = verdict.MayHaveRun
--- a/internal/platform/machines.go
+++ b/internal/platform/machines.go
@@ -14,9 +14,9 @@
 	MachineLeaving MachineState = "leaving"
 )
 
-// Machine is one entry of the machine list, which lags behind the truth.
+// Machine is one entry of the machine list, which lags behind the actual state.
 type Machine struct {
-	// Address is IP:port of the node's wire protocol.
+	// Address is the IP:port of the node's wire protocol.
 	Address string       `json:"address"`
 	Name    string       `json:"name"`
 	Zone    string       `json:"zone"`
@@ -27,7 +27,7 @@
 	Machines []Machine `json:"machines"`
 }
 
-// Machines reads the machine list.
+// Machines returns the machine list.
 func (client *Client) Machines(ctx context.Context) ([]Machine, error) {
 	var reply machineList
 	if err := client.exchange(ctx, http.MethodGet, "/machines", nil, &reply); err != nil {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -16,7 +16,7 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// EventType says what happened to an object.
+// EventType is the kind of change of an object.
 type EventType string
 
 // The types of events.
@@ -24,59 +24,59 @@
 	EventAdded    EventType = "ADDED"
 	EventModified EventType = "MODIFIED"
 	EventDeleted  EventType = "DELETED"
-	// EventBookmark carries a version and no object.
+	// EventBookmark carries a resource version and no object.
 	EventBookmark EventType = "BOOKMARK"
 )
 
 const eventError EventType = "ERROR"
 
-// watchForgotten is how long the HTTP client keeps a goroutine for a watch that
-// has ended.
-const watchForgotten = time.Second
+// watchIdleConnDuration is how long the HTTP client keeps a goroutine for the
+// connection of a watch that has ended.
+const watchIdleConnDuration = time.Second
 
 // Event is one change of an object.
 type Event[Object any] struct {
 	Type   EventType
 	Object *Object
-	// ResourceVersion is where a later watch goes on.
+	// ResourceVersion is the version from which a later watch can continue.
 	ResourceVersion string
 }
 
-// Watch is an open stream of events. Next and Close may be called from
-// different goroutines, Next by one at a time.
+// Watch is an open stream of events. Next and Close may be called concurrently,
+// but Next only by one goroutine at a time.
 type Watch[Object any] struct {
 	connection *watchConnection
 	stop       func() bool
 
-	// reading is held while Next reads, so that Close lets the body go after it.
+	// reading is held while Next reads, so that Close releases the body after that.
 	reading  sync.Mutex
 	response *fasthttp.Response
 	lines    *bufio.Reader
 }
 
-// Watch opens a stream of the events after a version. It ends with ctx.
+// Watch opens a stream of the events after a resource version. It ends when ctx is done.
 func (collection *Collection[Object]) Watch(ctx context.Context, resourceVersion string) (*Watch[Object], error) {
 	client := collection.client
-	holder := &watchDialer{idle: client.options.WatchIdle}
-	stopHandshake := context.AfterFunc(ctx, holder.close)
+	dialer := &watchDialer{idle: client.options.WatchIdle}
+	stopOnDone := context.AfterFunc(ctx, dialer.close)
 	response := fasthttp.AcquireResponse()
 	response.StreamBody = true
-	err := client.openWatch(holder, collection.resource, resourceVersion, response)
+	err := client.openWatch(dialer, collection.resource, resourceVersion, response)
 	if err != nil {
-		stopHandshake()
-		holder.close()
+		stopOnDone()
+		dialer.close()
 		_ = response.CloseBodyStream()
 		return nil, err
 	}
 	return &Watch[Object]{
-		connection: holder.connection,
+		connection: dialer.connection,
 		response:   response,
 		lines:      bufio.NewReader(response.BodyStream()),
-		stop:       stopHandshake,
+		stop:       stopOnDone,
 	}, nil
 }
 
-// openWatch sends the request on a connection of its own, and checks its status.
+// openWatch sends the request on a connection of its own and checks the status of the reply.
 func (client *Client) openWatch(dialer *watchDialer, resource, version string, response *fasthttp.Response) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -85,13 +85,13 @@
 		return err
 	}
 	host := newHTTPClient(client.options.Address, dialer.dial)
-	host.MaxIdleConnDuration = watchForgotten
+	host.MaxIdleConnDuration = watchIdleConnDuration
 	if err := host.Do(request, response); err != nil {
 		return transportError(err)
 	}
 	if status := response.StatusCode(); status != http.StatusOK {
 		body, _ := io.ReadAll(io.LimitReader(response.BodyStream(), maxReplyBytes))
-		return refusal(status, body)
+		return decodeError(status, body)
 	}
 	return nil
 }
@@ -107,13 +107,13 @@
 	return decodeEvent[Object](line)
 }
 
-// Close ends the stream; a Next under way returns.
+// Close ends the stream; a Next in progress returns.
 func (watch *Watch[Object]) Close() {
 	watch.stop()
 	_ = watch.connection.Close()
 	watch.reading.Lock()
 	defer watch.reading.Unlock()
-	// Only this makes the HTTP client forget the connection.
+	// Only this makes the HTTP client release the connection.
 	_ = watch.response.CloseBodyStream()
 }
 
@@ -123,11 +123,11 @@
 	Object json.RawMessage `json:"object"`
 }
 
-// eventHeader is the part of every event's object that the client needs.
+// eventHeader is the part of an event's object that the client reads for every type of event.
 type eventHeader struct {
 	Metadata ListMetadata `json:"metadata"`
 	Code     int          `json:"code"`
-	replyStatus
+	errorReply
 }
 
 func decodeEvent[Object any](line []byte) (Event[Object], error) {
@@ -142,7 +142,7 @@
 	event := Event[Object]{Type: raw.Type, ResourceVersion: header.Metadata.ResourceVersion}
 	switch raw.Type {
 	case eventError:
-		return event, newStatusError(header.Code, header.replyStatus)
+		return event, newStatusError(header.Code, header.errorReply)
 	case EventBookmark:
 		return event, nil
 	}
@@ -157,7 +157,7 @@
 	return &Error{Verdict: verdict.NotRun, Reason: "BadEvent", Message: err.Error()}
 }
 
-// watchDialer makes the one connection of a watch and can close it at any time.
+// watchDialer opens the single connection of a watch and can close it at any time.
 type watchDialer struct {
 	idle       time.Duration
 	mutex      sync.Mutex
@@ -188,13 +188,13 @@
 	}
 }
 
-// watchConnection fails a read on which nothing arrives for the idle time.
+// watchConnection fails a read if nothing arrives within the idle time.
 type watchConnection struct {
 	net.Conn
 	idle time.Duration
 }
 
-// Read sets the deadline anew before each read.
+// Read sets a new deadline before each read.
 func (connection *watchConnection) Read(buffer []byte) (int, error) {
 	if err := connection.Conn.SetReadDeadline(time.Now().Add(connection.idle)); err != nil {
 		return 0, err
@@ -202,8 +202,8 @@
 	return connection.Conn.Read(buffer)
 }
 
-// SetReadDeadline is left to Read.
+// SetReadDeadline does nothing: Read sets the deadlines.
 func (connection *watchConnection) SetReadDeadline(time.Time) error { return nil }
 
-// SetDeadline is left to Read.
+// SetDeadline does nothing: Read sets the deadlines.
 func (connection *watchConnection) SetDeadline(time.Time) error { return nil }
