--- a/api/v1/decode.go
+++ b/api/v1/decode.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// MaxResourceBytes bounds the JSON of one resource.
+	// MaxResourceBytes bounds the size of one resource as JSON.
 	MaxResourceBytes = 8 << 20
 	maxDepth         = 32
 )
 
-// DecodeQueryService reads a resource from JSON. Fields that do not exist,
-// fields given twice and values of a wrong type are all listed with their
-// paths. Defaults are not set and bounds not checked.
+// DecodeQueryService decodes a resource from JSON. It reports every unknown
+// field, duplicate field and value of a wrong type with its path. It neither
+// sets defaults nor checks bounds.
 func DecodeQueryService(data []byte) (*QueryService, []FieldError) {
 	service := new(QueryService)
-	if faults := decodeStrict(data, service, ""); len(faults) > 0 {
-		return nil, faults
+	if errs := decodeStrict(data, service, ""); len(errs) > 0 {
+		return nil, errs
 	}
 	return service, nil
 }
 
-// decodeStrict decodes data into target, a pointer; path is the place of data
-// in the resource.
+// decodeStrict decodes data into target, a pointer; path is the path of data
+// within the resource.
 func decodeStrict(data []byte, target any, path string) []FieldError {
 	if len(data) > MaxResourceBytes {
 		return []FieldError{{Path: path, Message: fmt.Sprintf("must be at most %d bytes", MaxResourceBytes)}}
 	}
-	faults := &faultList{}
-	value, err := parseTree(data, path, faults)
+	errs := &errorList{}
+	value, err := parseTree(data, path, errs)
 	if err != nil {
 		return []FieldError{{Path: path, Message: "not JSON: " + err.Error()}}
 	}
-	checkValue(value, target, path, faults)
-	if len(faults.faults) > 0 {
-		return faults.faults
+	checkValue(value, target, path, errs)
+	if len(errs.list) > 0 {
+		return errs.list
 	}
 	if err := json.Unmarshal(data, target); err != nil {
 		return []FieldError{{Path: path, Message: err.Error()}}
@@ -52,22 +52,22 @@
 	fields map[string]any
 }
 
-// treeParser reads JSON as a tree of treeObject, []any and scalars.
+// treeParser parses JSON into a tree of treeObject, []any and scalars.
 type treeParser struct {
 	decoder *json.Decoder
-	faults  *faultList
+	errs    *errorList
 }
 
-func parseTree(data []byte, path string, faults *faultList) (any, error) {
+func parseTree(data []byte, path string, errs *errorList) (any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
-	parser := treeParser{decoder: decoder, faults: faults}
+	parser := treeParser{decoder: decoder, errs: errs}
 	value, err := parser.parse(path, 0)
 	if err != nil {
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("more follows after the value")
+		return nil, errors.New("unexpected data after the value")
 	}
 	return value, nil
 }
@@ -97,13 +97,13 @@
 		if err != nil {
 			return nil, err
 		}
-		name, isText := token.(string)
-		if !isText {
+		name, isString := token.(string)
+		if !isString {
 			return nil, fmt.Errorf("a field's name must be text, got %v", token)
 		}
 		field := joinPath(path, name)
-		if _, twice := object.fields[name]; twice {
-			parser.faults.add(field, "given twice")
+		if _, duplicate := object.fields[name]; duplicate {
+			parser.errs.add(field, "given twice")
 		}
 		value, err := parser.parse(field, depth+1)
 		if err != nil {
--- a/api/v1/defaults.go
+++ b/api/v1/defaults.go
@@ -17,9 +17,9 @@
 	DefaultLimitBodyBytes  = 1 << 20
 )
 
-// SetDefaults fills every field that was left out. AnswerAfter defaults to the
-// default deadline, a maximum deadline left out is raised to the default one,
-// and a coverage target left out is never below the minimum.
+// SetDefaults sets every omitted field. AnswerAfter defaults to the default
+// deadline, an omitted maximum deadline is raised to the default one, and an
+// omitted coverage target is never below the minimum.
 func (spec *QueryServiceSpec) SetDefaults() {
 	setDefault(&spec.Path, DefaultPath)
 	setDefault(&spec.Class, DefaultClass)
--- a/api/v1/duration.go
+++ b/api/v1/duration.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Duration is a time.Duration written as text, such as "250ms".
+// Duration is a time.Duration that is encoded as text, such as "250ms".
 type Duration time.Duration
 
-// MarshalJSON writes the duration in the notation of time.Duration.
+// MarshalJSON encodes the duration in the notation of time.Duration.
 func (duration Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(duration).String())
 }
 
-// UnmarshalJSON reads the notation of time.ParseDuration.
+// UnmarshalJSON decodes the notation of time.ParseDuration.
 func (duration *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/api/v1/lease.go
+++ b/api/v1/lease.go
@@ -1,6 +1,6 @@
 package v1
 
-// Lease is the record in the Object API by which one node at a time is the
+// Lease is the object in the Object API that makes one node at a time the
 // controller.
 type Lease struct {
 	APIVersion string     `json:"apiVersion"`
@@ -9,16 +9,17 @@
 	Spec       LeaseSpec  `json:"spec"`
 }
 
-// LeaseSpec tells who holds the lease, and for how long after each renewal.
+// LeaseSpec contains the holder of the lease and its term.
 type LeaseSpec struct {
-	// Holder names one run of one process, so that a process started again
-	// under the same name does not take the lease for its own.
+	// Holder identifies one run of a process, so that a process restarted under
+	// the same name does not take the lease of the previous run for its own.
 	Holder string `json:"holder"`
-	// Epoch is raised whenever the lease is taken. It is the fence: accepted
-	// revisions of a later epoch are higher.
+	// Epoch is incremented each time the lease is acquired. It is the fencing
+	// token: accepted revisions of a later epoch are higher.
 	Epoch int64 `json:"epoch"`
 	// Renewal counts the writes of this epoch.
 	Renewal int64 `json:"renewal"`
-	// Term is how long others wait after the last change that they saw.
+	// Term is how long other nodes wait, after the last change of the lease that
+	// they have seen, before they acquire it.
 	Term Duration `json:"term"`
 }
--- a/api/v1/object.go
+++ b/api/v1/object.go
@@ -2,9 +2,9 @@
 
 import "encoding/json"
 
-// QueryServiceObject is a QueryService as the Object API holds it: spec and
-// status as they were written, not yet judged. Writing it back keeps fields
-// that this version does not know.
+// QueryServiceObject is a QueryService as the Object API stores it: spec and
+// status are undecoded JSON, not yet validated. Writing it back keeps fields
+// that are unknown to this version.
 type QueryServiceObject struct {
 	APIVersion string          `json:"apiVersion"`
 	Kind       string          `json:"kind"`
@@ -13,22 +13,22 @@
 	Status     json.RawMessage `json:"status,omitempty"`
 }
 
-// Judge decodes the spec strictly, sets defaults and validates. It returns the
-// spec to put in force, or every fault.
+// Judge decodes the spec strictly, sets defaults and validates it. It returns
+// the spec to be applied, or every error.
 func (object *QueryServiceObject) Judge() (*QueryServiceSpec, []FieldError) {
 	service := QueryService{APIVersion: object.APIVersion, Kind: object.Kind, Metadata: object.Metadata}
-	faults := decodeStrict(object.Spec, &service.Spec, "spec")
-	if len(faults) > 0 {
-		return nil, faults
+	errs := decodeStrict(object.Spec, &service.Spec, "spec")
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	service.Spec.SetDefaults()
-	if faults := service.Validate(); len(faults) > 0 {
-		return nil, faults
+	if errs := service.Validate(); len(errs) > 0 {
+		return nil, errs
 	}
 	return &service.Spec, nil
 }
 
-// DecodeStatus reads the status; a missing one is empty.
+// DecodeStatus decodes the status; a missing one is empty.
 func (object *QueryServiceObject) DecodeStatus() (QueryServiceStatus, error) {
 	var status QueryServiceStatus
 	if len(object.Status) == 0 {
--- a/api/v1/typecheck.go
+++ b/api/v1/typecheck.go
@@ -9,19 +9,19 @@
 
 var unmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 
-// checkValue compares a parsed tree with the type that target points to.
-func checkValue(value, target any, path string, faults *faultList) {
-	checker := typeChecker{faults: faults}
+// checkValue checks a parsed tree against the type that target points to.
+func checkValue(value, target any, path string, errs *errorList) {
+	checker := typeChecker{errs: errs}
 	checker.check(value, reflect.TypeOf(target).Elem(), path)
 }
 
-// typeChecker lists every difference between a tree and a type.
+// typeChecker reports every mismatch between a tree and a type.
 type typeChecker struct {
-	faults *faultList
+	errs *errorList
 }
 
 func (checker *typeChecker) check(value any, wanted reflect.Type, path string) {
-	if value == nil { // null is the same as left out
+	if value == nil { // null is the same as an omitted field
 		return
 	}
 	if reflect.PointerTo(wanted).Implements(unmarshalerType) {
@@ -43,14 +43,14 @@
 func (checker *typeChecker) checkObject(value any, wanted reflect.Type, path string) {
 	object, isObject := value.(treeObject)
 	if !isObject {
-		checker.faults.add(path, "want an object, got %s", describe(value))
+		checker.errs.add(path, "want an object, got %s", describeValue(value))
 		return
 	}
 	fields := fieldTypes(wanted)
 	for _, name := range object.names {
 		field, known := fields[name]
 		if !known {
-			checker.faults.add(joinPath(path, name), "unknown field")
+			checker.errs.add(joinPath(path, name), "unknown field")
 			continue
 		}
 		checker.check(object.fields[name], field, joinPath(path, name))
@@ -60,19 +60,19 @@
 func (checker *typeChecker) checkList(value any, wanted reflect.Type, path string) {
 	list, isList := value.([]any)
 	if !isList {
-		checker.faults.add(path, "want a list, got %s", describe(value))
+		checker.errs.add(path, "want a list, got %s", describeValue(value))
 		return
 	}
 	for index, item := range list {
 		if item == nil {
-			checker.faults.add(indexPath(path, index), "must not be null")
+			checker.errs.add(indexPath(path, index), "must not be null")
 			continue
 		}
 		checker.check(item, wanted.Elem(), indexPath(path, index))
 	}
 }
 
-// checkScalar tries the value by itself, so that the error can name its path.
+// checkScalar decodes the value separately, so that the error can contain its path.
 func (checker *typeChecker) checkScalar(value any, wanted reflect.Type, path string) {
 	switch value.(type) {
 	case treeObject, []any:
@@ -82,7 +82,7 @@
 			return
 		}
 	}
-	checker.faults.add(path, "want %s, got %s", scalarName(wanted.Kind()), describe(value))
+	checker.errs.add(path, "want %s, got %s", scalarName(wanted.Kind()), describeValue(value))
 }
 
 func (checker *typeChecker) checkUnmarshaler(value any, wanted reflect.Type, path string) {
@@ -91,7 +91,7 @@
 		err = json.Unmarshal(text, reflect.New(wanted).Interface())
 	}
 	if err != nil {
-		checker.faults.add(path, "%v", err)
+		checker.errs.add(path, "%v", err)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-func describe(value any) string {
+func describeValue(value any) string {
 	switch value := value.(type) {
 	case treeObject:
 		return "an object"
--- a/api/v1/validate_test.go
+++ b/api/v1/validate_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// validService is a resource without faults.
+// validService returns a resource without errors.
 func validService() *QueryService {
 	service := &QueryService{
 		APIVersion: APIVersion,
@@ -30,9 +30,9 @@
 	return service
 }
 
-// TestEachFaultIsNamed breaks one thing at a time, then all at once.
-func TestEachFaultIsNamed(t *testing.T) {
-	faults := []struct {
+// TestValidateReportsEachError corrupts one field at a time, then all at once.
+func TestValidateReportsEachError(t *testing.T) {
+	tests := []struct {
 		path    string
 		corrupt func(*QueryService)
 	}{
@@ -61,34 +61,34 @@
 		{"spec.limits.queue", func(s *QueryService) { s.Spec.Limits.Queue = MaxLimitQueue + 1 }},
 		{"spec.limits.bodyBytes", func(s *QueryService) { s.Spec.Limits.BodyBytes = MaxLimitBodyBytes + 1 }},
 	}
-	everything := validService()
-	for _, fault := range faults {
-		t.Run(fault.path, func(t *testing.T) {
+	allCorrupt := validService()
+	for _, test := range tests {
+		t.Run(test.path, func(t *testing.T) {
 			service := validService()
-			fault.corrupt(service)
-			if !slices.Contains(paths(service.Validate()), fault.path) {
-				t.Errorf("%s is not named in %v", fault.path, service.Validate())
+			test.corrupt(service)
+			if !slices.Contains(paths(service.Validate()), test.path) {
+				t.Errorf("%s is not reported in %v", test.path, service.Validate())
 			}
 		})
-		fault.corrupt(everything)
+		test.corrupt(allCorrupt)
 	}
-	named := paths(everything.Validate())
-	for _, fault := range faults {
-		if !slices.Contains(named, fault.path) {
-			t.Errorf("%s is not named when everything is wrong: %v", fault.path, named)
+	reported := paths(allCorrupt.Validate())
+	for _, test := range tests {
+		if !slices.Contains(reported, test.path) {
+			t.Errorf("%s is not reported when every field is corrupt: %v", test.path, reported)
 		}
 	}
 }
 
-func paths(faults []FieldError) []string {
+func paths(errs []FieldError) []string {
 	var result []string
-	for _, fault := range faults {
-		result = append(result, fault.Path)
+	for _, err := range errs {
+		result = append(result, err.Path)
 	}
 	return result
 }
 
-func TestDuplicatesAreNamed(t *testing.T) {
+func TestValidateReportsDuplicates(t *testing.T) {
 	is := is.New(t)
 	service := validService()
 	service.Spec.Servers[1].Name = "a"
@@ -101,7 +101,7 @@
 	})
 }
 
-func TestValidServiceHasNoFaults(t *testing.T) {
+func TestValidServiceHasNoErrors(t *testing.T) {
 	is := is.New(t)
 	is.Equal(validService().Validate(), nil)
 	service := validService()
@@ -111,9 +111,9 @@
 	is.Equal(service.Validate(), nil)
 }
 
-// TestDefaultsCompleteWhatIsLeftOut: any subset of fields with valid values
-// becomes a valid resource, and setting defaults twice changes nothing.
-func TestDefaultsCompleteWhatIsLeftOut(t *testing.T) {
+// TestDefaultsCompleteOmittedFields checks that any subset of fields with valid
+// values becomes a valid resource and that setting defaults is idempotent.
+func TestDefaultsCompleteOmittedFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := validService()
 		milliseconds := rapid.SliceOfN(rapid.IntRange(1, 600_000), 3, 3).Draw(t, "deadlines")
@@ -135,8 +135,8 @@
 		erase("no target", func() { service.Spec.Coverage.Target = 0 })
 		erase("no minimum", func() { service.Spec.Coverage.Minimum = 0 })
 		service.Spec.SetDefaults()
-		if faults := service.Validate(); faults != nil {
-			t.Fatalf("%+v: %v", service.Spec, faults)
+		if errs := service.Validate(); errs != nil {
+			t.Fatalf("%+v: %v", service.Spec, errs)
 		}
 		once := fmt.Sprint(service.Spec)
 		service.Spec.SetDefaults()
@@ -146,9 +146,9 @@
 	})
 }
 
-func TestStrictDecodeNamesEveryFault(t *testing.T) {
+func TestDecodeReportsEveryError(t *testing.T) {
 	is := is.New(t)
-	_, faults := DecodeQueryService([]byte(`{
+	_, errs := DecodeQueryService([]byte(`{
 		"apiVersion": "driftstage.dev/v1", "Kind": "QueryService", "metadata": {"name": 7},
 		"spec": {
 			"servers": [{"name": "a", "slots": 1.5, "weight": 2}, null],
@@ -157,40 +157,40 @@
 			"hedging": {"budget": "much"},
 			"limits": {"queue": 1, "queue": 2, "inFlight": 99999999999999999999}
 		}}`))
-	is.Equal(paths(faults), []string{
+	is.Equal(paths(errs), []string{
 		"spec.limits.queue", "Kind", "metadata.name", "spec.servers[0].slots", "spec.servers[0].weight",
 		"spec.servers[1]", "spec.shards", "spec.deadlines.default", "spec.deadlines.maximum",
 		"spec.hedging.budget", "spec.limits.inFlight",
 	})
 	for _, broken := range []string{"", "{", "[]", "7", "{} {}", strings.Repeat(`{"spec":`, 100), `{"a":1,}`} {
-		_, faults := DecodeQueryService([]byte(broken))
-		is.True(len(faults) > 0)
+		_, errs := DecodeQueryService([]byte(broken))
+		is.True(len(errs) > 0)
 	}
 }
 
-func TestJudgeKeepsSpecAsWritten(t *testing.T) {
+func TestJudgeReturnsSpecOrErrors(t *testing.T) {
 	is := is.New(t)
 	spec, err := json.Marshal(validService().Spec)
 	is.NoErr(err)
 	object := QueryServiceObject{APIVersion: APIVersion, Kind: KindQueryService, Metadata: ObjectMeta{Name: "fleet"}, Spec: spec}
-	judged, faults := object.Judge()
-	is.Equal(faults, nil)
-	is.Equal(*judged, validService().Spec)
+	parsed, errs := object.Judge()
+	is.Equal(errs, nil)
+	is.Equal(*parsed, validService().Spec)
 	object.Spec = json.RawMessage(`{"servers":[],"weights":{}}`)
-	_, faults = object.Judge()
-	is.Equal(paths(faults), []string{"spec.weights"})
+	_, errs = object.Judge()
+	is.Equal(paths(errs), []string{"spec.weights"})
 }
 
-// FuzzDecode: whatever comes in, the decoder neither fails hard nor lets
-// through what encodes to something that it refuses.
+// FuzzDecode checks that the decoder does not panic on any input, and that what
+// it accepts can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	valid, _ := json.Marshal(validService())
 	f.Add(valid)
 	f.Add([]byte(`{"spec":{"servers":[{"name":"a"}],"deadlines":{"default":"1s"}}}`))
 	f.Add([]byte(`{"metadata":{"deletionTimestamp":"2026-01-01T00:00:00Z"},"status":{"nodes":{"total":1}}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		service, faults := DecodeQueryService(data)
-		if len(faults) > 0 {
+		service, errs := DecodeQueryService(data)
+		if len(errs) > 0 {
 			return
 		}
 		service.Spec.SetDefaults()
@@ -199,8 +199,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, faults := DecodeQueryService(again); len(faults) > 0 {
-			t.Fatalf("%s: %v", again, faults)
+		if _, errs := DecodeQueryService(again); len(errs) > 0 {
+			t.Fatalf("%s: %v", again, errs)
 		}
 	})
 }
