--- a/cmd/driftctl/apply.go
+++ b/cmd/driftctl/apply.go
@@ -14,20 +14,21 @@
 
 const (
 	flagWait = "wait"
-	// applyAttempts bounds the writes after conflicts with mere status changes.
-	applyAttempts = 10
-	// readBackPause stands between reads after a lost reply.
-	readBackPause = 200 * time.Millisecond
+	// maxWriteAttempts bounds the attempts to write or delete a resource: a change
+	// of the status alone causes a conflict after which the next attempt can succeed.
+	maxWriteAttempts = 10
+	// readRetryInterval is the time between reads after a write without reply.
+	readRetryInterval = 200 * time.Millisecond
 )
 
 const applyHelp = `Creates or replaces the resources of the files. All of them are checked first; if
-one has faults, nothing is written.
+one is invalid, nothing is written.
 
 A resource that carries metadata.resourceVersion, as printed by "get -o yaml", is
 written only if its spec has not changed since; otherwise the differences are
-printed and the exit status is 4. One that carries none is written over the
-version that stands now, and what it changes is printed. --resource-version
-demands that very version.`
+printed and the exit status is 4. One that carries none replaces the current
+version, and what it changes is printed. With --resource-version it is written
+only if that is the current version.`
 
 // applyFlags are the flags of driftctl apply.
 type applyFlags struct {
@@ -82,12 +83,12 @@
 }
 
 func (application *application) applyOne(ctx context.Context, client *platform.Client, document *document, options applyFlags) error {
-	writer := &specWriter{client: client.QueryServiceObjects, wanted: document.object, required: options.resourceVersion}
+	writer := &specWriter{client: client.QueryServiceObjects, wanted: document.object, requiredVersion: options.resourceVersion}
 	written, err := writer.write(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(application.output, writer.describe(written))
+	fmt.Fprintln(application.output, writer.summary(written))
 	if !options.wait {
 		return nil
 	}
@@ -97,22 +98,22 @@
 	})
 }
 
-// specWriter writes one spec by compare-and-set.
+// specWriter writes one spec by conditional writes.
 type specWriter struct {
 	client *platform.Collection[v1.QueryServiceObject]
 	wanted *v1.QueryServiceObject
-	// required is the version demanded by the operator, if any.
-	required string
-	// before is the resource as first read; nil when it did not exist.
+	// requiredVersion is the resource version that the operator requires, if any.
+	requiredVersion string
+	// before is the resource as first read; nil if it did not exist.
 	before *v1.QueryServiceObject
-	// uncertain tells that a write had no reply.
+	// uncertain is set once a write got no reply.
 	uncertain bool
 }
 
-// write returns the resource as written. It tries again only while nobody
-// else changed the spec.
+// write returns the resource as written. It retries only while no other client
+// has changed the spec.
 func (writer *specWriter) write(ctx context.Context) (*v1.QueryServiceObject, error) {
-	for attempt := range applyAttempts {
+	for attempt := range maxWriteAttempts {
 		current, err := writer.read(ctx)
 		if err != nil {
 			return nil, err
@@ -120,13 +121,13 @@
 		if attempt == 0 {
 			writer.before = current
 		}
-		if current != nil && writer.isDone(current) {
+		if current != nil && writer.alreadyApplied(current) {
 			return current, nil
 		}
 		if err := writer.checkConflict(current); err != nil {
 			return nil, err
 		}
-		written, err := writer.send(ctx, current)
+		written, err := writer.writeOnce(ctx, current)
 		switch {
 		case err == nil:
 			return written, nil
@@ -136,11 +137,11 @@
 			return nil, err
 		}
 	}
-	return nil, fail(exitConflict, "%s: still changing after %d attempts", writer.wanted.Metadata.Name, applyAttempts)
+	return nil, fail(exitConflict, "%s: still changing after %d attempts", writer.wanted.Metadata.Name, maxWriteAttempts)
 }
 
-// read returns the resource, nil when there is none. After a write without a
-// reply it is tried for as long as ctx and the attempts last.
+// read returns the resource, or nil if it does not exist. After a write without
+// a reply it retries until ctx is done or the attempts are used up.
 func (writer *specWriter) read(ctx context.Context) (*v1.QueryServiceObject, error) {
 	name := writer.wanted.Metadata.Name
 	for attempt := 1; ; attempt++ {
@@ -152,54 +153,56 @@
 			return nil, nil
 		case !writer.uncertain:
 			return nil, err
-		case attempt == applyAttempts || ctx.Err() != nil:
-			return nil, fail(exitUncertain, "%s: the write may have taken effect, and it can not be read: %v", name, err)
+		case attempt == maxWriteAttempts || ctx.Err() != nil:
+			return nil, fail(exitUncertain, "%s: the write may have taken effect, and it cannot be read: %v", name, err)
 		}
-		time.Sleep(readBackPause)
+		time.Sleep(readRetryInterval)
 	}
 }
 
-// isDone tells that the spec stands already, be it by a write without reply.
-func (writer *specWriter) isDone(current *v1.QueryServiceObject) bool {
+// alreadyApplied reports whether the resource has the wanted spec already, possibly
+// through an earlier write without reply.
+func (writer *specWriter) alreadyApplied(current *v1.QueryServiceObject) bool {
 	if current.Metadata.DeletionTimestamp != nil || len(specDifferences(current.Spec, writer.wanted.Spec)) > 0 {
 		return false
 	}
-	_, faults := current.Judge()
-	return len(faults) == 0 && (writer.uncertain || writer.required == "" || writer.required == current.Metadata.ResourceVersion)
+	_, errs := current.Judge()
+	return len(errs) == 0 && (writer.uncertain || writer.requiredVersion == "" || writer.requiredVersion == current.Metadata.ResourceVersion)
 }
 
-// checkConflict refuses to write over a change that the operator has not seen.
+// checkConflict returns an error if a write would overwrite a change that the
+// operator has not seen.
 func (writer *specWriter) checkConflict(current *v1.QueryServiceObject) error {
-	base := &writer.wanted.Metadata
+	metadata := &writer.wanted.Metadata
 	if current == nil {
 		return writer.checkAbsent()
 	}
 	if current.Metadata.DeletionTimestamp != nil {
-		return fail(exitConflict, "%s: is being deleted; apply it again when it is gone", base.Name)
+		return fail(exitConflict, "%s: is being deleted; apply it again when it is gone", metadata.Name)
 	}
 	switch {
-	case writer.required != "":
-		if writer.required != current.Metadata.ResourceVersion && !writer.ownRetry(current) {
-			return writer.conflict(current, writer.required)
+	case writer.requiredVersion != "":
+		if writer.requiredVersion != current.Metadata.ResourceVersion && !writer.onlyStatusChanged(current) {
+			return writer.conflict(current, writer.requiredVersion)
 		}
-	case base.ResourceVersion != "":
-		sameSpec := base.Generation == current.Metadata.Generation && base.UID == current.Metadata.UID
-		if base.ResourceVersion != current.Metadata.ResourceVersion && !sameSpec {
-			return writer.conflict(current, base.ResourceVersion)
+	case metadata.ResourceVersion != "":
+		sameSpec := metadata.Generation == current.Metadata.Generation && metadata.UID == current.Metadata.UID
+		if metadata.ResourceVersion != current.Metadata.ResourceVersion && !sameSpec {
+			return writer.conflict(current, metadata.ResourceVersion)
 		}
 	case writer.before == nil:
-		return fail(exitConflict, "%s: somebody else created it meanwhile; nothing was overwritten%s",
-			base.Name, writer.differences(current))
+		return fail(exitConflict, "%s: another client has created it in the meantime; nothing was overwritten%s",
+			metadata.Name, writer.differences(current))
 	case !sameObject(writer.before, current):
 		return writer.conflict(current, writer.before.Metadata.ResourceVersion)
 	}
 	return nil
 }
 
-// ownRetry tells that the version demanded was there when the write began and
-// only the status has changed since.
-func (writer *specWriter) ownRetry(current *v1.QueryServiceObject) bool {
-	return writer.before != nil && writer.before.Metadata.ResourceVersion == writer.required && sameObject(writer.before, current)
+// onlyStatusChanged reports whether the required version was the current one when
+// the write began and only the status has changed since.
+func (writer *specWriter) onlyStatusChanged(current *v1.QueryServiceObject) bool {
+	return writer.before != nil && writer.before.Metadata.ResourceVersion == writer.requiredVersion && sameObject(writer.before, current)
 }
 
 func sameObject(before, current *v1.QueryServiceObject) bool {
@@ -207,9 +210,9 @@
 }
 
 func (writer *specWriter) checkAbsent() error {
-	base := &writer.wanted.Metadata
-	if writer.required != "" || base.ResourceVersion != "" || writer.before != nil {
-		return fail(exitConflict, "%s: was deleted since it was read; remove metadata.resourceVersion to create it anew", base.Name)
+	metadata := &writer.wanted.Metadata
+	if writer.requiredVersion != "" || metadata.ResourceVersion != "" || writer.before != nil {
+		return fail(exitConflict, "%s: was deleted since it was read; remove metadata.resourceVersion to create it again", metadata.Name)
 	}
 	return nil
 }
@@ -226,10 +229,10 @@
 	if len(differences) == 0 {
 		return ""
 	}
-	return "\nyour file against what stands:\n  " + strings.Join(differences, "\n  ")
+	return "\ndifferences from the current spec to your file:\n  " + strings.Join(differences, "\n  ")
 }
 
-func (writer *specWriter) send(ctx context.Context, current *v1.QueryServiceObject) (*v1.QueryServiceObject, error) {
+func (writer *specWriter) writeOnce(ctx context.Context, current *v1.QueryServiceObject) (*v1.QueryServiceObject, error) {
 	object := &v1.QueryServiceObject{
 		APIVersion: v1.APIVersion,
 		Kind:       v1.KindQueryService,
@@ -243,8 +246,8 @@
 	return writer.client.Update(ctx, object)
 }
 
-// describe tells what was done.
-func (writer *specWriter) describe(written *v1.QueryServiceObject) string {
+// summary describes what was done.
+func (writer *specWriter) summary(written *v1.QueryServiceObject) string {
 	name := written.Metadata.Name
 	if writer.before == nil {
 		return fmt.Sprintf("%s created", name)
--- a/cmd/driftctl/delete.go
+++ b/cmd/driftctl/delete.go
@@ -11,7 +11,7 @@
 	"github.com/driftstage/driftstage/internal/platform"
 )
 
-// deletePollInterval is the time between reads while a deletion is awaited.
+// deletePollInterval is the time between reads while waiting for a deletion.
 const deletePollInterval = 200 * time.Millisecond
 
 // deleteFlags are the flags of driftctl delete.
@@ -30,7 +30,7 @@
 	return &ff.Command{
 		Name:      "delete",
 		Usage:     "driftctl delete NAME [FLAGS]",
-		ShortHelp: "take a service out of force",
+		ShortHelp: "delete a service",
 		LongHelp: "The resource is gone when the deletion has reached the nodes. A change between the\n" +
 			"read and the deletion is a conflict: nothing is deleted.",
 		Flags: flags,
@@ -65,19 +65,19 @@
 	return application.awaitDeletion(ctx, services.Get, name, before.Metadata.UID, options.timeout)
 }
 
-// deletion asks for the deletion of the resource as it was read.
+// deletion requests the deletion of a resource as it was read.
 type deletion struct {
 	services *platform.Collection[v1.QueryServiceObject]
 	before   *v1.QueryServiceObject
-	// version is the one to delete; pinned when the operator demanded it.
+	// version is the resource version to delete; pinned if the operator has set it.
 	version string
 	pinned  bool
 }
 
-// run tries again only while nobody else changed the spec.
+// run retries only while no other client has changed the spec.
 func (deletion *deletion) run(ctx context.Context) error {
 	name := deletion.before.Metadata.Name
-	for range applyAttempts {
+	for range maxWriteAttempts {
 		err := deletion.services.Delete(ctx, name, deletion.version)
 		if err == nil || platform.IsNotFound(err) {
 			return nil
@@ -90,11 +90,12 @@
 			return err
 		}
 	}
-	return fail(exitConflict, "%s: still changing after %d attempts", name, applyAttempts)
+	return fail(exitConflict, "%s: still changing after %d attempts", name, maxWriteAttempts)
 }
 
-// readBack tells whether the deletion has begun after all, and refuses to
-// delete what the operator has not seen.
+// readBack reads the resource after a failed deletion. It reports whether the
+// deletion has begun nevertheless, and returns an error if the resource was changed
+// without the operator having seen it.
 func (deletion *deletion) readBack(ctx context.Context, cause error) (bool, error) {
 	name := deletion.before.Metadata.Name
 	current, err := deletion.services.Get(ctx, name)
@@ -102,7 +103,7 @@
 	case platform.IsNotFound(err):
 		return true, nil
 	case err != nil && platform.IsUncertain(cause):
-		return false, fail(exitUncertain, "%s: the deletion may have taken effect, and it can not be read: %v", name, err)
+		return false, fail(exitUncertain, "%s: the deletion may have taken effect, and it cannot be read: %v", name, err)
 	case err != nil:
 		return false, err
 	case current.Metadata.DeletionTimestamp != nil:
--- a/cmd/driftctl/diff.go
+++ b/cmd/driftctl/diff.go
@@ -8,22 +8,23 @@
 	v1 "github.com/driftstage/driftstage/api/v1"
 )
 
-// maxDifferences bounds what is printed of a difference.
+// maxDifferences bounds how many differing fields are printed.
 const maxDifferences = 20
 
-// specDifferences lists the fields in which two specs differ, defaults set, as
-// "spec.limits.queue: 64 -> 128".
+// specDifferences lists the fields in which two specs differ after defaults are
+// set, in the form "spec.limits.queue: 64 -> 128".
 func specDifferences(before, after json.RawMessage) []string {
 	var differences []string
-	collectDifferences(normalized(before), normalized(after), "spec", &differences)
+	collectDifferences(normalizeSpec(before), normalizeSpec(after), "spec", &differences)
 	if more := len(differences) - maxDifferences; more > 0 {
 		differences = append(differences[:maxDifferences], fmt.Sprintf("and %d more", more))
 	}
 	return differences
 }
 
-// normalized is a spec as a tree; one that is no spec is compared as it stands.
-func normalized(raw json.RawMessage) any {
+// normalizeSpec returns a spec with defaults set as a tree. JSON that is not a valid
+// spec is returned unchanged.
+func normalizeSpec(raw json.RawMessage) any {
 	var spec v1.QueryServiceSpec
 	if json.Unmarshal(raw, &spec) == nil {
 		spec.SetDefaults()
@@ -49,8 +50,8 @@
 			return
 		}
 	}
-	if text, other := shown(before), shown(after); text != other {
-		*differences = append(*differences, fmt.Sprintf("%s: %s -> %s", path, text, other))
+	if old, current := formatValue(before), formatValue(after); old != current {
+		*differences = append(*differences, fmt.Sprintf("%s: %s -> %s", path, old, current))
 	}
 }
 
@@ -74,29 +75,29 @@
 
 func listDifferences(before, after []any, path string, differences *[]string) {
 	for index := range max(len(before), len(after)) {
-		collectDifferences(item(before, index), item(after, index), fmt.Sprintf("%s[%d]", path, index), differences)
+		collectDifferences(itemAt(before, index), itemAt(after, index), fmt.Sprintf("%s[%d]", path, index), differences)
 	}
 }
 
-func item(list []any, index int) any {
+func itemAt(list []any, index int) any {
 	if index < len(list) {
 		return list[index]
 	}
 	return nil
 }
 
-// shown is a value on one line, shortened.
-func shown(value any) string {
+// formatValue returns a value on one line, truncated.
+func formatValue(value any) string {
 	if value == nil {
 		return "(none)"
 	}
-	const longest = 80
+	const maxBytes = 80
 	text, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Sprint(value)
 	}
-	if len(text) > longest {
-		return string(text[:longest]) + "..."
+	if len(text) > maxBytes {
+		return string(text[:maxBytes]) + "..."
 	}
 	return string(text)
 }
--- a/cmd/driftctl/documents.go
+++ b/cmd/driftctl/documents.go
@@ -23,17 +23,17 @@
 
 // document is one resource from a file.
 type document struct {
-	// source tells where it came from, such as "fleet.yaml, document 2".
+	// source is where it was read, such as "fleet.yaml, document 2".
 	source string
 	// object is the resource as written.
 	object *v1.QueryServiceObject
-	// spec is the same with defaults set.
-	spec   *v1.QueryServiceSpec
-	faults []v1.FieldError
+	// spec is the decoded spec with defaults set.
+	spec *v1.QueryServiceSpec
+	errs []v1.FieldError
 }
 
-// readDocuments reads every resource of the files. Faults of resources stay
-// with them; the error tells of files that can not be read at all.
+// readDocuments reads all resources of the files. Errors in a resource are stored
+// in its document; the returned error is for files that cannot be read or parsed.
 func (application *application) readDocuments(files []string) ([]document, error) {
 	if len(files) == 0 {
 		return nil, fail(exitUsage, "-f: name at least one file, or - for standard input")
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(documents) == 0 {
-		return nil, fail(exitUsage, "%s: no resource in it", strings.Join(files, ", "))
+		return nil, fail(exitUsage, "%s: no resource found", strings.Join(files, ", "))
 	}
 	return documents, nil
 }
@@ -66,7 +66,7 @@
 	return os.ReadFile(file)
 }
 
-// documentText is one document as JSON.
+// documentText is a document as JSON.
 type documentText struct {
 	number int
 	json   []byte
@@ -74,8 +74,8 @@
 
 var documentSeparator = regexp.MustCompile(`(?m)^---[ \t]*(#.*)?\r?$`)
 
-// splitDocuments takes YAML documents separated by "---", or JSON values one
-// after another.
+// splitDocuments splits YAML documents separated by "---", or consecutive JSON
+// values.
 func splitDocuments(data []byte) ([]documentText, error) {
 	if bytes.HasPrefix(bytes.TrimSpace(data), []byte("{")) {
 		if texts, err := splitJSON(data); err == nil {
@@ -118,7 +118,7 @@
 	Items      []json.RawMessage `json:"items"`
 }
 
-// parseDocument judges one resource, or each of a list.
+// parseDocument parses and validates a resource, or each one of a list.
 func parseDocument(source string, data []byte) []document {
 	var list resourceList
 	if json.Unmarshal(data, &list) != nil || list.Kind != kindList {
@@ -132,28 +132,28 @@
 }
 
 func parseResource(source string, data []byte) document {
-	service, faults := v1.DecodeQueryService(data)
-	if len(faults) > 0 {
-		return document{source: source, faults: faults}
+	service, errs := v1.DecodeQueryService(data)
+	if len(errs) > 0 {
+		return document{source: source, errs: errs}
 	}
 	object := new(v1.QueryServiceObject)
 	if err := json.Unmarshal(data, object); err != nil {
-		return document{source: source, faults: []v1.FieldError{{Message: err.Error()}}}
+		return document{source: source, errs: []v1.FieldError{{Message: err.Error()}}}
 	}
 	service.Spec.SetDefaults()
-	return document{source: source, object: object, spec: &service.Spec, faults: service.Validate()}
+	return document{source: source, object: object, spec: &service.Spec, errs: service.Validate()}
 }
 
-// checkDocuments returns one failure that lists every fault of every document.
+// checkDocuments returns one failure that lists every error of every document.
 func checkDocuments(documents []document) error {
 	var lines []string
 	for _, document := range documents {
-		for _, fault := range document.faults {
-			lines = append(lines, document.source+": "+fault.Error())
+		for _, err := range document.errs {
+			lines = append(lines, document.source+": "+err.Error())
 		}
 	}
 	if len(lines) == 0 {
 		return nil
 	}
-	return fail(exitInvalid, "%d faults, nothing was written\n  %s", len(lines), strings.Join(lines, "\n  "))
+	return fail(exitInvalid, "%d errors, nothing was written\n  %s", len(lines), strings.Join(lines, "\n  "))
 }
--- a/cmd/driftctl/explain.go
+++ b/cmd/driftctl/explain.go
@@ -15,7 +15,7 @@
 	return &ff.Command{
 		Name:      "explain",
 		Usage:     "driftctl explain REQUEST [FILE...]",
-		ShortHelp: "tell a request's story from logs (standard input without files)",
+		ShortHelp: "print what logs contain about a request (standard input without files)",
 		LongHelp: `Prints each logged decision that touched the request, in order and over all
 nodes. The first one that departs from an ordinary request is marked with ">".`,
 		Flags: application.newFlags("explain"),
@@ -40,12 +40,12 @@
 	}
 	found, err := story.Write(application.output)
 	if err == nil && !found {
-		return fail(exitNotFound, "no line of request %q; ordinary requests are only sampled", request)
+		return fail(exitNotFound, "no log line of request %q; ordinary requests are only sampled", request)
 	}
 	return err
 }
 
-// openLogs returns the logs one after the other; standard input without paths.
+// openLogs returns the concatenated logs, or standard input without paths.
 func (application *application) openLogs(paths []string) (io.Reader, func(), error) {
 	if len(paths) == 0 {
 		return application.input, func() {}, nil
@@ -57,19 +57,19 @@
 		}
 	}
 	var readers []io.Reader
-	var problems []error
+	var errs []error
 	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
-			problems = append(problems, err)
+			errs = append(errs, err)
 			continue
 		}
 		files = append(files, file)
 		readers = append(readers, file)
 	}
-	if len(problems) > 0 {
+	if len(errs) > 0 {
 		closeAll()
-		return nil, nil, errors.Join(problems...)
+		return nil, nil, errors.Join(errs...)
 	}
 	return io.MultiReader(readers...), closeAll, nil
 }
--- a/cmd/driftctl/explain_test.go
+++ b/cmd/driftctl/explain_test.go
@@ -15,15 +15,15 @@
 
 func TestExplain(t *testing.T) {
 	is := is.New(t)
-	bench := newBench(t)
+	harness := newHarness(t)
 	path := filepath.Join(t.TempDir(), "node-1.log")
 	is.NoErr(os.WriteFile(path, []byte(requestLog), 0o600))
-	for _, told := range []result{bench.run(requestLog, "explain", "id-1"), bench.run("", "explain", "id-1", path)} {
-		is.Equal(told.status, 0)
-		is.True(strings.Contains(told.output, "route=r"))
-		is.True(strings.Contains(told.output, "status=expired"))
+	for _, got := range []result{harness.run(requestLog, "explain", "id-1"), harness.run("", "explain", "id-1", path)} {
+		is.Equal(got.status, 0)
+		is.True(strings.Contains(got.output, "route=r"))
+		is.True(strings.Contains(got.output, "status=expired"))
 	}
-	is.Equal(bench.run(requestLog, "explain", "id-2").status, exitNotFound)
-	is.Equal(bench.run("", "explain").status, exitUsage)
-	is.Equal(bench.run("", "explain", "id-1", path+".missing").status, exitUsage)
+	is.Equal(harness.run(requestLog, "explain", "id-2").status, exitNotFound)
+	is.Equal(harness.run("", "explain").status, exitUsage)
+	is.Equal(harness.run("", "explain", "id-1", path+".missing").status, exitUsage)
 }
--- a/cmd/driftctl/failure.go
+++ b/cmd/driftctl/failure.go
@@ -7,7 +7,7 @@
 	"github.com/driftstage/driftstage/internal/platform"
 )
 
-// The exit status of failures; see the package comment.
+// The exit statuses of failures; see the package comment.
 const (
 	exitFailure   = 1
 	exitUsage     = 2
@@ -31,13 +31,13 @@
 	return &failure{status: status, message: fmt.Sprintf(format, args...)}
 }
 
-// exitStatus chooses the status of any error: that of a failure, or what the
-// platform answered.
+// exitStatus returns the exit status for an error: that of a failure, or the one
+// that corresponds to the platform's reply.
 func exitStatus(err error) int {
-	var known *failure
+	var failed *failure
 	switch {
-	case errors.As(err, &known):
-		return known.status
+	case errors.As(err, &failed):
+		return failed.status
 	case platform.IsNotFound(err):
 		return exitNotFound
 	case platform.IsConflict(err):
@@ -47,7 +47,7 @@
 	}
 }
 
-// joinFailures keeps every message and the status of the first.
+// joinFailures returns one failure with all messages and the status of the first.
 func joinFailures(failures []error) error {
 	if len(failures) == 0 {
 		return nil
--- a/cmd/driftctl/main.go
+++ b/cmd/driftctl/main.go
@@ -1,16 +1,16 @@
-// Command driftctl is the operators' tool: it writes and reads the resources of
-// driftstage through the Object API of the platform.
+// Command driftctl is the command-line tool for operators: it writes and reads the
+// resources of driftstage through the Object API of the platform.
 //
 // Exit status:
 //
 //	0  done
-//	1  failed: the platform can not be reached or refused the request
+//	1  failed: the platform is unreachable or rejected the request
 //	2  wrong command line or unreadable file; nothing was written
-//	3  the resource has faults, the controller refused it, or a roll-out was rolled back
+//	3  the resource is invalid, the controller rejected it, or a rollout was rolled back
 //	4  conflict: the resource changed since it was read; nothing was overwritten
 //	5  the resource does not exist
-//	6  the time was over before the condition held
-//	7  uncertain: a write may have taken effect, and no read could tell
+//	6  timed out before the condition was true
+//	7  uncertain: a write may have taken effect, and the resource cannot be read
 package main
 
 import (
@@ -40,13 +40,13 @@
 
 EXIT STATUS
   0  done
-  1  failed: the platform can not be reached or refused the request
+  1  failed: the platform is unreachable or rejected the request
   2  wrong command line or unreadable file; nothing was written
-  3  the resource has faults, the controller refused it, or a roll-out was rolled back
+  3  the resource is invalid, the controller rejected it, or a rollout was rolled back
   4  conflict: the resource changed since it was read; nothing was overwritten
   5  the resource does not exist
-  6  the time was over before the condition held
-  7  uncertain: a write may have taken effect, and no read could tell`
+  6  timed out before the condition was true
+  7  uncertain: a write may have taken effect, and the resource cannot be read`
 )
 
 func main() {
@@ -55,20 +55,20 @@
 	os.Exit(run(ctx, os.Args[1:], streams{input: os.Stdin, output: os.Stdout, errors: os.Stderr}))
 }
 
-// streams are what the program reads and writes.
+// streams are the input and outputs of the program.
 type streams struct {
 	input  io.Reader
 	output io.Writer
 	errors io.Writer
 }
 
-// application is what the commands share.
+// application is the state shared by all commands.
 type application struct {
 	streams
 	address        string
 	outputFormat   string
 	requestTimeout time.Duration
-	// flags are the flags of every command.
+	// flags are common to all commands.
 	flags *ff.FlagSet
 }
 
@@ -122,7 +122,7 @@
 	}
 }
 
-// newFlags returns the flags of one command on top of those of all.
+// newFlags returns a flag set for one command that includes the common flags.
 func (application *application) newFlags(name string) *ff.FlagSet {
 	return ff.NewFlagSet(name).SetParent(application.flags)
 }
@@ -154,7 +154,7 @@
 		if errors.Is(err, ff.ErrHelp) {
 			return 0
 		}
-		fmt.Fprintln(application.errors, "driftctl: which subcommand?")
+		fmt.Fprintln(application.errors, "driftctl: no subcommand given")
 		return exitUsage
 	}
 	fmt.Fprintln(application.errors, "driftctl:", err)
@@ -168,15 +168,14 @@
 	return root
 }
 
-// flagsFirst lets flags stand after arguments, as in "get fleet -o yaml": it
-// moves what follows the subcommand's arguments before them, and writes
-// "-o=yaml" as "-o yaml".
+// flagsFirst allows flags after arguments, as in "get fleet -o yaml": it moves the
+// flags before the subcommand's arguments, and rewrites "-o=yaml" to "-o yaml".
 func flagsFirst(args []string) []string {
-	var flags, others []string
+	var flags, positional []string
 	for index := 0; index < len(args); index++ {
 		arg := args[index]
 		if !strings.HasPrefix(arg, "-") || arg == "-" {
-			others = append(others, arg)
+			positional = append(positional, arg)
 			continue
 		}
 		if name, value, found := strings.Cut(arg, "="); found && len(name) == shortFlagLength {
@@ -184,20 +183,20 @@
 			continue
 		}
 		flags = append(flags, arg)
-		takesNext := !strings.Contains(arg, "=") && !isSwitch(arg) && index+1 < len(args)
-		if takesNext {
+		takesValue := !strings.Contains(arg, "=") && !isBoolFlag(arg) && index+1 < len(args)
+		if takesValue {
 			index++
 			flags = append(flags, args[index])
 		}
 	}
-	if len(others) == 0 {
+	if len(positional) == 0 {
 		return flags
 	}
-	return append(append(others[:1:1], flags...), others[1:]...)
+	return append(append(positional[:1:1], flags...), positional[1:]...)
 }
 
-// isSwitch tells which flags take no value.
-func isSwitch(arg string) bool {
+// isBoolFlag reports whether a flag takes no value.
+func isBoolFlag(arg string) bool {
 	name := strings.TrimLeft(arg, "-")
 	return name == "h" || name == "help" || name == flagWait
 }
--- a/cmd/driftctl/nodes_state.go
+++ b/cmd/driftctl/nodes_state.go
@@ -9,29 +9,29 @@
 	"strings"
 )
 
-// statePath is where a node shows what it believes.
+// statePath is the path at which a node serves its internal state.
 const statePath = "/debug/state"
 
-// longestMessage bounds what is shown of a node's failure, in bytes.
-const longestMessage = 1 << 10
+// maxErrorBytes bounds how much of a node's error message is printed.
+const maxErrorBytes = 1 << 10
 
-// askState reads what a node (IP:port of its metrics) believes.
-func (application *application) askState(ctx context.Context, node string, state any) error {
+// fetchState reads the internal state of a node (the IP:port of its metrics).
+func (application *application) fetchState(ctx context.Context, node string, state any) error {
 	return application.callNode(ctx, http.MethodGet, node, statePath, state)
 }
 
-// askStates reads what each of the nodes believes. Those that do not answer are named on standard error; it
-// fails if none does.
-func askStates[S any](ctx context.Context, application *application, nodes []string, take func(node string, state S)) error {
+// fetchStates reads the internal state of each node. Nodes that do not answer are reported on standard
+// error; it fails if none answers.
+func fetchStates[S any](ctx context.Context, application *application, nodes []string, handle func(node string, state S)) error {
 	answered := 0
 	for _, node := range nodes {
 		var state S
-		if err := application.askState(ctx, node, &state); err != nil {
+		if err := application.fetchState(ctx, node, &state); err != nil {
 			fmt.Fprintf(application.errors, "%s: %v\n", node, err)
 			continue
 		}
 		answered++
-		take(node, state)
+		handle(node, state)
 	}
 	if answered == 0 {
 		return fail(exitFailure, "no node answered")
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// callNode makes one call of a node and decodes its answer, unless that is nil.
-func (application *application) callNode(ctx context.Context, method, node, path string, answer any) error {
+// callNode sends one request to a node and decodes the response into result unless that is nil.
+func (application *application) callNode(ctx context.Context, method, node, path string, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, application.requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, nil)
@@ -53,14 +53,14 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		message, err := io.ReadAll(io.LimitReader(response.Body, longestMessage))
+		message, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 		if err != nil {
 			return err
 		}
 		return fmt.Errorf("%s: %s", response.Status, strings.TrimSpace(string(message)))
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	return json.NewDecoder(response.Body).Decode(answer)
+	return json.NewDecoder(response.Body).Decode(result)
 }
--- a/cmd/driftctl/output.go
+++ b/cmd/driftctl/output.go
@@ -24,7 +24,7 @@
 	none          = "-"
 )
 
-// printTable prints rows in columns; the first is the header.
+// printTable prints rows in columns; the first row is the header.
 func (application *application) printTable(rows [][]string) error {
 	writer := tabwriter.NewWriter(application.output, 0, 0, columnPadding, ' ', 0)
 	for _, row := range rows {
@@ -48,8 +48,8 @@
 	return err
 }
 
-// printObjects prints resources in the format asked for; single prints one
-// without a list around it.
+// printObjects prints resources in the selected format. With single, a single
+// resource is printed without an enclosing list.
 func (application *application) printObjects(objects []v1.QueryServiceObject, single bool) error {
 	switch {
 	case application.outputFormat == formatTable:
@@ -91,7 +91,8 @@
 		strconv.Itoa(len(accepted.Spec.Servers)), strconv.Itoa(len(accepted.Spec.Shards)))
 }
 
-// acceptedText is the condition, or what stands before it.
+// acceptedText returns the status of the Accepted condition, or the reason why it is
+// not current.
 func acceptedText(object *v1.QueryServiceObject, status *v1.QueryServiceStatus) string {
 	switch {
 	case object.Metadata.DeletionTimestamp != nil:
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// revisionText shows a revision as epoch and counter.
+// revisionText formats a revision as epoch and counter.
 func revisionText(revision int64) string {
 	return fmt.Sprintf("%d.%d", revision>>32, revision&0xffffffff)
 }
--- a/cmd/driftctl/quarantine.go
+++ b/cmd/driftctl/quarantine.go
@@ -15,24 +15,25 @@
 	"github.com/driftstage/driftstage/internal/quarantine"
 )
 
-// quarantineRow is one request as all nodes that answered see it.
+// quarantineRow is one request, merged from all nodes that answered.
 type quarantineRow struct {
 	quarantine.Description
-	// Nodes know the request; Differ of them are in another state than the first.
+	// Nodes is how many nodes know the request, Differ how many of them have it in a
+	// different state than the first node.
 	Nodes, Differ int
 }
 
 func (application *application) quarantineCommand() *ff.Command {
 	flags := application.newFlags("quarantine")
-	release := flags.StringLong("release", "", "digest of a request that is to pass again on all nodes")
+	release := flags.StringLong("release", "", "digest of a request to release on all nodes")
 	return &ff.Command{
 		Name:      "quarantine",
 		Usage:     "driftctl quarantine [FLAGS] NODE...",
-		ShortHelp: "show requests that end servers, or let one pass again",
+		ShortHelp: "show requests that crash servers, or release one",
 		LongHelp: `Asks each NODE (IP:port of its metrics) for the requests under which servers
-ended, by digest (the log of requests has it), and how many nodes know of each.
-With --release, the first NODE that knows the digest forgets it and tells all
-others through the store: do that once the servers bear the request.
+crashed, by digest (which the log of requests contains), and how many nodes know
+each. With --release, the first NODE that knows the digest releases it on all nodes
+through the store: do that once the servers can process the request.
 
 Exit status: 0 done, 1 no node answered or the release failed, 5 no node knows
 such a request.`,
@@ -52,9 +53,9 @@
 func (application *application) quarantine(ctx context.Context, nodes []string) error {
 	var rows []quarantineRow
 	type state struct{ Quarantine []quarantine.Description }
-	err := askStates(ctx, application, nodes, func(_ string, known state) {
-		for _, description := range known.Quarantine {
-			rows = addQuarantine(rows, description)
+	err := fetchStates(ctx, application, nodes, func(_ string, answer state) {
+		for _, description := range answer.Quarantine {
+			rows = mergeQuarantine(rows, description)
 		}
 	})
 	if err != nil {
@@ -65,13 +66,13 @@
 		return err
 	}
 	if len(rows) == 0 {
-		return fail(exitNotFound, "no node knows a request that ends servers")
+		return fail(exitNotFound, "no node knows a request that crashes servers")
 	}
 	return nil
 }
 
-// addQuarantine adds what one node knows of a request.
-func addQuarantine(rows []quarantineRow, description quarantine.Description) []quarantineRow {
+// mergeQuarantine merges one node's description of a request into the rows.
+func mergeQuarantine(rows []quarantineRow, description quarantine.Description) []quarantineRow {
 	index := slices.IndexFunc(rows, func(row quarantineRow) bool { return row.Digest == description.Digest })
 	if index < 0 {
 		return append(rows, quarantineRow{Description: description, Nodes: 1})
@@ -101,7 +102,7 @@
 	return application.printTable(table)
 }
 
-// release lets a request pass again by the first node that can.
+// release releases a request through the first node that can.
 func (application *application) release(ctx context.Context, nodes []string, digest string) error {
 	if _, err := quarantine.ParseDigest(digest); err != nil {
 		return fail(exitUsage, "%v", err)
--- a/cmd/driftctl/quarantine_test.go
+++ b/cmd/driftctl/quarantine_test.go
@@ -12,18 +12,19 @@
 	"github.com/driftstage/driftstage/internal/quarantine"
 )
 
-var shownDigest = quarantine.Digest{0xab, 0xcd}
+var testDigest = quarantine.Digest{0xab, 0xcd}
 
-// quarantineServer is a node that shows one request in a state, and releases that one.
+// quarantineServer serves the API of a node that has testDigest in each of the states, and
+// releases it on request.
 func quarantineServer(t *testing.T, states ...quarantine.State) string {
 	t.Helper()
 	var shown []quarantine.Description
 	for _, state := range states {
-		shown = append(shown, quarantine.Description{Digest: shownDigest, State: state, Services: []string{"s"}, Servers: 3, FailedTrials: 2, SecondsLeft: 60})
+		shown = append(shown, quarantine.Description{Digest: testDigest, State: state, Services: []string{"s"}, Servers: 3, FailedTrials: 2, SecondsLeft: 60})
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodPost {
-			if request.URL.Path != quarantine.ReleasePath || request.URL.Query().Get(quarantine.ReleaseDigest) != shownDigest.String() || len(shown) == 0 {
+			if request.URL.Path != quarantine.ReleasePath || request.URL.Query().Get(quarantine.ReleaseDigest) != testDigest.String() || len(shown) == 0 {
 				http.Error(writer, "not known here", http.StatusBadRequest)
 			}
 			return
@@ -38,33 +39,33 @@
 
 func runQuarantine(args ...string) result { return runOnNodes("quarantine", args...) }
 
-func TestQuarantineShowsWhoKnows(t *testing.T) {
+func TestQuarantineMergesNodes(t *testing.T) {
 	is := is.New(t)
 	nodes := []string{quarantineServer(t, quarantine.StateRefused), quarantineServer(t, quarantine.StateSuspected), quarantineServer(t)}
-	seen := runQuarantine(nodes...)
-	is.Equal(seen.status, 0)
-	lines := strings.Split(seen.output, "\n")
-	is.Equal(strings.Fields(lines[1]), strings.Fields(shownDigest.String()+" refused 60 3 0 2 2 1 s"))
+	got := runQuarantine(nodes...)
+	is.Equal(got.status, 0)
+	lines := strings.Split(got.output, "\n")
+	is.Equal(strings.Fields(lines[1]), strings.Fields(testDigest.String()+" refused 60 3 0 2 2 1 s"))
 }
 
-func TestQuarantineReleasesAtTheNodeThatKnows(t *testing.T) {
+func TestQuarantineReleaseTriesEachNode(t *testing.T) {
 	is := is.New(t)
-	seen := runQuarantine("--release", shownDigest.String(), quarantineServer(t), quarantineServer(t, quarantine.StateRefused))
-	is.Equal(seen.status, 0)
-	is.True(strings.Contains(seen.errors, "not known here"))
+	got := runQuarantine("--release", testDigest.String(), quarantineServer(t), quarantineServer(t, quarantine.StateRefused))
+	is.Equal(got.status, 0)
+	is.True(strings.Contains(got.errors, "not known here"))
 }
 
-func TestQuarantineStatusForScripts(t *testing.T) {
+func TestQuarantineExitStatus(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		args   []string
 		status int
 	}{
 		{"no nodes", nil, exitUsage},
-		{"nobody answers", []string{"127.0.0.1:1"}, exitFailure},
+		{"no node answers", []string{"127.0.0.1:1"}, exitFailure},
 		{"nothing known", []string{quarantineServer(t)}, exitNotFound},
 		{"no digest", []string{"--release", "nonsense", "127.0.0.1:1"}, exitUsage},
-		{"nobody releases", []string{"--release", shownDigest.String(), quarantineServer(t)}, exitFailure},
+		{"no node releases", []string{"--release", testDigest.String(), quarantineServer(t)}, exitFailure},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is.New(t).Equal(runQuarantine(test.args...).status, test.status)
--- a/cmd/driftctl/read.go
+++ b/cmd/driftctl/read.go
@@ -52,7 +52,7 @@
 	return &ff.Command{
 		Name:      "describe",
 		Usage:     "driftctl describe NAME [FLAGS]",
-		ShortHelp: "tell the state of one resource in words",
+		ShortHelp: "describe the state of one resource",
 		Flags:     application.newFlags("describe"),
 		Exec: func(ctx context.Context, names []string) error {
 			if len(names) != 1 {
@@ -73,7 +73,7 @@
 func (application *application) describe(object *v1.QueryServiceObject) error {
 	status, err := object.DecodeStatus()
 	if err != nil {
-		return fail(exitFailure, "%s: its status can not be read: %v", object.Metadata.Name, err)
+		return fail(exitFailure, "%s: its status cannot be decoded: %v", object.Metadata.Name, err)
 	}
 	rows := [][]string{
 		{"Name:", object.Metadata.Name},
--- a/cmd/driftctl/rollouts.go
+++ b/cmd/driftctl/rollouts.go
@@ -13,28 +13,29 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// rolloutsInterval is how often --watch asks.
-const rolloutsInterval = time.Second
+// rolloutsPollInterval is the time between two reads with --watch.
+const rolloutsPollInterval = time.Second
 
-// rolloutRow is one order as all nodes that answered see it.
+// rolloutRow is one order, merged from all nodes that answered.
 type rolloutRow struct {
 	rollout.Description
-	// Nodes know the order; Differ of them have another state or stage than the first.
+	// Nodes is how many nodes know the order, Differ how many of them have it in a
+	// different state or stage than the first node.
 	Nodes, Differ int
 }
 
 func (application *application) rolloutsCommand() *ff.Command {
 	flags := application.newFlags("rollouts")
-	watch := flags.BoolLong("watch", "ask again each second until every roll-out has ended")
+	watch := flags.BoolLong("watch", "poll every second until every rollout has ended")
 	return &ff.Command{
 		Name:      "rollouts",
 		Usage:     "driftctl rollouts [FLAGS] NODE...",
-		ShortHelp: "show the roll-outs that nodes of driftrouter carry out",
-		LongHelp: `Asks each NODE (IP:port of its metrics) for its roll-outs and adds up what the
-nodes have sent and seen. Nodes that do not answer are named on standard error.
+		ShortHelp: "show the rollouts that nodes of driftrouter carry out",
+		LongHelp: `Asks each NODE (IP:port of its metrics) for its rollouts and adds up the requests
+and answers of the nodes. Nodes that do not answer are named on standard error.
 
-Exit status: 0 all roll-outs are running or completed, 1 no node answered, 3 one
-was rolled back, 5 no node knows a roll-out.`,
+Exit status: 0 all rollouts are running or completed, 1 no node answered, 3 one
+was rolled back, 5 no node knows a rollout.`,
 		Flags: flags,
 		Exec: func(ctx context.Context, nodes []string) error {
 			if len(nodes) == 0 {
@@ -47,7 +48,7 @@
 
 func (application *application) rollouts(ctx context.Context, nodes []string, watch bool) error {
 	for {
-		rows, err := application.askRollouts(ctx, nodes)
+		rows, err := application.fetchRollouts(ctx, nodes)
 		if err != nil {
 			return err
 		}
@@ -55,21 +56,21 @@
 			return err
 		}
 		if !watch || allEnded(rows) {
-			return judgeRollouts(rows)
+			return rolloutsResult(rows)
 		}
-		if err := pause(ctx, rolloutsInterval); err != nil {
+		if err := sleep(ctx, rolloutsPollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// askRollouts returns the orders that the nodes know, by service.
-func (application *application) askRollouts(ctx context.Context, nodes []string) ([]rolloutRow, error) {
+// fetchRollouts returns the orders that the nodes know, sorted by service.
+func (application *application) fetchRollouts(ctx context.Context, nodes []string) ([]rolloutRow, error) {
 	var rows []rolloutRow
 	type state struct{ Rollouts []rollout.Description }
-	err := askStates(ctx, application, nodes, func(_ string, known state) {
-		for _, description := range known.Rollouts {
-			rows = addRollout(rows, description)
+	err := fetchStates(ctx, application, nodes, func(_ string, answer state) {
+		for _, description := range answer.Rollouts {
+			rows = mergeRollout(rows, description)
 		}
 	})
 	if err != nil {
@@ -79,8 +80,8 @@
 	return rows, nil
 }
 
-// addRollout adds what one node knows of an order.
-func addRollout(rows []rolloutRow, description rollout.Description) []rolloutRow {
+// mergeRollout merges one node's description of an order into the rows.
+func mergeRollout(rows []rolloutRow, description rollout.Description) []rolloutRow {
 	index := slices.IndexFunc(rows, func(row rolloutRow) bool {
 		return row.Service == description.Service && row.Target == description.Target
 	})
@@ -120,7 +121,7 @@
 	return application.printTable(table)
 }
 
-// countsText shows answers, failed and slow ones.
+// countsText formats the counts of answers, of failed and of slow ones.
 func countsText(counts rollout.Counts) string {
 	return fmt.Sprintf("%d (%d failed, %d slow)", counts.Answers, counts.Failed, counts.Slow)
 }
@@ -131,8 +132,8 @@
 	})
 }
 
-// judgeRollouts returns the exit status.
-func judgeRollouts(rows []rolloutRow) error {
+// rolloutsResult returns the failure that determines the exit status, or nil.
+func rolloutsResult(rows []rolloutRow) error {
 	if len(rows) == 0 {
 		return fail(exitNotFound, "no node knows a roll-out")
 	}
--- a/cmd/driftctl/store.go
+++ b/cmd/driftctl/store.go
@@ -10,13 +10,13 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// storeRow is what a node believes of the platform's store.
+// storeRow is one node's state of the platform's store.
 type storeRow struct {
 	Node string
 	storeState
 }
 
-// storeState is the part of a node's state that is about the store.
+// storeState is the part of a node's state that concerns the store.
 type storeState struct {
 	Era              catalog.Era
 	Version          uint64
@@ -29,10 +29,10 @@
 	return &ff.Command{
 		Name:      "store",
 		Usage:     "driftctl store [FLAGS] NODE...",
-		ShortHelp: "show which era of the platform's store nodes believe in",
+		ShortHelp: "show the era of the platform's store that nodes have seen",
 		LongHelp: `Asks each NODE (IP:port of its metrics) for the era of the platform's store, which
-rises each time that the store comes back from a copy, for the configuration in
-force, and for servers that are known otherwise than the store lists them: entries
+rises each time that the store is restored from a backup, for the configuration in
+force, and for servers whose state differs from the list of the store: entries
 that are doubted, and servers that are missing and kept for a while. A row follows
 for each feed that was listed since the store was restored, with the revisions
 before and after.
@@ -50,7 +50,7 @@
 
 func (application *application) store(ctx context.Context, nodes []string) error {
 	var rows []storeRow
-	err := askStates(ctx, application, nodes, func(node string, state storeState) {
+	err := fetchStates(ctx, application, nodes, func(node string, state storeState) {
 		rows = append(rows, storeRow{Node: node, storeState: state})
 	})
 	if err != nil {
@@ -65,14 +65,14 @@
 	}
 	table := [][]string{{"NODE", "ERA", "VERSION", "SERVERS", "DOUBTED", "MISSING", "FEED", "REVISION", "BEFORE", "SECONDS AGO"}}
 	for _, row := range rows {
-		own := []string{
+		columns := []string{
 			row.Node, fmt.Sprint(row.Era), strconv.FormatUint(row.Version, 10), strconv.Itoa(row.Servers), strconv.Itoa(row.Doubted), strconv.Itoa(row.Missing),
 		}
 		if len(row.Restored) == 0 {
-			table = append(table, append(own, "", "", "", ""))
+			table = append(table, append(columns, "", "", "", ""))
 		}
 		for _, feed := range row.Restored {
-			table = append(table, append(own[:6:6], feed.Feed, fmt.Sprintf("%d/%d", feed.Era, feed.Revision),
+			table = append(table, append(columns[:6:6], feed.Feed, fmt.Sprintf("%d/%d", feed.Era, feed.Revision),
 				fmt.Sprintf("%d/%d", feed.EraBefore, feed.RevisionBefore), fmt.Sprintf("%.0f", feed.SecondsAgo)))
 		}
 	}
--- a/cmd/driftctl/store_test.go
+++ b/cmd/driftctl/store_test.go
@@ -12,7 +12,7 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-func TestStoreShowsWhatARestoreHasChanged(t *testing.T) {
+func TestStoreShowsRestoredFeeds(t *testing.T) {
 	is := is.New(t)
 	state := storeState{Era: 2, Version: 7, Servers: 70, Doubted: 1, Missing: 3, Restored: []catalog.RestoredFeed{
 		{Feed: "servers", Era: 2, EraBefore: 1, Revision: 100, RevisionBefore: 122, SecondsAgo: 4},
@@ -25,9 +25,9 @@
 	}))
 	t.Cleanup(server.Close)
 	node := strings.TrimPrefix(server.URL, "http://")
-	seen := runOnNodes("store", node)
-	is.Equal(seen.status, 0)
-	lines := strings.Split(seen.output, "\n")
+	got := runOnNodes("store", node)
+	is.Equal(got.status, 0)
+	lines := strings.Split(got.output, "\n")
 	is.Equal(strings.Fields(lines[1]), strings.Fields(node+" 2 7 70 1 3 servers 2/100 1/122 4"))
 	is.Equal(strings.Fields(lines[2]), strings.Fields(node+" 2 7 70 1 3 tables 2/101 1/123 4"))
 	is.Equal(runOnNodes("store").status, exitUsage)
--- a/cmd/driftctl/unreadable.go
+++ b/cmd/driftctl/unreadable.go
@@ -10,7 +10,7 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// unreadableRow is one object that a node could not understand.
+// unreadableRow is one object that a node could not decode.
 type unreadableRow struct {
 	Node string
 	catalog.UnreadableObject
@@ -20,10 +20,10 @@
 	return &ff.Command{
 		Name:      "unreadable",
 		Usage:     "driftctl unreadable [FLAGS] NODE...",
-		ShortHelp: "show objects of the store that nodes could not understand",
+		ShortHelp: "show objects of the store that nodes could not decode",
 		LongHelp: `Asks each NODE (IP:port of its metrics) for the objects of the platform's store
-that it read and could not understand, with the cause. Such an object counts as if
-it were not there; an object that was mended is used again, and its row stays.
+that it read and could not decode, with the cause. Such an object is treated as
+missing; an object that was repaired is used again, and its row stays.
 
 Exit status: 0 there are some, 1 no node answered, 5 no node has read one.`,
 		Flags: application.newFlags("unreadable"),
@@ -39,8 +39,8 @@
 func (application *application) unreadable(ctx context.Context, nodes []string) error {
 	var rows []unreadableRow
 	type state struct{ Unreadable []catalog.UnreadableObject }
-	err := askStates(ctx, application, nodes, func(node string, known state) {
-		for _, object := range known.Unreadable {
+	err := fetchStates(ctx, application, nodes, func(node string, answer state) {
+		for _, object := range answer.Unreadable {
 			rows = append(rows, unreadableRow{Node: node, UnreadableObject: object})
 		}
 	})
@@ -48,7 +48,7 @@
 	case err != nil:
 		return err
 	case len(rows) == 0:
-		return fail(exitNotFound, "no node has read an object that it could not understand")
+		return fail(exitNotFound, "no node has read an object that it could not decode")
 	}
 	return application.printUnreadable(rows)
 }
--- a/cmd/driftctl/wait.go
+++ b/cmd/driftctl/wait.go
@@ -17,7 +17,7 @@
 	name      string
 	condition string
 	timeout   time.Duration
-	// generation is the least generation that counts; zero means the newest.
+	// generation is the lowest generation that counts; zero means the newest.
 	generation int64
 }
 
@@ -30,7 +30,7 @@
 		Name:      "wait",
 		Usage:     "driftctl wait NAME --for=InForce [FLAGS]",
 		ShortHelp: "wait until the newest generation of a resource is accepted, or in force on every node",
-		LongHelp:  "A generation that the controller refused ends the wait at once with exit status 3.",
+		LongHelp:  "A generation that the controller rejected ends the wait immediately with exit status 3.",
 		Flags:     flags,
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// await follows one resource until the condition holds for its newest generation.
+// await watches a resource until the condition is true for its newest generation.
 func (application *application) await(ctx context.Context, client *platform.Client, options waitFlags) error {
 	wanted := v1.ConditionType(options.condition)
 	if wanted != v1.ConditionAccepted && wanted != v1.ConditionInForce {
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(ctx, options.timeout)
 	defer cancel()
 	if _, err := client.QueryServiceObjects.Get(ctx, options.name); err != nil {
-		return application.waitEnded(ctx, err, options, nil)
+		return application.waitError(ctx, err, options, nil)
 	}
 	var last *v1.QueryServiceObject
 	err := follow(ctx, client.QueryServiceObjects, func(event platform.Event[v1.QueryServiceObject]) error {
@@ -64,21 +64,21 @@
 			return fail(exitNotFound, "%s: was deleted", options.name)
 		}
 		last = event.Object
-		return judgeProgress(event.Object, wanted, options.generation)
+		return checkProgress(event.Object, wanted, options.generation)
 	})
 	if err != nil {
-		return application.waitEnded(ctx, err, options, last)
+		return application.waitError(ctx, err, options, last)
 	}
 	fmt.Fprintf(application.output, "%s is %s, generation %d\n", options.name, wanted, last.Metadata.Generation)
 	return nil
 }
 
-// judgeProgress returns errEnough when the condition holds, nil while it may
-// come, and a failure when the generation was refused.
-func judgeProgress(object *v1.QueryServiceObject, wanted v1.ConditionType, leastGeneration int64) error {
+// checkProgress returns errStopWatch if the condition is true, nil if it may still
+// become true, and a failure if the generation was rejected.
+func checkProgress(object *v1.QueryServiceObject, wanted v1.ConditionType, minGeneration int64) error {
 	status, err := object.DecodeStatus()
 	generation := object.Metadata.Generation
-	if err != nil || generation < leastGeneration || status.ObservedGeneration != generation {
+	if err != nil || generation < minGeneration || status.ObservedGeneration != generation {
 		return nil
 	}
 	accepted := findCondition(&status, v1.ConditionAccepted)
@@ -86,23 +86,23 @@
 		return nil
 	}
 	if accepted.Status == v1.ConditionFalse {
-		return fail(exitInvalid, "%s: generation %d was refused: %s", object.Metadata.Name, generation, accepted.Message)
+		return fail(exitInvalid, "%s: generation %d was rejected: %s", object.Metadata.Name, generation, accepted.Message)
 	}
 	condition := findCondition(&status, wanted)
 	if condition == nil || condition.Status != v1.ConditionTrue || condition.ObservedGeneration != generation {
 		return nil
 	}
-	return errEnough
+	return errStopWatch
 }
 
-// waitEnded tells a time that is over from other failures.
-func (application *application) waitEnded(ctx context.Context, err error, options waitFlags, last *v1.QueryServiceObject) error {
+// waitError returns a timeout failure if the deadline has passed, or else err.
+func (application *application) waitError(ctx context.Context, err error, options waitFlags, last *v1.QueryServiceObject) error {
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return err
 	}
 	state := "it could not be read"
 	if last != nil {
-		state = "it stands at " + waitState(last)
+		state = "it is at " + waitState(last)
 	}
 	return fail(exitTimeout, "%s: not %s within %v; %s", options.name, options.condition, options.timeout, state)
 }
@@ -110,7 +110,7 @@
 func waitState(object *v1.QueryServiceObject) string {
 	status, err := object.DecodeStatus()
 	if err != nil {
-		return "a status that can not be read"
+		return "a status that cannot be decoded"
 	}
 	return fmt.Sprintf("generation %d, Accepted %s, InForce %s, %d of %d nodes, lagging %v",
 		object.Metadata.Generation, acceptedText(object, &status), conditionText(&status, v1.ConditionInForce),
@@ -120,7 +120,7 @@
 // getter reads one resource.
 type getter func(ctx context.Context, name string) (*v1.QueryServiceObject, error)
 
-// awaitDeletion returns when the object with this UID is gone.
+// awaitDeletion waits until the object with this UID is deleted.
 func (application *application) awaitDeletion(ctx context.Context, get getter, name, uid string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -130,7 +130,7 @@
 			fmt.Fprintln(application.output, name, "deleted")
 			return nil
 		}
-		if pause(ctx, deletePollInterval) != nil {
+		if sleep(ctx, deletePollInterval) != nil {
 			return fail(exitTimeout, "%s: not gone within %v", name, timeout)
 		}
 	}
--- a/cmd/driftctl/watch.go
+++ b/cmd/driftctl/watch.go
@@ -14,17 +14,18 @@
 	"github.com/driftstage/driftstage/internal/platform"
 )
 
-// watchPause stands before a watch that ended is opened again.
-const watchPause = 500 * time.Millisecond
+// rewatchDelay is the delay before a watch that has ended is opened again.
+const rewatchDelay = 500 * time.Millisecond
 
-// errEnough ends a watch whose caller has seen what it wanted.
-var errEnough = errors.New("seen")
+// errStopWatch is returned by a visitor to end the watch without an error.
+var errStopWatch = errors.New("seen")
 
-// watchVisitor takes one event; an error ends the watch.
+// watchVisitor handles one event; an error ends the watch.
 type watchVisitor func(event platform.Event[v1.QueryServiceObject]) error
 
-// follow shows every object as an ADDED event, and then what happens, until
-// the visitor returns an error or ctx ends. A watch that ends is opened again.
+// follow passes every existing object to the visitor as an ADDED event, and then
+// every change, until the visitor returns an error or ctx is done. A watch that
+// ends is opened again.
 func follow(ctx context.Context, services *platform.Collection[v1.QueryServiceObject], visit watchVisitor) error {
 	version, err := visitList(ctx, services, visit)
 	for err == nil {
@@ -32,11 +33,11 @@
 		if platform.IsGone(err) {
 			version, err = visitList(ctx, services, visit)
 		}
-		if answered := (*platform.Error)(nil); errors.As(err, &answered) && ctx.Err() == nil {
-			err = pause(ctx, watchPause)
+		if failed := (*platform.Error)(nil); errors.As(err, &failed) && ctx.Err() == nil {
+			err = sleep(ctx, rewatchDelay)
 		}
 	}
-	if errors.Is(err, errEnough) {
+	if errors.Is(err, errStopWatch) {
 		return nil
 	}
 	return err
@@ -56,7 +57,7 @@
 	return listed.Metadata.ResourceVersion, nil
 }
 
-// visitWatch returns the version after the last event.
+// visitWatch returns the resource version after the last event.
 func visitWatch(ctx context.Context, services *platform.Collection[v1.QueryServiceObject], version string, visit watchVisitor) (string, error) {
 	watch, err := services.Watch(ctx, version)
 	if err != nil {
@@ -78,7 +79,7 @@
 	}
 }
 
-func pause(ctx context.Context, duration time.Duration) error {
+func sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -100,7 +101,7 @@
 			defer client.Close()
 			printer := &watchPrinter{application: application}
 			err := follow(ctx, client.QueryServiceObjects, func(event platform.Event[v1.QueryServiceObject]) error {
-				if !isNamed(names, event.Object.Metadata.Name) {
+				if !matchesNames(names, event.Object.Metadata.Name) {
 					return nil
 				}
 				return printer.print(event)
@@ -113,7 +114,7 @@
 	}
 }
 
-func isNamed(names []string, name string) bool {
+func matchesNames(names []string, name string) bool {
 	for _, wanted := range names {
 		if wanted == name {
 			return true
@@ -122,13 +123,13 @@
 	return len(names) == 0
 }
 
-// watchPrinter prints events, in the table under one header.
+// watchPrinter prints events; tables have one header for all of them.
 type watchPrinter struct {
 	application *application
-	begun       bool
+	started     bool
 }
 
-// watchLine is an event as JSON.
+// watchLine is an event in JSON and YAML output.
 type watchLine struct {
 	Type   platform.EventType     `json:"type"`
 	Object *v1.QueryServiceObject `json:"object"`
@@ -140,21 +141,21 @@
 	case formatJSON:
 		return json.NewEncoder(printer.application.output).Encode(line)
 	case formatYAML:
-		if printer.begun {
+		if printer.started {
 			fmt.Fprintln(printer.application.output, "---")
 		}
-		printer.begun = true
+		printer.started = true
 		return printer.application.printValue(line)
 	}
-	if !printer.begun {
-		printer.begun = true
+	if !printer.started {
+		printer.started = true
 		printer.printRow(append([]string{"EVENT"}, objectHeader()...))
 	}
 	printer.printRow(append([]string{string(event.Type)}, objectRow(event.Object)...))
 	return nil
 }
 
-// watchColumnWidth aligns rows that are printed one by one.
+// watchColumnWidth is the column width of rows that are printed one at a time.
 const watchColumnWidth = 12
 
 func (printer *watchPrinter) printRow(columns []string) {
