--- a/cmd/driftrouter/main.go
+++ b/cmd/driftrouter/main.go
@@ -1,7 +1,8 @@
-// Command driftrouter is the query tier on a platform that keeps configuration
-// and lists servers: it answers callers and asks the servers directly.
+// Command driftrouter is the query tier for a platform that stores the
+// configuration and lists the servers: it serves callers and sends their requests
+// directly to the servers.
 //
-// Exit status: 0 after a stop, 1 after a failure, 2 when the settings are wrong
+// Exit status: 0 after a stop, 1 after a failure, 2 if the settings are invalid
 // (nothing was started).
 package main
 
@@ -27,7 +28,7 @@
 	exitSettings = 2
 )
 
-// logBufferBytes bounds log lines that wait for a slow reader.
+// logBufferBytes bounds the log lines buffered for a slow reader.
 const logBufferBytes = 256 << 10
 
 func main() {
@@ -37,7 +38,7 @@
 func run(args []string) int {
 	request, err := settings.LoadRouter(args)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "driftrouter: wrong settings:\n%v\n", err)
+		fmt.Fprintf(os.Stderr, "driftrouter: invalid settings:\n%v\n", err)
 		return exitSettings
 	}
 	switch request.Mode {
@@ -46,7 +47,7 @@
 	case settings.ModeVersion:
 		fmt.Println("driftrouter", telemetry.Version())
 	case settings.ModeCheck:
-		fmt.Println("settings are right")
+		fmt.Println("settings are valid")
 	default:
 		return serve(request, args)
 	}
@@ -54,23 +55,23 @@
 }
 
 func serve(request settings.Request[settings.Router], args []string) int {
-	loaded := request.Settings
+	router := request.Settings
 	debug.SetGCPercent(edge.GCPercent)
-	limitMemory(loaded.MemoryMegabytes)
+	limitMemory(router.MemoryMegabytes)
 	output := telemetry.NewAsyncWriter(os.Stdout, logBufferBytes)
 	defer output.Close()
-	handler := telemetry.SetupLogs(output, loaded.Name, loaded.LogVerbosity)
-	recorder := trace.NewRecorder(handler, traceOptions(loaded))
+	handler := telemetry.SetupLogs(output, router.Name, router.LogVerbosity)
+	recorder := trace.NewRecorder(handler, traceOptions(router))
 	defer recorder.Flush()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	writing, endWriting := context.WithCancel(context.Background())
-	defer endWriting()
-	go recorder.Run(writing)
+	recorderCtx, stopRecorder := context.WithCancel(context.Background())
+	defer stopRecorder()
+	go recorder.Run(recorderCtx)
 	signal.Ignore(syscall.SIGPIPE)
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
-	node := edge.New(loaded, platform.Names(), platform.NewStore(loaded.StoreAddress), edge.Logs{
+	node := edge.New(router, platform.Names(), platform.NewStore(router.StoreAddress), edge.Logs{
 		Recorder: recorder,
 		Dropped:  output.Dropped,
 	})
@@ -84,20 +85,20 @@
 	return 0
 }
 
-// heapShare is the part of the process's memory that the runtime keeps to; the rest
-// is for stacks of the C library, buffers of the kernel and bytes that wait unread.
+// heapShare is the fraction of the process's memory to which the Go runtime is limited; the
+// rest is for stacks of the C library, kernel buffers and unread bytes.
 const heapShare = 0.8
 
-// limitMemory makes the runtime collect garbage more often near the limit, which
-// is 0 for none.
+// limitMemory sets the memory limit near which the runtime collects garbage more
+// often; 0 means no limit.
 func limitMemory(megabytes int) {
 	if megabytes > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(megabytes<<20)))
 	}
 }
 
-// reload reads the settings once more. Wrong ones are reported, and the node goes
-// on by those it has.
+// reload loads the settings again. Invalid ones are logged, and the node keeps the
+// current settings.
 func reload(node *edge.Node, recorder *trace.Recorder, args []string) {
 	request, err := settings.LoadRouter(args)
 	if err != nil {
@@ -108,6 +109,6 @@
 	node.Reload(request.Settings)
 }
 
-func traceOptions(loaded settings.Router) trace.Options {
-	return trace.Options{LinesPerSecond: loaded.LogLines, SampleEvery: loaded.LogSample}
+func traceOptions(router settings.Router) trace.Options {
+	return trace.Options{LinesPerSecond: router.LogLines, SampleEvery: router.LogSample}
 }
--- a/cmd/driftstaged/main.go
+++ b/cmd/driftstaged/main.go
@@ -1,8 +1,8 @@
 // Command driftstaged is the daemon of driftstage: gateway, owner of back-end
-// servers, member and candidate for control in one process.
+// servers, cluster member and candidate for the controller in one process.
 //
-// Exit status: 0 after a stop that cut nothing, 1 after a failure, 2 when the
-// settings are wrong (nothing was started).
+// Exit status: 0 after a stop that aborted no request, 1 after a failure, 2 if the
+// settings are invalid (nothing was started).
 package main
 
 import (
@@ -29,7 +29,7 @@
 func run(args []string) int {
 	request, err := settings.Load(args)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "driftstaged: wrong settings:\n%v\n", err)
+		fmt.Fprintf(os.Stderr, "driftstaged: invalid settings:\n%v\n", err)
 		return exitSettings
 	}
 	switch request.Mode {
@@ -40,7 +40,7 @@
 		fmt.Println("driftstaged", telemetry.Version())
 		return 0
 	case settings.ModeCheck:
-		fmt.Println("settings are right")
+		fmt.Println("settings are valid")
 		return 0
 	}
 	return serve(request.Settings)
