--- a/api/v1/validate_test.go
+++ b/api/v1/validate_test.go
@@ -124,16 +124,16 @@
 		deadlines.Maximum = Duration(milliseconds[2]) * Duration(time.Millisecond)
 		service.Spec.Coverage.Target = rapid.Float64Range(0.01, 1).Draw(t, "target")
 		service.Spec.Coverage.Minimum = rapid.Float64Range(0.01, service.Spec.Coverage.Target).Draw(t, "minimum")
-		erase := func(name string, clear func()) {
+		omit := func(name string, clear func()) {
 			if rapid.Bool().Draw(t, name) {
 				clear()
 			}
 		}
-		erase("no answerAfter", func() { deadlines.AnswerAfter = 0 })
-		erase("no default", func() { deadlines.Default = 0 })
-		erase("no maximum", func() { deadlines.Maximum = 0 })
-		erase("no target", func() { service.Spec.Coverage.Target = 0 })
-		erase("no minimum", func() { service.Spec.Coverage.Minimum = 0 })
+		omit("no answerAfter", func() { deadlines.AnswerAfter = 0 })
+		omit("no default", func() { deadlines.Default = 0 })
+		omit("no maximum", func() { deadlines.Maximum = 0 })
+		omit("no target", func() { service.Spec.Coverage.Target = 0 })
+		omit("no minimum", func() { service.Spec.Coverage.Minimum = 0 })
 		service.Spec.SetDefaults()
 		if errs := service.Validate(); errs != nil {
 			t.Fatalf("%+v: %v", service.Spec, errs)
