--- a/internal/edge/assemble.go
+++ b/internal/edge/assemble.go
@@ -21,7 +21,7 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// New builds a node by dependency injection; nothing runs yet.
+// New builds a node by dependency injection; it starts nothing.
 func New(loaded settings.Router, names ingress.Names, store Store, logs Logs) *Node {
 	container := dig.New()
 	for _, constructor := range []any{
@@ -51,8 +51,8 @@
 	return node
 }
 
-// must ends the program: a constructor that is missing or stands twice is a fault
-// of this file that every test finds.
+// must panics on an error: a missing or duplicate constructor is a programming error in this
+// file, which every test of the package detects.
 func must(err error) {
 	if err != nil {
 		panic(err)
@@ -73,21 +73,21 @@
 
 func newClient(names ingress.Names) *upstream.Client { return upstream.NewClient(names.Headers) }
 
-func newDirectory(topology endpoints.Topology, client *upstream.Client, versions *rollout.Tracker) *endpoints.Directory {
+func newDirectory(topology endpoints.Topology, client *upstream.Client, tracker *rollout.Tracker) *endpoints.Directory {
 	directory := endpoints.New(topology, client)
-	directory.SetRolloutTracker(versions)
+	directory.SetRolloutTracker(tracker)
 	directory.SetSuspensionClock(boottime.Suspended)
 	return directory
 }
 
 func newMeter() *overload.Meter { return overload.NewMeter(GCPercent) }
 
-func newState(directory *endpoints.Directory, client *upstream.Client, meter *overload.Meter, versions *rollout.Tracker, store Store) *state {
-	return &state{directory: directory, client: client, load: meter, eras: store.Eras(), versions: versions, knows: make(chan struct{})}
+func newState(directory *endpoints.Directory, client *upstream.Client, meter *overload.Meter, tracker *rollout.Tracker, store Store) *state {
+	return &state{directory: directory, client: client, loadMeter: meter, eras: store.Eras(), tracker: tracker, synced: make(chan struct{})}
 }
 
-func newSelector(own members.Member, topology endpoints.Topology) *peers.Selector {
-	return peers.NewSelector(own, topology.SameRegion)
+func newSelector(self members.Member, topology endpoints.Topology) *peers.Selector {
+	return peers.NewSelector(self, topology.SameRegion)
 }
 
 func newTableRelay(selector *peers.Selector, state *state) *peers.Relay[*routing.Table] {
@@ -108,7 +108,7 @@
 	return relay
 }
 
-// parts are what a node consists of.
+// parts are the dependencies of newNode.
 type parts struct {
 	dig.In
 
@@ -126,7 +126,7 @@
 	TableRelay      *peers.Relay[*routing.Table]
 	ServerRelay     *peers.Relay[endpoints.Server]
 	EvacuationRelay *peers.Relay[endpoints.Evacuation]
-	Versions        *rollout.Tracker
+	Tracker         *rollout.Tracker
 	RolloutRelay    *peers.Relay[rollout.Order]
 	QuarantineRelay *peers.Relay[quarantine.Record]
 }
@@ -141,20 +141,20 @@
 		state:           parts.State,
 		directory:       parts.Directory,
 		client:          parts.Client,
-		load:            parts.Meter,
+		loadMeter:       parts.Meter,
 		selector:        parts.Selector,
 		tableRelay:      parts.TableRelay,
 		serverRelay:     parts.ServerRelay,
 		evacuationRelay: parts.EvacuationRelay,
-		versions:        parts.Versions,
+		tracker:         parts.Tracker,
 		rolloutRelay:    parts.RolloutRelay,
 		quarantineRelay: parts.QuarantineRelay,
 		poolChanged:     make(chan struct{}, 1),
-		reads:           make(chan struct{}),
-		restored:        make(chan struct{}, 1),
-		startHold:       startHold + rand.N(startHoldSpread),
+		becameReader:    make(chan struct{}),
+		storeRestored:   make(chan struct{}, 1),
+		startupHold:     minStartupHold + rand.N(startupHoldJitter),
 	}
-	node.live.Store(&node.settings.Reloadable)
+	node.reloadable.Store(&node.settings.Reloadable)
 	for _, relay := range []interface {
 		SetSuspensionClock(func() time.Duration)
 		UseEraTracker(*catalog.EraTracker)
@@ -167,19 +167,19 @@
 	node.announcer = node.newAnnouncer()
 	node.metrics = newMetrics(node, parts.Logs)
 	node.agent = newAgent(node)
-	node.shareAmong(presumedCount)
+	node.setShares(minAssumedCount)
 	node.quarantine = newQuarantineManager(node)
 	node.state.quarantine = node.quarantine
-	dispatcher := dispatch.New(node.directory, node.client, parts.Logs.Recorder, node.metrics, node.load)
+	dispatcher := dispatch.New(node.directory, node.client, parts.Logs.Recorder, node.metrics, node.loadMeter)
 	dispatcher.SetQuarantine(node.quarantine)
 	node.server = ingress.New(ingress.Options{
 		Names:      parts.Names,
 		Table:      node.state.Table,
-		Known:      node.state.knows,
-		Overloaded: node.state.shedsCallers,
+		Known:      node.state.synced,
+		Overloaded: node.state.shedsConnections,
 		Dispatcher: dispatcher,
 	})
 	node.readiness = newReadiness(parts.Names.ReadinessPath, node.state.ready)
-	node.store.Eras().OnRestore(node.noteRestored)
+	node.store.Eras().OnRestore(node.handleStoreRestored)
 	return node
 }
--- a/internal/edge/bench_test.go
+++ b/internal/edge/bench_test.go
@@ -9,13 +9,13 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// BenchmarkGather measures a request to many shards, the stand-ins of the servers included:
-// over kept connections, and with new ones for most attempts.
+// BenchmarkGather measures a gather request, including the test servers, over reused
+// connections and with a new connection for most attempts.
 func BenchmarkGather(b *testing.B) {
 	for _, test := range []struct {
 		name           string
 		shards, others int
-		// connections is the most connections of a server; 0 for no bound.
+		// connections is the maximum number of connections per server; 0 for no limit.
 		connections int
 	}{
 		{"15 shards of 1 server", 15, 0, 0},
@@ -26,8 +26,8 @@
 	}
 }
 
-// benchmarkGather asks shards with a stand-in each, and other servers farther away that are
-// only listed.
+// benchmarkGather queries shards that have one test server each, and other, more distant servers
+// that are only listed.
 func benchmarkGather(b *testing.B, shards, others, connections int) {
 	names := make([]string, shards)
 	for index := range names {
@@ -37,19 +37,19 @@
 	for _, name := range names {
 		config.Services = append(config.Services, standin.Service{Name: name, MaxConnections: connections})
 	}
-	world := newWorld(b, config)
+	h := newHarness(b, config)
 	for index, name := range names {
-		server := world.serve(standin.ServerOptions{ID: fmt.Sprint("i-", index), Service: name, Body: []byte(record("1"))})
+		server := h.startServer(standin.ServerOptions{ID: fmt.Sprint("i-", index), Service: name, Body: []byte(record("1"))})
 		for number := range others {
 			spec := server.Spec()
 			spec.Zone, spec.Address = "zone-2", fmt.Sprint("127.0.0.1:", number+1)
-			if err := world.store.Put("servers", fmt.Sprint("j-", index, "-", number), spec); err != nil {
+			if err := h.store.Put("servers", fmt.Sprint("j-", index, "-", number), spec); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
-	world.startReady()
-	conn, err := net.Dial("tcp4", world.loaded.ListenAddress)
+	h.startReady()
+	conn, err := net.Dial("tcp4", h.loaded.ListenAddress)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/edge/compare.go
+++ b/internal/edge/compare.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// compareSpread spreads the questions of nodes that start, or hear of a restored store, together.
-	compareSpread = 500 * time.Millisecond
-	// compareInterval is the pause before a node that knows no configuration yet, or has reached
-	// nobody, asks again; it does so mostCompares times.
+	// compareJitter spreads the requests of nodes that start, or detect a restored store, at the
+	// same time.
+	compareJitter = 500 * time.Millisecond
+	// compareInterval is the pause before the next attempt if the node has no configuration yet or
+	// no other node answered; maxCompares bounds the attempts.
 	compareInterval = 500 * time.Millisecond
-	mostCompares    = 6
+	maxCompares     = 6
 )
 
-// compareConfigurations asks other nodes for a later configuration than the own one, at the start
-// and each time that the store was restored: its copy may be from before the latest.
+// compareConfigurations asks other nodes for a later configuration than this node's, at the start
+// and whenever the store was restored: the backup may be older than the latest configuration.
 func (n *Node) compareConfigurations(ctx context.Context) {
 	for {
-		for range mostCompares {
-			if !wait(ctx, rand.N(compareSpread)) {
+		for range maxCompares {
+			if !sleep(ctx, rand.N(compareJitter)) {
 				return
 			}
 			if n.state.Table() != nil && n.compareConfiguration() {
 				break
 			}
-			if !wait(ctx, compareInterval) {
+			if !sleep(ctx, compareInterval) {
 				return
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.restored:
+		case <-n.storeRestored:
 		}
 	}
 }
 
-// wait returns after the pause; false if ctx ends before.
-func wait(ctx context.Context, pause time.Duration) bool {
+// sleep waits for the pause; it returns false if ctx ends first.
+func sleep(ctx context.Context, pause time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -54,13 +55,13 @@
 	}
 }
 
-// compareConfiguration reports whether nothing is left to be asked. A store that does not tell its era
-// loses nothing.
+// compareConfiguration asks the other nodes once and reports whether the comparison is complete.
+// It is skipped for a store without eras, which is assumed never to lose data.
 func (n *Node) compareConfiguration() bool {
 	if n.store.Eras().Latest() == 0 {
 		return true
 	}
-	addresses := n.otherAddresses()
+	addresses := n.peerAddresses()
 	if len(addresses) == 0 {
 		return true
 	}
@@ -72,19 +73,20 @@
 	}
 	if table != nil {
 		klog.InfoS("later configuration learned from another node", "version", table.Version, "before", version)
-		n.state.adopt(table)
+		n.state.adoptTable(table)
 	}
 	return true
 }
 
-// noteRestored ends what rests on an earlier era of the store, and lets everything be read anew.
-func (n *Node) noteRestored(era catalog.Era) {
-	n.versions.StoreRestored(era, boottime.Time())
+// handleStoreRestored discards state that depends on an earlier era of the store and triggers a
+// new comparison of configurations.
+func (n *Node) handleStoreRestored(era catalog.Era) {
+	n.tracker.StoreRestored(era, boottime.Time())
 	n.quarantine.StoreRestored()
 	n.announcer.StoreRestored()
 	n.storeBackoff.StoreRestored()
 	select {
-	case n.restored <- struct{}{}:
+	case n.storeRestored <- struct{}{}:
 	default:
 	}
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,6 +1,6 @@
-// Package edge wires the parts of driftrouter together and starts and stops them
-// in order: the query tier as one kind of process, on a platform whose store
-// holds the configuration and lists the servers.
+// Package edge assembles the components of driftrouter and starts and stops them
+// in order. driftrouter runs the whole query tier in one kind of process, on a
+// platform whose store holds the configuration and the list of servers.
 package edge
 
 import (
@@ -31,7 +31,8 @@
 
 // Store is the platform's store.
 type Store interface {
-	// Eras is what the store's answers tell of its era; later ones may be heard from other nodes.
+	// Eras tracks the era of the store, from the store's answers and from other nodes, which may
+	// report a later one.
 	Eras() *catalog.EraTracker
 	Tables() catalog.Feed[*routing.Table]
 	Servers() catalog.Feed[endpoints.Server]
@@ -53,93 +54,94 @@
 )
 
 const (
-	// spareNodes allows for nodes that have just started.
+	// spareNodes is added to the count of nodes for those that have just started.
 	spareNodes = 2
-	// retryReserve is kept from the retry ratio: nodes count in windows of their own.
-	retryReserve = 0.02
-	// windowReserve lengthens the window in which extra sends are counted: they arrive
-	// up to a slow connection later than they are counted.
-	windowReserve = 1.02
-	// sweepInterval is how often idle connections are looked at.
+	// retryRatioMargin is subtracted from the retry ratio, because the windows of the nodes are not
+	// aligned.
+	retryRatioMargin = 0.02
+	// windowFactor lengthens the window in which extra sends are counted: a send arrives later
+	// than it is counted, by up to the time of a slow connection.
+	windowFactor = 1.02
+	// sweepInterval is how often idle connections and unlisted servers are checked for expiry.
 	sweepInterval = time.Second
-	// serversSettle is how long changes of servers gather before they are read.
-	serversSettle = 250 * time.Millisecond
-	// startHold, and a random part of startHoldSpread, is until when after its start a node
-	// leaves a burst of changes, of manyChanges at a time, to those that read the store for
-	// others: by then it has counted them, and they have caught up. Many nodes that start
-	// together with their servers would each read all changes.
-	startHold       = 6500 * time.Millisecond
-	startHoldSpread = 1500 * time.Millisecond
-	manyChanges     = 64
+	// serversBatchDelay is how long changes of servers are collected before they are read.
+	serversBatchDelay = 250 * time.Millisecond
+	// minStartupHold plus a random part of startupHoldJitter is how long after its start a node
+	// leaves a burst of at least burstSize changes to the nodes that read the store for others:
+	// by then it has counted the nodes, and the readers have caught up. Otherwise many nodes that
+	// start together with their servers would each read all changes.
+	minStartupHold    = 6500 * time.Millisecond
+	startupHoldJitter = 1500 * time.Millisecond
+	burstSize         = 64
 )
 
-// GCPercent trades processor time for memory, which is dearer.
+// GCPercent is the garbage collection target. It is lower than the default of 100 because memory is
+// more expensive than the CPU time of additional collections.
 const GCPercent = 30
 
-// presumedCount is the least number of nodes that are taken to share what is
-// shared until the count is settled.
-var presumedCount = members.Count{All: 10, Region: 4}
+// minAssumedCount is the minimum number of nodes among which common limits are divided until the
+// count is settled.
+var minAssumedCount = members.Count{All: 10, Region: 4}
 
 // Node is one process of the query tier.
 type Node struct {
 	settings settings.Router
-	// live are the settings in force that may change while the node runs.
-	live atomic.Pointer[settings.Reloadable]
-	// shared is the number of nodes by which shares were set last.
-	shared    members.Count
-	sharing   sync.Mutex
-	topology  endpoints.Topology
-	member    members.Member
-	started   time.Time
-	store     Store
-	state     *state
-	directory *endpoints.Directory
-	client    *upstream.Client
-	load      *overload.Meter
-	server    *ingress.Server
-	readiness *readiness
-	metrics   *metrics
-	// selector picks the node to follow in place of the store.
+	// reloadable holds the settings that can be reloaded while the node runs.
+	reloadable atomic.Pointer[settings.Reloadable]
+	// sharesCount is the number of nodes last passed to setShares.
+	sharesCount members.Count
+	sharesMutex sync.Mutex
+	topology    endpoints.Topology
+	member      members.Member
+	started     time.Time
+	store       Store
+	state       *state
+	directory   *endpoints.Directory
+	client      *upstream.Client
+	loadMeter   *overload.Meter
+	server      *ingress.Server
+	readiness   *readiness
+	metrics     *metrics
+	// selector picks the node to follow instead of reading from the store.
 	selector        *peers.Selector
 	tableRelay      *peers.Relay[*routing.Table]
 	serverRelay     *peers.Relay[endpoints.Server]
 	evacuationRelay *peers.Relay[endpoints.Evacuation]
 	rolloutRelay    *peers.Relay[rollout.Order]
 	quarantineRelay *peers.Relay[quarantine.Record]
-	// versions tells which versions get sends, agent carries out the orders of that; nil
-	// where the deployment has no roll-outs.
-	versions *rollout.Tracker
-	agent    *rollout.Agent
-	// quarantine finds the requests under which servers end.
+	// tracker decides which versions may receive requests, agent executes the rollout orders; both
+	// are nil if the deployment has no rollouts.
+	tracker *rollout.Tracker
+	agent   *rollout.Agent
+	// quarantine detects requests that crash servers.
 	quarantine *quarantine.Manager
-	notices    peers.Client
-	// retryPool is shared by the nodes that follow this one, if it keeps one. pooling is set
-	// while retries are pooled, poolChanged has an element when that or its size has changed.
-	retryPool   retrybudget.Pool
-	pooling     atomic.Bool
-	poolChanged chan struct{}
-	// reads is closed once the node knows that it reads the store for others; until startHold
-	// after its start it waits for them else.
-	reads     chan struct{}
-	readsOnce sync.Once
-	startHold time.Duration
-	// restored has an element once the store was restored.
-	restored chan struct{}
-	// announcer tells the others that this node is there, and counts them.
+	peerClient peers.Client
+	// retryPool grants retries to the nodes for which this one manages a pool. retriesPooled is set
+	// while retries are pooled; poolChanged has an element when that or the pool size has changed.
+	retryPool     retrybudget.Pool
+	retriesPooled atomic.Bool
+	poolChanged   chan struct{}
+	// becameReader is closed once the node reads the store for others. Until then, it leaves bursts
+	// of changes to the readers for startupHold after its start.
+	becameReader     chan struct{}
+	becameReaderOnce sync.Once
+	startupHold      time.Duration
+	// storeRestored has an element after the store was restored.
+	storeRestored chan struct{}
+	// announcer announces this node to the others and counts them.
 	announcer *members.Announcer
-	// storeBackoff spaces the calls of all feeds to a store that fails.
+	// storeBackoff is shared by the calls of all feeds to a failing store.
 	storeBackoff catalog.Backoff
 }
 
-// Logs are where the node writes what happens to requests; the zero value is
-// nowhere.
+// Logs receives the logs of requests; the zero value discards them.
 type Logs struct {
 	Recorder *trace.Recorder
 	// Dropped returns how many log lines were lost to a slow reader.
 	Dropped func() uint64
 }
 
-// leftOut returns how many requests the recorder left out.
+// leftOut returns how many requests the recorder omitted.
 func (l Logs) leftOut() float64 {
 	if l.Recorder == nil {
 		return 0
@@ -154,16 +156,16 @@
 	return float64(l.Dropped())
 }
 
-// Run serves until ctx ends, then stops in order. It returns nil after a stop
-// that cut no request.
+// Run serves until ctx ends, then shuts down gracefully. It returns nil if no
+// request was interrupted.
 func (n *Node) Run(ctx context.Context) error {
-	callers, err := net.Listen("tcp4", n.settings.ListenAddress)
+	listener, err := net.Listen("tcp4", n.settings.ListenAddress)
 	if err != nil {
 		return errors.Wrap(err, "listen for callers")
 	}
-	questions, err := net.Listen("tcp4", n.settings.ReadinessAddress)
+	readinessListener, err := net.Listen("tcp4", n.settings.ReadinessAddress)
 	if err != nil {
-		return errors.Wrap(err, "listen for questions about readiness")
+		return errors.Wrap(err, "listen for readiness checks")
 	}
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -173,25 +175,25 @@
 	if err := errors.Join(n.serveMetrics(failed), n.servePeers(failed)); err != nil {
 		return err
 	}
-	go func() { failed <- n.server.Serve(callers) }()
-	go func() { failed <- n.readiness.serve(questions) }()
+	go func() { failed <- n.server.Serve(listener) }()
+	go func() { failed <- n.readiness.serve(readinessListener) }()
 	klog.InfoS("started", "zone", n.settings.Zone, "listen", n.settings.ListenAddress)
 	select {
 	case <-ctx.Done():
 	case err = <-failed:
 		klog.ErrorS(err, "a listener failed; stopping")
 	}
-	cut := n.stop(callers)
+	interrupted := n.stop(listener)
 	cancel()
-	klog.InfoS("stopped", "cut", cut)
+	klog.InfoS("stopped", "cut", interrupted)
 	klog.Flush()
-	if cut > 0 {
-		err = errors.Join(err, errors.Newf("%d requests were cut", cut))
+	if interrupted > 0 {
+		err = errors.Join(err, errors.Newf("%d requests were interrupted", interrupted))
 	}
 	return err
 }
 
-// servePeers tells other nodes what this one knows, if it has an address for that.
+// servePeers serves this node's state to other nodes, if it has a peer address.
 func (n *Node) servePeers(failed chan<- error) error {
 	if n.settings.PeerAddress == "" {
 		return nil
@@ -200,32 +202,32 @@
 	if err != nil {
 		return errors.Wrap(err, "listen for peers")
 	}
-	contact := peers.StoreStatusServer{UpToDate: func() bool { return n.storeBackoff.UpToDate(time.Now()) }}
-	server := peers.NewServer(n.requester(), n.state.snapshot, n.tableRelay, n.serverRelay, n.evacuationRelay, n.rolloutRelay, n.quarantineRelay, n.reportServer(), peers.NoticeServer{Handle: n.quarantine.ReceiveNotice}, contact,
+	storeStatus := peers.StoreStatusServer{UpToDate: func() bool { return n.storeBackoff.UpToDate(time.Now()) }}
+	server := peers.NewServer(n.requester(), n.state.snapshot, n.tableRelay, n.serverRelay, n.evacuationRelay, n.rolloutRelay, n.quarantineRelay, n.reportServer(), peers.NoticeServer{Handle: n.quarantine.ReceiveNotice}, storeStatus,
 		&peers.MemberServer{Latest: n.announcer.Latest}, peers.ConfigurationServer{Table: n.state.Table}, peers.RetryServer{Pool: &n.retryPool, Now: boottime.Time})
 	go func() { failed <- server.Serve(listener) }()
 	return nil
 }
 
-// shareAmong divides what all nodes share among so many of them.
-func (n *Node) shareAmong(count members.Count) {
-	n.sharing.Lock()
-	defer n.sharing.Unlock()
-	n.shared = count
+// setShares divides the limits that all nodes have in common among the given number of nodes.
+func (n *Node) setShares(count members.Count) {
+	n.sharesMutex.Lock()
+	defer n.sharesMutex.Unlock()
+	n.sharesCount = count
 	if !count.Settled {
-		count = count.AtLeast(presumedCount)
+		count = count.AtLeast(minAssumedCount)
 	}
-	live := n.live.Load()
-	shares := shareRetries(live.RetrySlack, count, n.regionCount())
-	window := time.Duration(windowReserve * float64(live.RetryWindow))
-	n.retryPool.SetLimits(shares.pool, window)
+	current := n.reloadable.Load()
+	shares := divideSlack(current.RetrySlack, count, n.regionCount())
+	window := time.Duration(windowFactor * float64(current.RetryWindow))
+	n.retryPool.SetLimits(shares.perPool, window)
 	budget := retrybudget.Limits{
-		Ratio:    max(live.RetryRatio-retryReserve, 0),
-		Capacity: shares.own,
+		Ratio:    max(current.RetryRatio-retryRatioMargin, 0),
+		Capacity: shares.perNode,
 		Window:   window,
 		Started:  n.started,
 	}
-	n.pooling.Store(shares.pooled)
+	n.retriesPooled.Store(shares.pooled)
 	select {
 	case n.poolChanged <- struct{}{}:
 	default:
@@ -246,35 +248,35 @@
 	return max(len(regions), 1)
 }
 
-// Reload takes over the settings that may change while the node runs; the others
-// take effect with its next start.
+// Reload applies the settings that may change while the node runs; changes of the
+// others take effect at its next start.
 func (n *Node) Reload(newer settings.Router) {
 	changes := n.settings.Changes(newer)
-	n.live.Store(&newer.Reloadable)
-	n.sharing.Lock()
-	shared := n.shared
-	n.sharing.Unlock()
-	n.shareAmong(shared)
+	n.reloadable.Store(&newer.Reloadable)
+	n.sharesMutex.Lock()
+	count := n.sharesCount
+	n.sharesMutex.Unlock()
+	n.setShares(count)
 	klog.InfoS("settings reloaded", "retry_ratio", newer.RetryRatio, "retry_slack", newer.RetrySlack,
 		"retry_window", newer.RetryWindow.String(), "stop_timeout", newer.StopTimeout.String(), "seeds", len(newer.Seeds), "needs_restart", changes.Restart)
 }
 
-// memberObserver tells the node who else is there.
+// memberObserver updates the node when the live members change.
 type memberObserver struct{ node *Node }
 
 // MembersRead implements members.Observer.
 func (m memberObserver) MembersRead(live []members.Member) {
 	m.node.selector.SetMembers(live)
 	if m.node.selector.IsReader() {
-		m.node.readsOnce.Do(func() { close(m.node.reads) })
+		m.node.becameReaderOnce.Do(func() { close(m.node.becameReader) })
 	}
-	m.node.shareVersions(live)
+	m.node.setRolloutMembers(live)
 }
 
 // MembersCounted implements members.Observer.
 func (m memberObserver) MembersCounted(count members.Count) {
 	m.node.storeBackoff.SetCallers(m.node.selector.StoreCallers(count.All))
-	m.node.shareAmong(count)
+	m.node.setShares(count)
 }
 
 func (n *Node) sweep(ctx context.Context) {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -16,12 +16,12 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-func TestOneServerAnswersUnchanged(t *testing.T) {
+func TestSingleAnswerIsUnchanged(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	server := world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.startReady()
-	got := world.ask("/one/x?q=%2F", "id-1")
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	server := h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.startReady()
+	got := h.get("/one/x?q=%2F", "id-1")
 	is.Equal(got.status, 200)
 	is.Equal(got.body, "body of i-1")
 	is.Equal(got.header.Get("X-Server-Seal"), server.Seal("id-1"))
@@ -31,11 +31,11 @@
 
 func TestShardsAreMerged(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, gatherRoute("/all/", "a", "b")))
-	first := world.serve(standin.ServerOptions{ID: "i-a", Service: "a", Body: []byte(record("1") + record("9") + "short")})
-	second := world.serve(standin.ServerOptions{ID: "i-b", Service: "b", Body: []byte(record("5") + record("3"))})
-	world.startReady()
-	got := world.ask("/all/x", "id-1")
+	h := newHarness(t, configuration(1, gatherRoute("/all/", "a", "b")))
+	first := h.startServer(standin.ServerOptions{ID: "i-a", Service: "a", Body: []byte(record("1") + record("9") + "short")})
+	second := h.startServer(standin.ServerOptions{ID: "i-b", Service: "b", Body: []byte(record("5") + record("3"))})
+	h.startReady()
+	got := h.get("/all/x", "id-1")
 	is.Equal(got.status, 200)
 	is.Equal(got.body, record("9")+record("5")+record("3"))
 	is.Equal(got.header.Get("X-Part-Seals"), first.Seal("id-1")+", "+second.Seal("id-1"))
@@ -43,43 +43,43 @@
 	is.Equal(got.header.Get("X-Server-Seal"), "")
 }
 
-func TestSilentShardIsLeftOutAtTheTarget(t *testing.T) {
+func TestUnresponsiveShardIsOmittedAtTarget(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, gatherRoute("/all/", "a", "b")))
-	world.serve(standin.ServerOptions{ID: "i-a", Service: "a", Body: []byte(record("1"))})
-	silent := world.serve(standin.ServerOptions{ID: "i-b", Service: "b", Body: []byte(record("2"))})
-	world.startReady()
-	defer silent.Pause()()
-	begun := time.Now()
-	got := world.ask("/all/x", "id-1")
+	h := newHarness(t, configuration(1, gatherRoute("/all/", "a", "b")))
+	h.startServer(standin.ServerOptions{ID: "i-a", Service: "a", Body: []byte(record("1"))})
+	unresponsive := h.startServer(standin.ServerOptions{ID: "i-b", Service: "b", Body: []byte(record("2"))})
+	h.startReady()
+	defer unresponsive.Pause()()
+	started := time.Now()
+	got := h.get("/all/x", "id-1")
 	is.Equal(got.status, 200)
 	is.Equal(got.header.Get("X-Missing-Parts"), "1")
 	is.Equal(got.body, record("1"))
-	is.True(time.Since(begun) < 300*time.Millisecond) // the target of the route
+	is.True(time.Since(started) < 300*time.Millisecond) // the route's target latency
 }
 
-func TestOtherServerOfTheShardTakesOver(t *testing.T) {
+func TestShardFailsOverToOtherServer(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, gatherRoute("/all/", "a")))
-	paused := world.serve(standin.ServerOptions{ID: "i-near", Service: "a", Body: []byte(record("1"))})
-	world.serve(standin.ServerOptions{ID: "i-far", Service: "a", Zone: "zone-2", Body: []byte(record("1"))})
-	world.startReady()
+	h := newHarness(t, configuration(1, gatherRoute("/all/", "a")))
+	paused := h.startServer(standin.ServerOptions{ID: "i-near", Service: "a", Body: []byte(record("1"))})
+	h.startServer(standin.ServerOptions{ID: "i-far", Service: "a", Zone: "zone-2", Body: []byte(record("1"))})
+	h.startReady()
 	defer paused.Pause()()
-	got := world.ask("/all/x", "id-1")
+	got := h.get("/all/x", "id-1")
 	is.Equal(got.status, 200)
 	is.Equal(got.header.Get("X-Missing-Parts"), "0")
 }
 
-func TestSplitKeepsItsWeights(t *testing.T) {
+func TestTrafficSplitWeights(t *testing.T) {
 	is := is.New(t)
 	route := singleRoute("/split/", "safe", "")
 	route.TrafficSplit = []standin.Split{{Service: "s", Weight: 80}, {Service: "u", Weight: 20}}
-	world := newWorld(t, configuration(1, route))
-	first := world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	second := world.serve(standin.ServerOptions{ID: "i-2", Service: "u"})
-	world.startReady()
+	h := newHarness(t, configuration(1, route))
+	first := h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	second := h.startServer(standin.ServerOptions{ID: "i-2", Service: "u"})
+	h.startReady()
 	for number := range 50 {
-		is.Equal(world.ask("/split/", fmt.Sprint("id-", number)).status, 200)
+		is.Equal(h.get("/split/", fmt.Sprint("id-", number)).status, 200)
 	}
 	is.Equal(len(first.Runs()), 40)
 	is.Equal(len(second.Runs()), 10)
@@ -87,175 +87,175 @@
 
 func TestNoRoute(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.startReady()
-	is.Equal(world.ask("/two/", "id-1").status, 404)
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startReady()
+	is.Equal(h.get("/two/", "id-1").status, 404)
 }
 
 func TestServiceWithoutServersIsRefusedEarly(t *testing.T) {
 	for _, kind := range []string{"safe", "unsafe"} {
 		is := is.New(t)
-		world := newWorld(t, configuration(1, singleRoute("/one/", kind, "s")))
-		world.startReady()
-		begun := time.Now()
-		got := world.ask("/one/", "id-1")
+		h := newHarness(t, configuration(1, singleRoute("/one/", kind, "s")))
+		h.startReady()
+		started := time.Now()
+		got := h.get("/one/", "id-1")
 		is.Equal(got.status, 503)
 		is.True(got.header.Get("Retry-After") != "")
-		is.True(time.Since(begun) < 125*time.Millisecond) // a quarter of the target
+		is.True(time.Since(started) < 125*time.Millisecond) // a quarter of the target
 	}
 }
 
-// Guards against a second run, and against an answer that promises that nothing has run: neither what a
-// server leaves open nor a status that contradicts it is one.
+// Guards against a second run of an unsafe request, and against an answer that wrongly states that it has
+// not run: neither a response that leaves this open nor a contradictory status proves it.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	for _, behavior := range []standin.Behavior{
 		standin.ResetAfterRun, standin.BreakOff, standin.Garble, standin.Encoded, standin.RefuseAfterRun, standin.MisdirectAfterRun,
 	} {
 		is := is.New(t)
-		world := newWorld(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
+		h := newHarness(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			world.serve(standin.ServerOptions{ID: id, Service: "s", Behave: func(int) standin.Behavior { return behavior }})
+			h.startServer(standin.ServerOptions{ID: id, Service: "s", Behave: func(int) standin.Behavior { return behavior }})
 		}
-		world.startReady()
-		got := world.ask("/one/", "id-1")
-		is.Equal(got.status, 502) // no promise
-		is.Equal(world.runs(), 1)
+		h.startReady()
+		got := h.get("/one/", "id-1")
+		is.Equal(got.status, 502) // may have run
+		is.Equal(h.runCount(), 1)
 	}
 }
 
-func TestRefusedUnsafeRequestGoesToAnotherServer(t *testing.T) {
+func TestRefusedUnsafeRequestIsRetried(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
+	h := newHarness(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
 	shed := func(int) standin.Behavior { return standin.Shed }
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Behave: shed})
-	world.serve(standin.ServerOptions{ID: "i-2", Service: "s", Zone: "zone-2"})
-	world.startReady()
-	is.Equal(world.ask("/one/", "id-1").status, 200)
-	is.Equal(world.runs(), 1)
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Behave: shed})
+	h.startServer(standin.ServerOptions{ID: "i-2", Service: "s", Zone: "zone-2"})
+	h.startReady()
+	is.Equal(h.get("/one/", "id-1").status, 200)
+	is.Equal(h.runCount(), 1)
 }
 
 func TestAllServersRefuse(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
+	h := newHarness(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
 	shed := func(int) standin.Behavior { return standin.Shed }
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Behave: shed})
-	world.serve(standin.ServerOptions{ID: "i-2", Service: "s", Behave: shed})
-	world.startReady()
-	got := world.ask("/one/", "id-1")
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Behave: shed})
+	h.startServer(standin.ServerOptions{ID: "i-2", Service: "s", Behave: shed})
+	h.startReady()
+	got := h.get("/one/", "id-1")
 	is.Equal(got.status, 503)
 	is.True(got.header.Get("Retry-After") != "")
-	is.Equal(world.runs(), 0)
+	is.Equal(h.runCount(), 0)
 }
 
-func TestChangedConfigurationIsInForceSoon(t *testing.T) {
+func TestConfigurationUpdate(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.startReady()
-	world.configure(configuration(5, singleRoute("/two/", "safe", "s")))
-	world.eventually("the new route", func() bool { return world.ask("/two/", "id").status == 200 })
-	is.Equal(world.ask("/one/", "id").status, 404)
-	world.configure(configuration(4, singleRoute("/one/", "safe", "s")))
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.startReady()
+	h.configure(configuration(5, singleRoute("/two/", "safe", "s")))
+	h.eventually("the new route", func() bool { return h.get("/two/", "id").status == 200 })
+	is.Equal(h.get("/one/", "id").status, 404)
+	h.configure(configuration(4, singleRoute("/one/", "safe", "s")))
 	time.Sleep(100 * time.Millisecond)
-	is.Equal(world.ask("/two/", "id").status, 200) // an older version is not taken
+	is.Equal(h.get("/two/", "id").status, 200) // an older version is ignored
 }
 
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	leaving := world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	staying := world.serve(standin.ServerOptions{ID: "i-2", Service: "s", Zone: "zone-2"})
-	world.startReady()
-	is.Equal(world.ask("/one/", "id").status, 200)
-	is.Equal(len(leaving.Runs()), 1)
-	spec := leaving.Spec()
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	draining := h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	remaining := h.startServer(standin.ServerOptions{ID: "i-2", Service: "s", Zone: "zone-2"})
+	h.startReady()
+	is.Equal(h.get("/one/", "id").status, 200)
+	is.Equal(len(draining.Runs()), 1)
+	spec := draining.Spec()
 	spec.State = "draining"
-	is.NoErr(world.store.Put("servers", "i-1", spec))
-	world.eventually("the other server", func() bool {
-		world.ask("/one/", "id")
-		return len(staying.Runs()) > 0
+	is.NoErr(h.store.Put("servers", "i-1", spec))
+	h.eventually("the other server", func() bool {
+		h.get("/one/", "id")
+		return len(remaining.Runs()) > 0
 	})
-	ran := len(leaving.Runs())
+	ran := len(draining.Runs())
 	for range 10 {
-		world.ask("/one/", "id")
+		h.get("/one/", "id")
 	}
-	is.Equal(len(leaving.Runs()), ran)
+	is.Equal(len(draining.Runs()), ran)
 }
 
 func TestNodeWithoutConfigurationIsNotReady(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.store.SetFaults(standin.StoreFaults{Unavailable: true})
-	world.start()
-	world.eventually("a listener", world.listening)
-	got := world.ask("/one/", "id")
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.store.SetFaults(standin.StoreFaults{Unavailable: true})
+	h.start()
+	h.eventually("a listener", h.listening)
+	got := h.get("/one/", "id")
 	is.Equal(got.status, 503) // never 404
 	is.True(got.header.Get("Retry-After") != "")
-	is.True(!world.ready())
-	world.store.SetFaults(standin.StoreFaults{})
-	world.eventually("ready", world.ready)
-	is.Equal(world.ask("/one/", "id").status, 200)
+	is.True(!h.ready())
+	h.store.SetFaults(standin.StoreFaults{})
+	h.eventually("ready", h.ready)
+	is.Equal(h.get("/one/", "id").status, 200)
 }
 
-// A request that reaches a node before it knows the configuration waits for it.
-func TestRequestWaitsForTheStartOfTheNode(t *testing.T) {
+// A request that arrives before the node has a configuration waits for it.
+func TestRequestWaitsForInitialSync(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.store.SetFaults(standin.StoreFaults{Unavailable: true})
-	world.start()
-	world.eventually("a listener", world.listening)
-	time.AfterFunc(200*time.Millisecond, func() { world.store.SetFaults(standin.StoreFaults{}) })
-	is.Equal(world.ask("/one/", "id").status, 200)
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.store.SetFaults(standin.StoreFaults{Unavailable: true})
+	h.start()
+	h.eventually("a listener", h.listening)
+	time.AfterFunc(200*time.Millisecond, func() { h.store.SetFaults(standin.StoreFaults{}) })
+	is.Equal(h.get("/one/", "id").status, 200)
 }
 
-func TestNodeServesWhileTheStoreIsAway(t *testing.T) {
+func TestNodeServesDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.startReady()
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.startReady()
 	for _, faults := range []standin.StoreFaults{{Silent: true}, {Unavailable: true}, {Throttled: true}, {LoseAnswers: true}} {
-		world.store.SetFaults(faults)
+		h.store.SetFaults(faults)
 		time.Sleep(50 * time.Millisecond)
-		is.Equal(world.ask("/one/", "id").status, 200)
-		is.True(world.ready())
+		is.Equal(h.get("/one/", "id").status, 200)
+		is.True(h.ready())
 	}
 }
 
-func TestLargeListsArriveInPages(t *testing.T) {
+func TestServersAreListedInPages(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.store.SetPageSize(2)
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.store.SetPageSize(2)
 	for number := range 7 {
-		world.serve(standin.ServerOptions{ID: fmt.Sprint("i-", number), Service: fmt.Sprint("other-", number)})
+		h.startServer(standin.ServerOptions{ID: fmt.Sprint("i-", number), Service: fmt.Sprint("other-", number)})
 	}
-	world.serve(standin.ServerOptions{ID: "z-last", Service: "s"})
-	world.startReady()
-	is.Equal(world.ask("/one/", "id").status, 200)
+	h.startServer(standin.ServerOptions{ID: "z-last", Service: "s"})
+	h.startReady()
+	is.Equal(h.get("/one/", "id").status, 200)
 }
 
-func TestHungUpCallerEndsTheWork(t *testing.T) {
+func TestCallerHangUpCancelsRequest(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	server := world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Work: time.Second})
-	world.startReady()
-	conn, err := net.Dial("tcp4", world.loaded.ListenAddress)
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	server := h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Work: time.Second})
+	h.startReady()
+	conn, err := net.Dial("tcp4", h.loaded.ListenAddress)
 	is.NoErr(err)
 	_, err = fmt.Fprintf(conn, "GET /one/ HTTP/1.1\r\nHost: %s\r\nX-Attempt-Identifier: id-1\r\nX-Request-Deadline: 2000\r\n\r\n", testHost)
 	is.NoErr(err)
 	time.Sleep(100 * time.Millisecond)
 	conn.Close()
-	world.eventually("the end of the work", func() bool { return len(server.Runs()) == 1 })
+	h.eventually("the end of the work", func() bool { return len(server.Runs()) == 1 })
 	is.True(server.Runs()[0].Canceled)
 }
 
-func TestStopCutsNothing(t *testing.T) {
+func TestStopFinishesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Work: 400 * time.Millisecond})
-	world.startReady(func(loaded *settings.Router) { loaded.StopTimeout = 2 * time.Second })
-	conn, err := net.Dial("tcp4", world.loaded.ListenAddress)
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Work: 400 * time.Millisecond})
+	h.startReady(func(loaded *settings.Router) { loaded.StopTimeout = 2 * time.Second })
+	conn, err := net.Dial("tcp4", h.loaded.ListenAddress)
 	is.NoErr(err)
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -267,52 +267,52 @@
 	is.Equal(readAnswer(reader).status, 200) // the connection is kept
 	send()
 	time.Sleep(50 * time.Millisecond)
-	world.stop()
-	world.eventually("no longer ready", func() bool { return !world.ready() })
+	h.stop()
+	h.eventually("no longer ready", func() bool { return !h.ready() })
 	got := readAnswer(reader)
-	is.Equal(got.status, 200) // the request under way is answered
+	is.Equal(got.status, 200) // the request in flight is answered
 	is.True(got.closing)
-	is.Equal(world.ask("/one/", "id-2").status, 200) // new connections are still served for a while
+	is.Equal(h.get("/one/", "id-2").status, 200) // new connections are still served for a while
 }
 
 func TestStopWaitsForLongRequests(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Work: 1300 * time.Millisecond})
-	world.startReady(func(loaded *settings.Router) { loaded.StopTimeout = 2 * time.Second })
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Work: 1300 * time.Millisecond})
+	h.startReady(func(loaded *settings.Router) { loaded.StopTimeout = 2 * time.Second })
 	got := make(chan answer, 1)
-	go func() { got <- world.ask("/one/", "id-1") }()
+	go func() { got <- h.get("/one/", "id-1") }()
 	time.Sleep(100 * time.Millisecond)
-	world.stop()
-	err := <-world.stopped
-	is.NoErr(err) // nothing was cut
+	h.stop()
+	err := <-h.stopped
+	is.NoErr(err) // no request was interrupted
 	reply := <-got
 	is.Equal(reply.status, 200)
-	world.stopped <- nil // for the end of the world
+	h.stopped <- nil // for the cleanup
 }
 
-// A request that outlasts the stop gets its final answer; its connection is not cut.
-func TestStopAnswersWhatItCannotWaitFor(t *testing.T) {
+// A request that takes longer than the stop timeout gets a final answer before its connection closes.
+func TestStopAnswersRequestsThatOutlastIt(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Work: 1800 * time.Millisecond})
-	world.startReady()
+	h := newHarness(t, configuration(1, singleRoute("/one/", "unsafe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Work: 1800 * time.Millisecond})
+	h.startReady()
 	got := make(chan answer, 1)
-	go func() { got <- world.ask("/one/", "id-1") }()
+	go func() { got <- h.get("/one/", "id-1") }()
 	time.Sleep(100 * time.Millisecond)
-	world.stop()
-	err := <-world.stopped
-	is.NoErr(err) // nothing was cut
+	h.stop()
+	err := <-h.stopped
+	is.NoErr(err) // no request was interrupted
 	reply := <-got
 	is.Equal(reply.status, 504) // it may have run
 	is.True(reply.closing)
-	world.stopped <- nil // for the end of the world
+	h.stopped <- nil // for the cleanup
 }
 
-func TestBadInput(t *testing.T) {
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.startReady()
+func TestMalformedRequests(t *testing.T) {
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.startReady()
 	line := "GET /one/ HTTP/1.1\r\nHost: a.example\r\n"
 	id := "X-Attempt-Identifier: id-1\r\n"
 	smuggled := "GET /one/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Identifier: smuggled\r\n\r\n"
@@ -347,39 +347,39 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			got := world.exchange(test.raw)
-			is.True(got.status == test.want || got.status == 0) // a clear error or a close
+			got := h.sendRaw(test.raw)
+			is.True(got.status == test.want || got.status == 0) // an error status, or the connection is closed
 		})
 	}
-	is.New(t).Equal(world.runs(), 0)
-	is.New(t).Equal(world.ask("/one/", "id").status, 200) // it goes on serving
+	is.New(t).Equal(h.runCount(), 0)
+	is.New(t).Equal(h.get("/one/", "id").status, 200) // the node still serves
 }
 
-func TestHalfARequestIsGivenUp(t *testing.T) {
+func TestIncompleteRequestTimesOut(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.startReady()
-	begun := time.Now()
-	got := world.exchange("GET /one/ HTTP/1.1\r\nHost: a.exa")
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.startReady()
+	started := time.Now()
+	got := h.sendRaw("GET /one/ HTTP/1.1\r\nHost: a.exa")
 	is.True(got.status == 408 || got.status == 0)
-	is.True(time.Since(begun) < 2*time.Second) // the limit is half a second
-	is.Equal(world.runs(), 0)
+	is.True(time.Since(started) < 2*time.Second) // the limit is half a second
+	is.Equal(h.runCount(), 0)
 }
 
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	server := world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Work: 20 * time.Millisecond})
-	world.startReady()
-	conn, err := net.Dial("tcp4", world.loaded.ListenAddress)
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	server := h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Work: 20 * time.Millisecond})
+	h.startReady()
+	conn, err := net.Dial("tcp4", h.loaded.ListenAddress)
 	is.NoErr(err)
 	defer conn.Close()
 	var requests strings.Builder
 	for number := range 3 {
 		fmt.Fprintf(&requests, "GET /one/ HTTP/1.1\r\nHost: %s\r\nX-Attempt-Identifier: id-%d\r\n\r\n", testHost, number)
 	}
-	// The last one arrives byte by byte while the others are carried out.
+	// The last one arrives byte by byte while the others run.
 	text := requests.String()
 	cut := len(text) - 60
 	_, err = conn.Write([]byte(text[:cut]))
@@ -397,12 +397,12 @@
 	}
 }
 
-func TestHeadersOfTheConnectionStayBehind(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	server := world.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
-	world.startReady()
-	got := world.exchange("POST /one/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Identifier: id-1\r\nX-Expected-Instance: forged\r\n" +
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	server := h.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
+	h.startReady()
+	got := h.sendRaw("POST /one/ HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Identifier: id-1\r\nX-Expected-Instance: forged\r\n" +
 		"Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nX-Kept: yes\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	is.Equal(got.status, 200)
 	run := server.Runs()[0]
@@ -413,28 +413,28 @@
 	is.Equal(run.Header.Get("X-Expected-Instance"), "i-1")
 }
 
-func TestMembersShareTheConnections(t *testing.T) {
+func TestNodeAnnouncesItself(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.startReady(func(loaded *settings.Router) { loaded.Name = "node-a" })
-	world.eventually("the announcement", func() bool {
-		objects := world.store.Objects("members")
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.startReady(func(loaded *settings.Router) { loaded.Name = "node-a" })
+	h.eventually("the announcement", func() bool {
+		objects := h.store.Objects("members")
 		return len(objects) == 1 && objects[0].Meta.Name == "node-a"
 	})
-	is.True(world.store.Calls("write") <= 2)
+	is.True(h.store.Calls("write") <= 2)
 }
 
-func TestMetricsTellWhatHappened(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(3, singleRoute("/one/", "safe", "s")))
-	world.serve(standin.ServerOptions{ID: "i-1", Service: "s", Behave: func(int) standin.Behavior { return standin.Shed }})
-	world.serve(standin.ServerOptions{ID: "i-2", Service: "s", Zone: "zone-2"})
+	h := newHarness(t, configuration(3, singleRoute("/one/", "safe", "s")))
+	h.startServer(standin.ServerOptions{ID: "i-1", Service: "s", Behave: func(int) standin.Behavior { return standin.Shed }})
+	h.startServer(standin.ServerOptions{ID: "i-2", Service: "s", Zone: "zone-2"})
 	var address string
-	world.startReady(func(loaded *settings.Router) {
+	h.startReady(func(loaded *settings.Router) {
 		address = freeAddress(t)
 		loaded.MetricsAddress = address
 	})
-	is.Equal(world.ask("/one/", "id").status, 200)
+	is.Equal(h.get("/one/", "id").status, 200)
 	response, err := http.Get("http://" + address + "/metrics")
 	is.NoErr(err)
 	defer response.Body.Close()
@@ -452,50 +452,50 @@
 	}
 }
 
-func TestNodeLearnsFromAPeerWhileTheStoreIsAway(t *testing.T) {
+func TestNodeBootstrapsFromPeerDuringStoreOutage(t *testing.T) {
 	is := is.New(t)
-	first := newWorld(t, configuration(7, singleRoute("/one/", "safe", "s"), gatherRoute("/all/", "a", "b")))
-	first.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
+	first := newHarness(t, configuration(7, singleRoute("/one/", "safe", "s"), gatherRoute("/all/", "a", "b")))
+	first.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
 	peer := freeAddress(t)
 	first.startReady(func(loaded *settings.Router) { loaded.PeerAddress = peer })
 
-	away := newWorld(t, configuration(6, singleRoute("/old/", "safe", "s")))
-	away.store.SetFaults(standin.StoreFaults{Silent: true})
-	away.startReady(func(loaded *settings.Router) { loaded.Seeds = []string{freeAddress(t), peer} })
-	is.Equal(away.ask("/one/", "id-1").status, 200)
-	away.store.SetFaults(standin.StoreFaults{})
-	away.eventually("the store's list of servers in place of the peer's", func() bool {
-		return away.ask("/one/", "id-2").status == 503
+	second := newHarness(t, configuration(6, singleRoute("/old/", "safe", "s")))
+	second.store.SetFaults(standin.StoreFaults{Silent: true})
+	second.startReady(func(loaded *settings.Router) { loaded.Seeds = []string{freeAddress(t), peer} })
+	is.Equal(second.get("/one/", "id-1").status, 200)
+	second.store.SetFaults(standin.StoreFaults{})
+	second.eventually("the store's list of servers in place of the peer's", func() bool {
+		return second.get("/one/", "id-2").status == 503
 	})
-	is.Equal(away.ask("/old/", "id-3").status, 404) // the version did not go back
+	is.Equal(second.get("/old/", "id-3").status, 404) // the version did not decrease
 }
 
-func TestReloadedSeedsAreAsked(t *testing.T) {
+func TestReloadedSeedsAreUsed(t *testing.T) {
 	is := is.New(t)
-	first := newWorld(t, configuration(7, singleRoute("/one/", "safe", "s")))
-	first.serve(standin.ServerOptions{ID: "i-1", Service: "s"})
+	first := newHarness(t, configuration(7, singleRoute("/one/", "safe", "s")))
+	first.startServer(standin.ServerOptions{ID: "i-1", Service: "s"})
 	peer := freeAddress(t)
 	first.startReady(func(loaded *settings.Router) { loaded.PeerAddress = peer })
 
-	away := newWorld(t, configuration(6, singleRoute("/old/", "safe", "s")))
-	away.store.SetFaults(standin.StoreFaults{Silent: true})
-	away.start()
+	second := newHarness(t, configuration(6, singleRoute("/old/", "safe", "s")))
+	second.store.SetFaults(standin.StoreFaults{Silent: true})
+	second.start()
 	time.Sleep(500 * time.Millisecond)
-	is.True(!away.ready())
-	newer := away.loaded
+	is.True(!second.ready())
+	newer := second.loaded
 	newer.Seeds = []string{peer}
-	away.node.Reload(newer)
-	away.eventually("ready", away.ready)
-	is.Equal(away.ask("/one/", "id-1").status, 200)
+	second.node.Reload(newer)
+	second.eventually("ready", second.ready)
+	is.Equal(second.get("/one/", "id-1").status, 200)
 }
 
-func TestNodesThatKnowNothingLearnNothingFromEachOther(t *testing.T) {
+func TestNodeWithoutStateIsNotReadyWithPeers(t *testing.T) {
 	is := is.New(t)
-	world := newWorld(t, configuration(1, singleRoute("/one/", "safe", "s")))
-	world.store.SetFaults(standin.StoreFaults{Unavailable: true})
+	h := newHarness(t, configuration(1, singleRoute("/one/", "safe", "s")))
+	h.store.SetFaults(standin.StoreFaults{Unavailable: true})
 	peer := freeAddress(t)
-	world.start(func(loaded *settings.Router) { loaded.PeerAddress, loaded.Seeds = peer, []string{peer} })
+	h.start(func(loaded *settings.Router) { loaded.PeerAddress, loaded.Seeds = peer, []string{peer} })
 	time.Sleep(500 * time.Millisecond)
-	is.True(!world.ready())
-	is.Equal(world.ask("/one/", "id").status, 503)
+	is.True(!h.ready())
+	is.Equal(h.get("/one/", "id").status, 503)
 }
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -12,156 +12,156 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// restoredWithin is the time in which what is written to a restored store has to count.
-const restoredWithin = 2500 * time.Millisecond
+// maxRestoreDelay is the time within which a write to a restored store must take effect.
+const maxRestoreDelay = 2500 * time.Millisecond
 
-// versionRoute returns the path of a route by which a node shows that a version is in force.
-func versionRoute(version uint64) string { return fmt.Sprintf("/v%d/", version) }
+// versionPath returns the path of a route that exists only in the given version.
+func versionPath(version uint64) string { return fmt.Sprintf("/v%d/", version) }
 
-// operate writes a version as the operator does.
-func (w *world) operate(version uint64) {
-	w.t.Helper()
-	w.configure(configuration(version, singleRoute(versionRoute(version), "safe", "first")))
+// writeVersion writes a version of the configuration.
+func (h *harness) writeVersion(version uint64) {
+	h.t.Helper()
+	h.configure(configuration(version, singleRoute(versionPath(version), "safe", "first")))
 }
 
-// inForce waits until the version is in force.
-func (w *world) inForce(version uint64) {
-	w.t.Helper()
-	shows := func() bool { return w.ask(versionRoute(version), "id").status == 200 }
-	for deadline := time.Now().Add(restoredWithin); !shows(); time.Sleep(5 * time.Millisecond) {
+// awaitVersion waits until the version is in force on the node.
+func (h *harness) awaitVersion(version uint64) {
+	h.t.Helper()
+	inForce := func() bool { return h.get(versionPath(version), "id").status == 200 }
+	for deadline := time.Now().Add(maxRestoreDelay); !inForce(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("version %d is not in force within %v", version, restoredWithin)
+			h.t.Fatalf("version %d is not in force within %v", version, maxRestoreDelay)
 		}
 	}
 }
 
-// restore lets the store be away for a moment and come back from the copy; then the rest is done
-// before anybody can call it.
-func (w *world) restore(from standin.Copy, then func()) {
-	w.store.SetFaults(standin.StoreFaults{Unavailable: true})
-	w.store.Restore(from)
+// restoreStore makes the store unavailable for a moment and restores it from the backup; then runs
+// before the store is available again.
+func (h *harness) restoreStore(backup standin.Copy, then func()) {
+	h.store.SetFaults(standin.StoreFaults{Unavailable: true})
+	h.store.Restore(backup)
 	time.Sleep(300 * time.Millisecond)
 	then()
-	w.store.SetFaults(standin.StoreFaults{})
+	h.store.SetFaults(standin.StoreFaults{})
 }
 
-// writeOthers raises the revision of the store without changing what nodes have to know.
-func (w *world) writeOthers(writes int) {
-	w.t.Helper()
+// writeUnrelated raises the revision of the store without changing any object that nodes read.
+func (h *harness) writeUnrelated(writes int) {
+	h.t.Helper()
 	for count := range writes {
-		is.New(w.t).NoErr(w.store.Put("notes", "other", count))
+		is.New(h.t).NoErr(h.store.Put("notes", "other", count))
 	}
 }
 
-// Guards against a node that keeps its old configuration, or old servers, because the store has
-// come back from a copy and counts its revisions anew from an earlier one.
-func TestRestoredStoreIsReadAnew(t *testing.T) {
-	for name, restore := range map[string]func(w *world) (version uint64){
-		"the revisions are lower than before": func(w *world) uint64 {
-			from := w.store.Copy()
-			w.operate(2)
-			w.writeOthers(50)
-			w.inForce(2)
-			w.restore(from, func() {})
-			w.operate(3)
+// Guards against a node that keeps its old configuration or servers because a store restored from a
+// backup continues from an earlier revision.
+func TestRestoredStoreIsRelisted(t *testing.T) {
+	for name, restore := range map[string]func(h *harness) (version uint64){
+		"revisions lower than before the restore": func(h *harness) uint64 {
+			backup := h.store.Copy()
+			h.writeVersion(2)
+			h.writeUnrelated(50)
+			h.awaitVersion(2)
+			h.restoreStore(backup, func() {})
+			h.writeVersion(3)
 			return 3
 		},
-		"the revisions have passed those from before": func(w *world) uint64 {
-			from := w.store.Copy()
-			w.operate(2)
-			w.inForce(2)
-			w.restore(from, func() {
-				w.operate(3)
-				w.writeOthers(50)
+		"revisions higher than before the restore": func(h *harness) uint64 {
+			backup := h.store.Copy()
+			h.writeVersion(2)
+			h.awaitVersion(2)
+			h.restoreStore(backup, func() {
+				h.writeVersion(3)
+				h.writeUnrelated(50)
 			})
 			return 3
 		},
-		"three copies in a row": func(w *world) uint64 {
+		"three restores in a row": func(h *harness) uint64 {
 			for version := uint64(2); version < 5; version++ {
-				from := w.store.Copy()
-				w.operate(version)
-				w.writeOthers(20)
-				w.inForce(version)
-				w.restore(from, func() {})
+				backup := h.store.Copy()
+				h.writeVersion(version)
+				h.writeUnrelated(20)
+				h.awaitVersion(version)
+				h.restoreStore(backup, func() {})
 			}
-			w.operate(5)
+			h.writeVersion(5)
 			return 5
 		},
-		"other servers": func(w *world) uint64 {
-			from := w.store.Copy()
-			w.operate(2)
-			w.writeOthers(50)
-			w.inForce(2)
-			w.restore(from, func() {
-				w.store.Remove("servers", "i-1")
-				w.servers["i-1"].Close()
-				w.serve(standin.ServerOptions{ID: "i-2", Service: "first"})
+		"server replaced during the restore": func(h *harness) uint64 {
+			backup := h.store.Copy()
+			h.writeVersion(2)
+			h.writeUnrelated(50)
+			h.awaitVersion(2)
+			h.restoreStore(backup, func() {
+				h.store.Remove("servers", "i-1")
+				h.servers["i-1"].Close()
+				h.startServer(standin.ServerOptions{ID: "i-2", Service: "first"})
 			})
-			w.operate(3)
+			h.writeVersion(3)
 			return 3
 		},
-		"control: nothing is lost": func(w *world) uint64 {
-			w.store.SetFaults(standin.StoreFaults{Unavailable: true})
+		"control: outage without a restore": func(h *harness) uint64 {
+			h.store.SetFaults(standin.StoreFaults{Unavailable: true})
 			time.Sleep(300 * time.Millisecond)
-			w.store.SetFaults(standin.StoreFaults{})
-			w.operate(3)
+			h.store.SetFaults(standin.StoreFaults{})
+			h.writeVersion(3)
 			return 3
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, configuration(1, singleRoute(versionRoute(1), "safe", "first")))
-			w.serve(standin.ServerOptions{ID: "i-1", Service: "first"})
-			w.startReady()
-			w.inForce(1)
-			w.inForce(restore(w))
+			h := newHarness(t, configuration(1, singleRoute(versionPath(1), "safe", "first")))
+			h.startServer(standin.ServerOptions{ID: "i-1", Service: "first"})
+			h.startReady()
+			h.awaitVersion(1)
+			h.awaitVersion(restore(h))
 		})
 	}
 }
 
-// Guards against a node that starts between the store's return from a copy and the operators' next
-// write, and serves the configuration from before.
-func TestStartedNodeLearnsWhatARestoredStoreHasLost(t *testing.T) {
-	first := newWorld(t, configuration(1, singleRoute(versionRoute(1), "safe", "first")))
-	first.serve(standin.ServerOptions{ID: "i-1", Service: "first"})
+// Guards against a node that starts between the restore of the store and the operators' next write,
+// and serves an outdated configuration.
+func TestNewNodeLearnsConfigurationLostByRestore(t *testing.T) {
+	first := newHarness(t, configuration(1, singleRoute(versionPath(1), "safe", "first")))
+	first.startServer(standin.ServerOptions{ID: "i-1", Service: "first"})
 	peer := freeAddress(t)
 	first.startReady(func(loaded *settings.Router) { loaded.PeerAddress = peer })
-	from := first.store.Copy()
-	first.operate(2)
-	first.inForce(2)
-	first.restore(from, func() {})
-	second := &world{t: t, store: first.store, servers: first.servers, stopped: make(chan error, 1)}
+	backup := first.store.Copy()
+	first.writeVersion(2)
+	first.awaitVersion(2)
+	first.restoreStore(backup, func() {})
+	second := &harness{t: t, store: first.store, servers: first.servers, stopped: make(chan error, 1)}
 	second.startReady(func(loaded *settings.Router) { loaded.Name, loaded.Seeds = "node-2", []string{peer} })
-	second.inForce(2)
-	first.inForce(2) // it has not gone back
-	first.operate(3)
-	first.inForce(3)
-	second.inForce(3)
+	second.awaitVersion(2)
+	first.awaitVersion(2) // the version did not decrease
+	first.writeVersion(3)
+	first.awaitVersion(3)
+	second.awaitVersion(3)
 }
 
-// Guards against a bad version that is exposed once more because the store has come back from before
-// it was rolled back.
-func TestRollbackIsWrittenAgainAfterTheStoreIsRestored(t *testing.T) {
+// Guards against a bad version that receives requests again because the store was restored from a
+// backup made before its rollback.
+func TestRollbackIsRewrittenAfterRestore(t *testing.T) {
 	is := is.New(t)
-	world := newRolloutWorld(t, 3)
-	world.order(30*time.Second, standin.Flaw{Share: 0.5, Behavior: standin.Fail})
-	from := world.store.Copy()
-	is.Equal(world.callers(20*time.Second), 0)
+	c := newRolloutCluster(t, 3)
+	c.startRollout(30*time.Second, standin.Flaw{Share: 0.5, Behavior: standin.Fail})
+	backup := c.store.Copy()
+	is.Equal(c.runCallers(20*time.Second), 0)
 	rolledBack := standin.RolloutStatus{State: "rolled_back", TargetVersion: newVersion}
-	is.Equal(world.store.RolloutStatus("s"), rolledBack)
-	for _, node := range world.nodes {
-		node.eventually("the rollback is known", func() bool { return strings.Contains(node.admin("/debug/state"), `"State": "rolled_back"`) })
+	is.Equal(c.store.RolloutStatus("s"), rolledBack)
+	for _, node := range c.nodes {
+		node.eventually("the rollback is known", func() bool { return strings.Contains(node.adminGet("/debug/state"), `"State": "rolled_back"`) })
 	}
-	before := world.ran("new")
-	world.restore(from, func() {})
-	is.True(world.store.RolloutStatus("s") != rolledBack)
-	world.eventually("the rollback is written again", func() bool {
-		world.nodes[0].ask("/one/", "during")
-		return world.store.RolloutStatus("s") == rolledBack
+	before := c.runCountOf("new")
+	c.restoreStore(backup, func() {})
+	is.True(c.store.RolloutStatus("s") != rolledBack)
+	c.eventually("the rollback is written again", func() bool {
+		c.nodes[0].get("/one/", "during")
+		return c.store.RolloutStatus("s") == rolledBack
 	})
-	for index, node := range world.nodes {
+	for index, node := range c.nodes {
 		for number := range 10 {
-			is.Equal(node.ask("/one/", fmt.Sprintf("after-%d-%d", index, number)).status, 200)
+			is.Equal(node.get("/one/", fmt.Sprintf("after-%d-%d", index, number)).status, 200)
 		}
 	}
-	is.Equal(world.ran("new"), before)
+	is.Equal(c.runCountOf("new"), before)
 }
--- a/internal/edge/evacuation.go
+++ b/internal/edge/evacuation.go
@@ -9,7 +9,7 @@
 	"github.com/driftstage/driftstage/internal/endpoints"
 )
 
-// evacuations returns the zones to be emptied, as the store holds them.
+// evacuations returns the evacuations listed in the store.
 func (s *state) evacuations() []endpoints.Evacuation {
 	var all []endpoints.Evacuation
 	for _, zone := range s.directory.ListedEvacuated() {
@@ -18,16 +18,16 @@
 	return all
 }
 
-// evacuationSink takes the zones to be emptied from a follower. A zone that is not
-// listed takes requests again: the operators alone write and remove the entries, and
-// none runs out while the store is away.
+// evacuationSink receives the evacuated zones from a follower. A zone that is no longer listed
+// receives requests again: only operators write and remove the entries, so that none expires
+// while the store is unavailable.
 type evacuationSink struct{ state *state }
 
 // Replace implements catalog.Sink.
 func (e evacuationSink) Replace(evacuations []endpoints.Evacuation, _ bool) {
-	zones := zonesOf(evacuations)
-	e.state.replacing.Lock()
-	defer e.state.replacing.Unlock()
+	zones := zoneNames(evacuations)
+	e.state.replaceMutex.Lock()
+	defer e.state.replaceMutex.Unlock()
 	e.state.directory.SetEvacuated(zones, time.Now())
 	e.state.evacuationsListed.Store(true)
 	if len(zones) > 0 {
@@ -35,7 +35,7 @@
 	}
 }
 
-func zonesOf(evacuations []endpoints.Evacuation) []string {
+func zoneNames(evacuations []endpoints.Evacuation) []string {
 	zones := make([]string, len(evacuations))
 	for index, evacuation := range evacuations {
 		zones[index] = evacuation.Zone
@@ -45,9 +45,9 @@
 
 // ReplaceRestored implements catalog.RestoredSink.
 func (e evacuationSink) ReplaceRestored(evacuations []endpoints.Evacuation) {
-	zones := zonesOf(evacuations)
-	e.state.replacing.Lock()
-	defer e.state.replacing.Unlock()
+	zones := zoneNames(evacuations)
+	e.state.replaceMutex.Lock()
+	defer e.state.replaceMutex.Unlock()
 	e.state.directory.ReplaceEvacuatedRestored(zones, time.Now())
 	e.state.evacuationsListed.Store(true)
 	klog.InfoS("evacuated zones of a restored store", "listed", zones, "evacuated", e.state.directory.Evacuated())
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -13,13 +13,13 @@
 	"github.com/driftstage/driftstage/internal/peers"
 )
 
-// follow keeps the configuration and the servers current.
+// follow starts the background tasks: the followers of the store and the periodic work.
 func (n *Node) follow(ctx context.Context, tasks *sync.WaitGroup) {
 	tables := newFollower(n, feedTables, n.store.Tables(), tableSink{n.state}, n.tableRelay)
 	servers := newFollower(n, feedServers, n.store.Servers(), serverSink{n.state}, n.serverRelay)
-	servers.SetBatchDelay(n.serversPause, n.reads)
-	if n.mayBeHanded() {
-		servers.UseHandover(&n.state.handed)
+	servers.SetBatchDelay(n.batchDelay, n.becameReader)
+	if n.canBootstrap() {
+		servers.UseHandover(&n.state.handover)
 	}
 	tasks.Go(func() { tables.Run(ctx) })
 	tasks.Go(func() { servers.Run(ctx) })
@@ -39,72 +39,72 @@
 	tasks.Go(func() { n.announcer.Run(ctx) })
 	bootstrapper := peers.Bootstrapper{
 		Self:       n.requester(),
-		Addresses:  func() []string { return n.live.Load().Seeds },
+		Addresses:  func() []string { return n.reloadable.Load().Seeds },
 		Complete:   n.state.complete,
 		Adopt:      n.state.adoptSnapshot,
-		OnNoAnswer: n.state.handed.Abandon,
+		OnNoAnswer: n.state.handover.Abandon,
 	}
 	tasks.Go(func() { bootstrapper.Run(ctx) })
-	search := peers.RecoveryProber{Selector: n.selector, Disconnected: n.storeBackoff.Disconnected, OnRecovery: n.storeBackoff.RetryNow}
-	tasks.Go(func() { search.Run(ctx) })
+	recovery := peers.RecoveryProber{Selector: n.selector, Disconnected: n.storeBackoff.Disconnected, OnRecovery: n.storeBackoff.RetryNow}
+	tasks.Go(func() { recovery.Run(ctx) })
 	tasks.Go(func() { n.compareConfigurations(ctx) })
 	tasks.Go(func() { n.sweep(ctx) })
-	tasks.Go(func() { n.askForRetries(ctx) })
+	tasks.Go(func() { n.refillRetries(ctx) })
 	tasks.Go(func() { n.probe(ctx) })
 	tasks.Go(func() { n.quarantine.Run(ctx) })
-	tasks.Go(func() { n.load.Run(ctx) })
+	tasks.Go(func() { n.loadMeter.Run(ctx) })
 }
 
-// mayBeHanded reports whether other nodes may hand over what this one has to know. Those that
-// all others ask first read the store for themselves.
-func (n *Node) mayBeHanded() bool {
-	seeds := n.live.Load().Seeds
+// canBootstrap reports whether this node may take its initial state from other nodes. The seeds,
+// which all other nodes ask first, read the store instead.
+func (n *Node) canBootstrap() bool {
+	seeds := n.reloadable.Load().Seeds
 	return len(seeds) > 0 && !slices.Contains(seeds, n.settings.PeerAddress)
 }
 
-// serversPause returns the pause after so many changes of servers.
-func (n *Node) serversPause(changes int) time.Duration {
-	if n.reading() {
-		return serversSettle
+// batchDelay returns how long to collect changes of servers, given the number so far.
+func (n *Node) batchDelay(changes int) time.Duration {
+	if n.isReader() {
+		return serversBatchDelay
 	}
-	return pauseAfterChanges(changes, time.Since(n.started), n.startHold, n.mayBeHanded())
+	return batchDelayAt(changes, time.Since(n.started), n.startupHold, n.canBootstrap())
 }
 
-// pauseAfterChanges returns the pause of a node of the given age, which holds until another; other
-// nodes may tell it what it has to know, or not.
-func pauseAfterChanges(changes int, age, hold time.Duration, told bool) time.Duration {
-	if told && changes >= manyChanges && age < hold {
-		return max(hold-age, serversSettle)
+// batchDelayAt returns the batch delay of a node of the given age, which leaves bursts of changes to
+// the readers until the age of hold if it can bootstrap from other nodes.
+func batchDelayAt(changes int, age, hold time.Duration, bootstrap bool) time.Duration {
+	if bootstrap && changes >= burstSize && age < hold {
+		return max(hold-age, serversBatchDelay)
 	}
-	return serversSettle
+	return serversBatchDelay
 }
 
-// reading reports whether the node has learned that it reads the store for others.
-func (n *Node) reading() bool {
+// isReader reports whether the node has become a reader of the store for other nodes.
+func (n *Node) isReader() bool {
 	select {
-	case <-n.reads:
+	case <-n.becameReader:
 		return true
 	default:
 		return false
 	}
 }
 
-// newAnnouncer returns what keeps the node announced. Those that all others ask read the
-// announcements for themselves.
+// newAnnouncer returns the announcer of the node. The seeds, which all other nodes ask, read the
+// announcements from the store.
 func (n *Node) newAnnouncer() *members.Announcer {
 	announcer := members.NewAnnouncer(n.store, n.member, n.topology.SameRegion, memberObserver{n})
-	if n.mayBeHanded() {
-		announcer.PreferPeers(func() ([]members.Member, error) { return peers.FetchMembers(n.live.Load().Seeds) })
+	if n.canBootstrap() {
+		announcer.PreferPeers(func() ([]members.Member, error) { return peers.FetchMembers(n.reloadable.Load().Seeds) })
 	}
 	return announcer
 }
 
-// requester is the node as it shows itself to others.
+// requester identifies this node in its requests to others.
 func (n *Node) requester() peers.Requester {
 	return peers.Requester{Address: n.settings.PeerAddress, Zone: n.settings.Zone, Region: n.settings.Region}
 }
 
-// newFollower returns a follower that spares the store together with the node's others.
+// newFollower returns a follower that shares the backoff and the era with the node's other followers.
 func newFollower[T any](n *Node, name string, feed catalog.Feed[T], sink catalog.Sink[T], relay *peers.Relay[T]) *catalog.Follower[T] {
 	follower := catalog.NewFollower(name, feed, sink, storeObserver{n.metrics, &n.state.unreadable})
 	follower.UseRelay(relay)
@@ -113,7 +113,7 @@
 	return follower
 }
 
-// storeObserver counts calls to the store, and keeps and logs what can't be understood there.
+// storeObserver counts calls to the store, and records and logs objects that cannot be decoded.
 type storeObserver struct {
 	*metrics
 	unreadable *catalog.UnreadableObjects
--- a/internal/edge/world_test.go
+++ b/internal/edge/harness_test.go
@@ -20,8 +20,8 @@
 	"github.com/driftstage/driftstage/platform/standin"
 )
 
-// world is a node with stand-ins of the store and of servers around it.
-type world struct {
+// harness runs a node with a test store and test servers.
+type harness struct {
 	t       testing.TB
 	store   *standin.Store
 	servers map[string]*standin.Server
@@ -53,27 +53,27 @@
 	return standin.Configuration{Version: version, Routes: routes, Limits: testLimits}
 }
 
-// newWorld starts a store with the configuration; the node starts with start.
-func newWorld(t testing.TB, config standin.Configuration) *world {
+// newHarness starts a store with the configuration; start starts the node.
+func newHarness(t testing.TB, config standin.Configuration) *harness {
 	t.Helper()
 	store, err := standin.NewStore()
 	is.New(t).NoErr(err)
 	t.Cleanup(store.Close)
 	store.TellEra()
-	world := &world{t: t, store: store, servers: make(map[string]*standin.Server), stopped: make(chan error, 1)}
-	world.configure(config)
-	return world
+	h := &harness{t: t, store: store, servers: make(map[string]*standin.Server), stopped: make(chan error, 1)}
+	h.configure(config)
+	return h
 }
 
-func (w *world) configure(config standin.Configuration) {
-	w.t.Helper()
-	is.New(w.t).NoErr(w.store.Configure(config))
+func (h *harness) configure(config standin.Configuration) {
+	h.t.Helper()
+	is.New(h.t).NoErr(h.store.Configure(config))
 }
 
-// serve starts a server and enters it into the store.
-func (w *world) serve(options standin.ServerOptions) *standin.Server {
-	w.t.Helper()
-	is := is.New(w.t)
+// startServer starts a server and registers it in the store.
+func (h *harness) startServer(options standin.ServerOptions) *standin.Server {
+	h.t.Helper()
+	is := is.New(h.t)
 	if options.Zone == "" {
 		options.Zone = "zone-1"
 	}
@@ -82,9 +82,9 @@
 	}
 	server, err := standin.NewServer(options)
 	is.NoErr(err)
-	w.t.Cleanup(server.Close)
-	w.servers[options.ID] = server
-	is.NoErr(w.store.Put("servers", options.ID, server.Spec()))
+	h.t.Cleanup(server.Close)
+	h.servers[options.ID] = server
+	is.NoErr(h.store.Put("servers", options.ID, server.Spec()))
 	return server
 }
 
@@ -97,17 +97,17 @@
 	return address
 }
 
-// start runs the node; it does not wait until it is ready.
-func (w *world) start(change ...func(*settings.Router)) {
-	w.t.Helper()
-	w.loaded = settings.Router{
+// start starts the node without waiting until it is ready.
+func (h *harness) start(change ...func(*settings.Router)) {
+	h.t.Helper()
+	h.loaded = settings.Router{
 		Name:             "node-1",
 		Zone:             "zone-1",
 		Region:           "region-1",
 		Regions:          map[string]string{"zone-1": "region-1", "zone-2": "region-2"},
-		ListenAddress:    freeAddress(w.t),
-		ReadinessAddress: freeAddress(w.t),
-		StoreAddress:     w.store.Address(),
+		ListenAddress:    freeAddress(h.t),
+		ReadinessAddress: freeAddress(h.t),
+		StoreAddress:     h.store.Address(),
 		Reloadable: settings.Reloadable{
 			RetryRatio:  1,
 			RetrySlack:  1000,
@@ -116,27 +116,27 @@
 		},
 	}
 	for _, apply := range change {
-		apply(&w.loaded)
+		apply(&h.loaded)
 	}
-	w.node = edge.New(w.loaded, platform.Names(), platform.NewStore(w.loaded.StoreAddress), edge.Logs{})
+	h.node = edge.New(h.loaded, platform.Names(), platform.NewStore(h.loaded.StoreAddress), edge.Logs{})
 	ctx, stop := context.WithCancel(context.Background())
-	w.stop = stop
-	go func() { w.stopped <- w.node.Run(ctx) }()
-	w.t.Cleanup(w.end)
+	h.stop = stop
+	go func() { h.stopped <- h.node.Run(ctx) }()
+	h.t.Cleanup(h.shutdown)
 }
 
-func (w *world) end() {
-	w.stop()
+func (h *harness) shutdown() {
+	h.stop()
 	select {
-	case <-w.stopped:
+	case <-h.stopped:
 	case <-time.After(10 * time.Second):
-		w.t.Error("the node did not stop")
+		h.t.Error("the node did not stop")
 	}
 }
 
 // listening reports whether the node accepts callers' connections.
-func (w *world) listening() bool {
-	conn, err := net.Dial("tcp4", w.loaded.ListenAddress)
+func (h *harness) listening() bool {
+	conn, err := net.Dial("tcp4", h.loaded.ListenAddress)
 	if err != nil {
 		return false
 	}
@@ -144,8 +144,8 @@
 	return true
 }
 
-func (w *world) ready() bool {
-	answer, err := http.Get("http://" + w.loaded.ReadinessAddress + "/-/readiness")
+func (h *harness) ready() bool {
+	answer, err := http.Get("http://" + h.loaded.ReadinessAddress + "/-/readiness")
 	if err != nil {
 		return false
 	}
@@ -153,43 +153,43 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-func (w *world) startReady(change ...func(*settings.Router)) {
-	w.t.Helper()
-	w.start(change...)
-	w.eventually("ready", w.ready)
+func (h *harness) startReady(change ...func(*settings.Router)) {
+	h.t.Helper()
+	h.start(change...)
+	h.eventually("ready", h.ready)
 }
 
-func (w *world) eventually(what string, condition func() bool) {
-	w.t.Helper()
+func (h *harness) eventually(what string, condition func() bool) {
+	h.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); !condition(); {
 		if time.Now().After(deadline) {
-			w.t.Fatalf("not in time: %s", what)
+			h.t.Fatalf("not in time: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// closing tells whether the connection is announced to close.
+	// closing is set if the response announces that the connection closes.
 	closing bool
 }
 
-// ask sends a GET request with the usual headers on a connection of its own.
-func (w *world) ask(path, id string) answer {
-	w.t.Helper()
+// get sends a GET request with the usual headers on a new connection.
+func (h *harness) get(path, id string) answer {
+	h.t.Helper()
 	raw := fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Identifier: %s\r\nX-Request-Deadline: 2000\r\n\r\n", path, testHost, id)
-	return w.exchange(raw)
+	return h.sendRaw(raw)
 }
 
-// exchange sends raw bytes and reads one answer; status 0 means that there was none.
-func (w *world) exchange(raw string) answer {
-	w.t.Helper()
-	conn, err := net.Dial("tcp4", w.loaded.ListenAddress)
-	is.New(w.t).NoErr(err)
+// sendRaw sends raw bytes on a new connection and reads one answer; status 0 means that there was none.
+func (h *harness) sendRaw(raw string) answer {
+	h.t.Helper()
+	conn, err := net.Dial("tcp4", h.loaded.ListenAddress)
+	is.New(h.t).NoErr(err)
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
 	_, _ = conn.Write([]byte(raw))
@@ -209,13 +209,13 @@
 	return answer{status: response.StatusCode, header: response.Header, body: body.String(), closing: response.Close}
 }
 
-// record is a record of sixteen bytes that begins with the text.
+// record returns a result record: the text, padded to 16 bytes.
 func record(text string) string { return text + strings.Repeat(".", 16-len(text)) }
 
-// runs returns how many requests all servers ran.
-func (w *world) runs() int {
+// runCount returns how many requests all servers executed.
+func (h *harness) runCount() int {
 	count := 0
-	for _, server := range w.servers {
+	for _, server := range h.servers {
 		count += len(server.Runs())
 	}
 	return count
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -18,32 +18,32 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// namespace begins the name of every metric: driftstage_component_noun_unit.
+// namespace is the prefix of every metric, named driftstage_component_noun_unit.
 const namespace = "driftstage"
 
-// requestBuckets are the bounds of the latency histogram in seconds.
+// requestBuckets are the upper bounds of the latency histogram, in seconds.
 var requestBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1, 2.5, 5, 15}
 
-// metrics counts what the node does. A node without metrics address keeps none.
+// metrics holds the counters of the node. It is disabled if the node has no metrics address.
 type metrics struct {
-	registry *prometheus.Registry
-	finished *prometheus.CounterVec
-	duration *prometheus.HistogramVec
-	missing  prometheus.Counter
-	attempts *prometheus.CounterVec
-	held     *prometheus.CounterVec
-	deferred *prometheus.CounterVec
-	calls    *prometheus.CounterVec
-	// unreadable counts objects of the store that can't be understood.
-	unreadable *prometheus.CounterVec
-	lost       *prometheus.CounterVec
-	rollouts   rolloutCounters
-	// quarantine counts what becomes of requests under which servers end.
+	registry      *prometheus.Registry
+	finished      *prometheus.CounterVec
+	duration      *prometheus.HistogramVec
+	missingShards prometheus.Counter
+	attempts      *prometheus.CounterVec
+	held          *prometheus.CounterVec
+	deferred      *prometheus.CounterVec
+	storeCalls    *prometheus.CounterVec
+	// unreadable counts objects of the store that cannot be decoded.
+	unreadable   *prometheus.CounterVec
+	lostAttempts *prometheus.CounterVec
+	rollouts     rolloutCounters
+	// quarantine counts the decisions on requests that crash servers.
 	quarantine quarantineCounters
 
 	mutex sync.Mutex
-	// contact is when each feed was last read.
-	contact map[string]time.Time
+	// lastRead is the time of the last successful read of each feed.
+	lastRead map[string]time.Time
 }
 
 func newMetrics(node *Node, logs Logs) *metrics {
@@ -51,26 +51,26 @@
 		return &metrics{}
 	}
 	counters := &metrics{
-		registry:   telemetry.NewRegistry(),
-		contact:    make(map[string]time.Time),
-		finished:   counterVector("request", "finished_total", "Requests by their end.", "gather", "status", "cause"),
-		missing:    counter("request", "missing_shards_total", "Shards left out of answers."),
-		attempts:   counterVector("attempt", "ended_total", "Attempts at servers by reason and result.", "reason", "result"),
-		held:       counterVector("request", "held_total", "Requests that waited before anything was sent, by cause.", "cause"),
-		deferred:   counterVector("attempt", "deferred_total", "Sends that had to wait, by cause.", "cause"),
-		calls:      counterVector("store", "calls_total", "Calls to the store by feed and result.", "feed", "result"),
-		unreadable: counterVector("store", "unreadable_objects_total", "Objects read from the store that could not be understood, by feed.", "feed"),
-		lost:       counterVector("attempt", "lost_with_server_total", "Attempts that were lost because their server ended, by service.", "service"),
+		registry:      telemetry.NewRegistry(),
+		lastRead:      make(map[string]time.Time),
+		finished:      counterVector("request", "finished_total", "Requests by their end.", "gather", "status", "cause"),
+		missingShards: counter("request", "missing_shards_total", "Shards left out of answers."),
+		attempts:      counterVector("attempt", "ended_total", "Attempts at servers by reason and result.", "reason", "result"),
+		held:          counterVector("request", "held_total", "Requests that waited before anything was sent, by cause.", "cause"),
+		deferred:      counterVector("attempt", "deferred_total", "Sends that had to wait, by cause.", "cause"),
+		storeCalls:    counterVector("store", "calls_total", "Calls to the store by feed and result.", "feed", "result"),
+		unreadable:    counterVector("store", "unreadable_objects_total", "Objects read from the store that could not be understood, by feed.", "feed"),
+		lostAttempts:  counterVector("attempt", "lost_with_server_total", "Attempts that were lost because their server ended, by service.", "service"),
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Subsystem: "request", Name: "duration_seconds",
 			Help: "Time from the arrival of a request to its final answer.", Buckets: requestBuckets,
 		}, []string{"gather"}),
 	}
-	counters.registry.MustRegister(counters.finished, counters.missing, counters.attempts, counters.held, counters.deferred, counters.calls, counters.unreadable, counters.lost, counters.duration)
+	counters.registry.MustRegister(counters.finished, counters.missingShards, counters.attempts, counters.held, counters.deferred, counters.storeCalls, counters.unreadable, counters.lostAttempts, counters.duration)
 	counters.quarantine = newQuarantineCounters(counters.registry)
-	if node.versions != nil {
+	if node.tracker != nil {
 		counters.rollouts = newRolloutCounters(counters.registry)
-		counters.registry.MustRegister(rolloutCollector{node.versions})
+		counters.registry.MustRegister(rolloutCollector{node.tracker})
 	}
 	counters.registerGauges(node, logs)
 	return counters
@@ -86,7 +86,7 @@
 		{"caller", "connections_count", "Open connections of callers.", func() float64 { return float64(node.server.Connections()) }},
 		{"server", "idle_connections_count", "Idle connections to servers.", func() float64 { return float64(node.client.Idle()) }},
 		{"request", "under_way_count", "Requests without final answer.", func() float64 { return float64(node.server.UnderWay()) }},
-		{"node", "ready_status", "1 while the node takes new connections.", func() float64 { return boolean(node.state.ready()) }},
+		{"node", "ready_status", "1 while the node takes new connections.", func() float64 { return boolToFloat(node.state.ready()) }},
 		{"log", "dropped_lines_count", "Log lines lost to a slow reader since the start.", logs.dropped},
 		{"log", "left_out_requests_count", "Requests whose lines were left out by the bounds since the start.", logs.leftOut},
 		{"store", "tables_age_seconds", "Time since the configuration was last read.", func() float64 { return m.age(feedTables) }},
@@ -95,8 +95,8 @@
 		{"quarantine", "records_count", "Requests under which servers ended that this node knows.", func() float64 { return float64(len(node.quarantine.Describe())) }},
 		{"store", "era_number", "Era of the store; it rises each time that the store comes back from a copy.", func() float64 { return float64(node.store.Eras().Latest()) }},
 		{"server", "doubted_entries_count", "Entries of a restored store that contradict what is known and don't count yet.", func() float64 {
-			doubted, _ := node.directory.UnconfirmedCounts()
-			return float64(doubted)
+			unconfirmed, _ := node.directory.UnconfirmedCounts()
+			return float64(unconfirmed)
 		}},
 		{"store", "servers_age_seconds", "Time since the servers were last read.", func() float64 { return m.age(feedServers) }},
 	} {
@@ -114,7 +114,7 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: component, Name: name, Help: help}, labels)
 }
 
-func boolean(value bool) float64 {
+func boolToFloat(value bool) float64 {
 	if value {
 		return 1
 	}
@@ -132,7 +132,7 @@
 	m.finished.WithLabelValues(label, outcome.Status.String(), string(outcome.Cause)).Inc()
 	m.duration.WithLabelValues(label).Observe(elapsed.Seconds())
 	if outcome.Status == exchange.StatusAnswered {
-		m.missing.Add(float64(outcome.Missing))
+		m.missingShards.Add(float64(outcome.Missing))
 	}
 }
 
@@ -167,7 +167,7 @@
 // AttemptsLost implements quarantine.Observer.
 func (m *metrics) AttemptsLost(service string, count int) {
 	if m.enabled() {
-		m.lost.WithLabelValues(service).Add(float64(count))
+		m.lostAttempts.WithLabelValues(service).Add(float64(count))
 	}
 }
 
@@ -176,11 +176,11 @@
 	if !m.enabled() {
 		return
 	}
-	m.calls.WithLabelValues(feed, string(catalog.OutcomeOf(err))).Inc()
+	m.storeCalls.WithLabelValues(feed, string(catalog.OutcomeOf(err))).Inc()
 	if err == nil {
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		m.contact[feed] = time.Now()
+		m.lastRead[feed] = time.Now()
 	}
 }
 
@@ -191,29 +191,29 @@
 	}
 }
 
-// age returns the seconds since the feed was last read; -1 if it never was.
+// age returns the seconds since the feed was last read, or -1 if it never was.
 func (m *metrics) age(feed string) float64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	contact, found := m.contact[feed]
+	lastRead, found := m.lastRead[feed]
 	if !found {
 		return -1
 	}
-	return time.Since(contact).Seconds()
+	return time.Since(lastRead).Seconds()
 }
 
-// serveMetrics serves the metrics if they have an address.
+// serveMetrics serves the metrics and the administrative interface, if they have an address.
 func (n *Node) serveMetrics(failed chan<- error) error {
 	if !n.metrics.enabled() {
 		return nil
 	}
 	listener, err := net.Listen("tcp4", n.settings.MetricsAddress)
 	if err != nil {
-		return errors.Wrap(err, "listen for readers of metrics")
+		return errors.Wrap(err, "listen for metrics")
 	}
 	admin := telemetry.NewAdmin(telemetry.AdminOptions{
 		Registry: n.metrics.registry,
-		Ready:    n.state.reason,
+		Ready:    n.state.notReadyReason,
 		State:    func() any { return n.state.describe() },
 		Commands: map[string]func(*fasthttp.Args) error{quarantine.ReleasePath: n.release},
 	})
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// probeInterval is how often the way to zones that are out of reach is looked for; a
-	// zone that is back is used again within two of them.
+	// probeInterval is how often unreachable zones are probed; a zone that becomes reachable is
+	// used again within two intervals.
 	probeInterval = 200 * time.Millisecond
-	// probeTimeout bounds one look; a round trip to another region takes 25 ms.
+	// probeTimeout bounds one probe; a round trip to another region takes 25 ms.
 	probeTimeout = 400 * time.Millisecond
 )
 
-// probe looks for the way to zones that are out of reach until ctx ends.
+// probe probes unreachable zones until ctx ends.
 func (n *Node) probe(ctx context.Context) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
@@ -31,16 +31,16 @@
 			for _, server := range n.directory.ProbeTargets(now) {
 				go n.probeZone(ctx, server)
 			}
-			silent := n.directory.UnreachableZones()
-			if !slices.Equal(silent, before) {
-				klog.InfoS("zones out of reach", "zones", silent, "before", before, "cut_off", n.directory.Isolated(now))
+			unreachable := n.directory.UnreachableZones()
+			if !slices.Equal(unreachable, before) {
+				klog.InfoS("zones out of reach", "zones", unreachable, "before", before, "cut_off", n.directory.Isolated(now))
 			}
-			before = silent
+			before = unreachable
 		}
 	}
 }
 
-// probeZone opens a connection to a server to learn whether there is a way to its zone.
+// probeZone connects to a server to check whether its zone is reachable.
 func (n *Node) probeZone(ctx context.Context, server endpoints.Server) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -19,7 +19,7 @@
 		Node:              node.settings.Name,
 		Term:              node.settings.QuarantineTerm,
 		Store:             node.store,
-		Broadcast:         node.tellOthers,
+		Broadcast:         node.broadcastNotice,
 		ConnectionRefused: node.client.Refuses,
 		Observer:          node.metrics,
 		Now:               boottime.Now,
@@ -33,45 +33,46 @@
 }
 
 const (
-	// noticeTimeout bounds one notice to another node.
+	// noticeTimeout bounds the delivery of a notice to another node.
 	noticeTimeout = 400 * time.Millisecond
-	// mostNotices bounds the nodes that are told something that the store can't be told. The
-	// others learn it from these, or from the store when it is back.
-	mostNotices = 64
+	// maxNoticePeers bounds the nodes that are sent a record that cannot be written to the store.
+	// The others learn it from these nodes, or from the store when it is available again.
+	maxNoticePeers = 64
 )
 
-// tellOthers tells other nodes what could not be written to the store.
-func (n *Node) tellOthers(notice quarantine.Notice) {
-	for _, address := range n.otherAddresses() {
+// broadcastNotice sends to other nodes what could not be written to the store.
+func (n *Node) broadcastNotice(notice quarantine.Notice) {
+	for _, address := range n.peerAddresses() {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 			defer cancel()
-			if err := n.notices.SendNotice(ctx, address, notice); err != nil {
+			if err := n.peerClient.SendNotice(ctx, address, notice); err != nil {
 				klog.V(1).InfoS("notice not delivered", "peer", address, "cause", err.Error())
 			}
 		}()
 	}
 }
 
-// otherAddresses returns the peer addresses of the other nodes that this one has counted and
-// of those in its settings: a node that has just started knows few, and settings may be stale.
-func (n *Node) otherAddresses() []string {
+// peerAddresses returns the peer addresses of the other live nodes and of the seeds: a node that
+// has just started has counted few others, and the seeds may be outdated. There are at most
+// maxNoticePeers.
+func (n *Node) peerAddresses() []string {
 	var addresses []string
 	for _, member := range n.selector.Others() {
 		addresses = append(addresses, member.Address)
 	}
-	for _, seed := range n.live.Load().Seeds {
+	for _, seed := range n.reloadable.Load().Seeds {
 		if seed != n.settings.PeerAddress && !slices.Contains(addresses, seed) {
 			addresses = append(addresses, seed)
 		}
 	}
-	return addresses[:min(len(addresses), mostNotices)]
+	return addresses[:min(len(addresses), maxNoticePeers)]
 }
 
-// releaseTimeout bounds the release of a request by an operator.
+// releaseTimeout bounds an operator's release of a request.
 const releaseTimeout = 2 * time.Second
 
-// release lets a request pass again on all nodes because an operator says so.
+// release ends the quarantine of a request on all nodes, at an operator's command.
 func (n *Node) release(query *fasthttp.Args) error {
 	digest, err := quarantine.ParseDigest(string(query.Peek(quarantine.ReleaseDigest)))
 	if err != nil {
@@ -81,10 +82,10 @@
 	defer cancel()
 	known, err := n.quarantine.Release(ctx, digest)
 	if err != nil {
-		return errors.Wrap(err, "released on this node; the store does not answer, so that others may not know")
+		return errors.Wrap(err, "released on this node only: the store does not answer, other nodes may still refuse the request")
 	}
 	if !known {
-		return errors.Newf("no request %s is known here", digest)
+		return errors.Newf("request %s is not known on this node", digest)
 	}
 	return nil
 }
--- a/internal/edge/quarantine_metrics.go
+++ b/internal/edge/quarantine_metrics.go
@@ -7,7 +7,7 @@
 	"github.com/driftstage/driftstage/internal/quarantine"
 )
 
-// quarantineCounters count what the node decided of requests under which servers end.
+// quarantineCounters count the node's decisions on requests that crash servers.
 type quarantineCounters struct {
 	decisions *prometheus.CounterVec
 	trials    *prometheus.CounterVec
--- a/internal/edge/readiness.go
+++ b/internal/edge/readiness.go
@@ -10,10 +10,10 @@
 	"github.com/driftstage/driftstage/internal/telemetry"
 )
 
-// readinessTimeout bounds idle connections of those who ask.
+// readinessTimeout is the idle timeout of readiness connections.
 const readinessTimeout = 30 * time.Second
 
-// readiness answers whether the node takes new connections.
+// readiness serves the readiness check: whether the node accepts new connections.
 type readiness struct {
 	server *fasthttp.Server
 }
--- a/internal/edge/retries.go
+++ b/internal/edge/retries.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	// leastRetryShare is the part of the slack, in sends, below which the nodes share it in
-	// pools: a gather that has to send twice for a shard needs it at once.
-	leastRetryShare = 2
-	// nodesPerPool is how many nodes about share a pool.
+	// minRetryShare is the share of the slack, in sends, below which the nodes use pools instead:
+	// a gather that sends twice for a shard needs this much at once.
+	minRetryShare = 2
+	// nodesPerPool is the approximate number of nodes that share a pool.
 	nodesPerPool = 48
-	// sparePools allows for pools whose place others take.
+	// sparePools is added to the count of pools for those that replace others: a
+	// replaced pool may just have granted its whole capacity.
 	sparePools = 2
-	// grantTimeout bounds a question to the pool: what comes later is of no use to most
-	// requests.
+	// grantTimeout bounds a request to the pool: a later grant is useless to most queries.
 	grantTimeout = 200 * time.Millisecond
-	// openInterval is how often a node shows its pool that it is there.
-	openInterval = 30 * time.Second
+	// poolRefreshInterval is how often a node contacts its pool even if it needs no retries.
+	poolRefreshInterval = 30 * time.Second
 )
 
-// retryShares are how the slack of the retry budget is shared.
+// retryShares describes how the slack of the retry budget is divided.
 type retryShares struct {
-	// own is what a node has by itself, pool what each pool has.
-	own, pool float64
-	pooled    bool
+	// perNode is the capacity of each node, perPool that of each pool.
+	perNode, perPool float64
+	pooled           bool
 }
 
-// shareRetries divides the slack among the nodes, or among pools where they are many.
-func shareRetries(slack float64, count members.Count, regions int) retryShares {
-	own := slack / float64(count.All+spareNodes)
-	if !count.Settled || own >= leastRetryShare {
-		return retryShares{own: max(own, 1)}
+// divideSlack divides the slack among the nodes, or among pools if there are many nodes.
+func divideSlack(slack float64, count members.Count, regions int) retryShares {
+	perNode := slack / float64(count.All+spareNodes)
+	if !count.Settled || perNode >= minRetryShare {
+		return retryShares{perNode: max(perNode, 1)}
 	}
 	pools := regions + count.All/nodesPerPool + sparePools
-	return retryShares{pool: slack / float64(pools), pooled: true}
+	return retryShares{perPool: slack / float64(pools), pooled: true}
 }
 
-// askForRetries asks the pool for the extra sends that services lack, until ctx ends.
-func (n *Node) askForRetries(ctx context.Context) {
-	ticker := time.NewTicker(openInterval)
+// refillRetries requests from the pool the retries that services lack, until ctx ends.
+func (n *Node) refillRetries(ctx context.Context) {
+	ticker := time.NewTicker(poolRefreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -55,33 +55,33 @@
 		case <-n.poolChanged:
 		case <-ticker.C:
 		}
-		n.askPool(ctx)
+		n.acquireRetries(ctx)
 	}
 }
 
-// askPool asks the pool once. A node that wants nothing only lets the pool begin to count.
-func (n *Node) askPool(ctx context.Context) {
-	if !n.pooling.Load() {
+// acquireRetries sends one request to the pool. An empty request only opens the pool.
+func (n *Node) acquireRetries(ctx context.Context) {
+	if !n.retriesPooled.Load() {
 		return
 	}
-	began := boottime.Time()
+	started := boottime.Time()
 	wanted := n.directory.TakeGrantRequests(time.Now())
-	granted, err := n.grantOf(ctx, wanted)
+	granted, err := n.requestGrant(ctx, wanted)
 	if err != nil {
 		klog.V(1).InfoS("no answer of the pool of retries", "services", len(wanted), "cause", err.Error())
 		return
 	}
-	asked := time.Now().Add(-boottime.Time().Sub(began))
-	n.directory.GrantRetries(granted, asked)
+	requestedAt := time.Now().Add(-boottime.Time().Sub(started))
+	n.directory.GrantRetries(granted, requestedAt)
 }
 
-// grantOf returns what the pool grants, this node's own or another one's.
-func (n *Node) grantOf(ctx context.Context, wanted retrybudget.SendCounts) (retrybudget.SendCounts, error) {
+// requestGrant returns the retries granted by the pool, which this node or another one manages.
+func (n *Node) requestGrant(ctx context.Context, wanted retrybudget.SendCounts) (retrybudget.SendCounts, error) {
 	holder, other := n.selector.RetryPoolNode(time.Now())
 	if !other {
 		return n.retryPool.Grant(wanted, boottime.Time()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	return n.notices.AcquireRetries(ctx, holder.Address, wanted)
+	return n.peerClient.AcquireRetries(ctx, holder.Address, wanted)
 }
--- a/internal/edge/rollout.go
+++ b/internal/edge/rollout.go
@@ -18,21 +18,21 @@
 
 func newTracker(loaded settings.Router) *rollout.Tracker { return rollout.NewTracker(loaded.Rollouts) }
 
-func newRolloutRelay(selector *peers.Selector, versions *rollout.Tracker) *peers.Relay[rollout.Order] {
+func newRolloutRelay(selector *peers.Selector, tracker *rollout.Tracker) *peers.Relay[rollout.Order] {
 	relay := peers.NewRelay(feedRollouts, peers.PlainCodec[rollout.Order]{}, selector)
-	relay.ServeState(versions.StoredOrders)
+	relay.ServeState(tracker.StoredOrders)
 	return relay
 }
 
-// newAgent returns the agent that carries out orders; nil where the deployment has none.
+// newAgent returns the agent that executes rollout orders; nil if the deployment has no rollouts.
 func newAgent(node *Node) *rollout.Agent {
-	if node.versions == nil {
+	if node.tracker == nil {
 		return nil
 	}
 	return rollout.NewAgent(rollout.Options{
 		Self:        node.member,
 		Bounds:      node.settings.Rollouts,
-		Tracker:     node.versions,
+		Tracker:     node.tracker,
 		Transport:   &peers.Client{},
 		StatusStore: node.store,
 		Fleet:       node.directory.Fleet,
@@ -42,7 +42,7 @@
 	})
 }
 
-// reportServer answers the reports of other nodes, if there are roll-outs.
+// reportServer handles the reports of other nodes, if the deployment has rollouts.
 func (n *Node) reportServer() peers.ReportServer {
 	if n.agent == nil {
 		return peers.ReportServer{}
@@ -50,8 +50,8 @@
 	return peers.ReportServer{Handle: n.agent.HandleReport}
 }
 
-// shareVersions tells the live nodes to what carries out orders.
-func (n *Node) shareVersions(live []members.Member) {
+// setRolloutMembers updates the tracker and the agent with the live nodes.
+func (n *Node) setRolloutMembers(live []members.Member) {
 	if n.agent == nil {
 		return
 	}
@@ -61,31 +61,31 @@
 	}
 	slices.Sort(names)
 	if position := slices.Index(names, n.member.Name); position >= 0 {
-		n.versions.SetPosition(position, len(names))
+		n.tracker.SetPosition(position, len(names))
 	}
 	n.agent.SetMembers(live)
 }
 
-// rolloutSink takes orders from a follower.
+// rolloutSink receives rollout orders from a follower.
 type rolloutSink struct {
 	state *state
-	// agent carries them out.
+	// agent executes the orders.
 	agent *rollout.Agent
 }
 
-// Replace implements catalog.Sink. Operators alone write and remove orders: none runs out
-// while the store is away.
+// Replace implements catalog.Sink. Only operators write and remove orders, so that none expires
+// while the store is unavailable.
 func (r rolloutSink) Replace(orders []rollout.Order, _ bool) {
-	r.state.versions.Replace(orders, boottime.Time())
+	r.state.tracker.Replace(orders, boottime.Time())
 	r.agent.Wake()
 	klog.V(1).InfoS("rollouts listed", "count", len(orders))
 }
 
 // ReplaceRestored implements catalog.RestoredSink.
 func (r rolloutSink) ReplaceRestored(orders []rollout.Order) {
-	r.state.versions.ReplaceRestored(orders, boottime.Time())
+	r.state.tracker.ReplaceRestored(orders, boottime.Time())
 	r.agent.Wake()
-	unwritten, missing := r.state.versions.LostDecisions()
+	unwritten, missing := r.state.tracker.LostDecisions()
 	klog.InfoS("rollouts of a restored store", "count", len(orders), "unwritten", len(unwritten), "missing", missing)
 }
 
@@ -95,31 +95,31 @@
 // Apply implements catalog.Sink.
 func (r rolloutSink) Apply(change catalog.Change[rollout.Order]) {
 	if change.Removed {
-		r.state.versions.Remove(change.Name)
+		r.state.tracker.Remove(change.Name)
 		klog.InfoS("rollout withdrawn", "service", change.Name)
 	} else {
-		r.state.versions.Put(change.Value, boottime.Time())
+		r.state.tracker.Put(change.Value, boottime.Time())
 	}
 	r.agent.Wake()
 }
 
 // ReachedRevision implements catalog.RevisionSink.
-func (r rolloutSink) ReachedRevision(revision catalog.Revision, told time.Time) {
-	r.state.versions.Reached(revision, told)
-	r.state.noteKnown()
+func (r rolloutSink) ReachedRevision(revision catalog.Revision, asOf time.Time) {
+	r.state.tracker.Reached(revision, asOf)
+	r.state.notifySynced()
 }
 
-// rolloutDescription is what a node believes of an order, for operators.
+// rolloutDescription describes a node's state of an order, for operators.
 type rolloutDescription struct {
 	rollout.Description
-	// Servers of the target, and of other versions.
+	// Servers is the number of servers of the target version, Others that of other versions.
 	Servers, Others int
 }
 
-// describeRollouts returns what the node believes of all orders.
-func describeRollouts(versions *rollout.Tracker, directory *endpoints.Directory) []rolloutDescription {
+// describeRollouts describes the node's state of all orders.
+func describeRollouts(tracker *rollout.Tracker, directory *endpoints.Directory) []rolloutDescription {
 	described := []rolloutDescription{}
-	for _, usage := range versions.Usages(boottime.Time()) {
+	for _, usage := range tracker.Usages(boottime.Time()) {
 		fleet := directory.Fleet(usage.Order)
 		described = append(described, rolloutDescription{
 			Description: usage.Describe(),
--- a/internal/edge/rollout_metrics.go
+++ b/internal/edge/rollout_metrics.go
@@ -8,25 +8,25 @@
 	"github.com/driftstage/driftstage/internal/rollout"
 )
 
-// rolloutCounters count what the node decided of orders.
+// rolloutCounters count the node's findings and its writes of rollout statuses.
 type rolloutCounters struct {
-	verdicts *prometheus.CounterVec
+	findings *prometheus.CounterVec
 	writes   *prometheus.CounterVec
 }
 
 func newRolloutCounters(registry *prometheus.Registry) rolloutCounters {
 	counters := rolloutCounters{
-		verdicts: counterVector("rollout", "verdicts_total", "Findings of this node on versions that differ from the one before.", "finding"),
+		findings: counterVector("rollout", "verdicts_total", "Findings of this node on versions that differ from the one before.", "finding"),
 		writes:   counterVector("rollout", "writes_total", "Writes of a status by state, stage and result.", "state", "stage", "result"),
 	}
-	registry.MustRegister(counters.verdicts, counters.writes)
+	registry.MustRegister(counters.findings, counters.writes)
 	return counters
 }
 
 // FindingChanged implements rollout.Observer.
 func (m *metrics) FindingChanged(_ string, finding rollout.Finding) {
 	if m.enabled() {
-		m.rollouts.verdicts.WithLabelValues(finding.String()).Inc()
+		m.rollouts.findings.WithLabelValues(finding.String()).Inc()
 	}
 }
 
@@ -45,7 +45,7 @@
 	m.rollouts.writes.WithLabelValues(status.State.String(), status.Stage.String(), result).Inc()
 }
 
-// Descriptions of what a node knows of orders, by service.
+// Descriptions of the metrics of rollout orders, by service.
 var (
 	rolloutState      = rolloutDesc("state", "1 for the state and stage of each order.", "service", "target", "state", "stage")
 	rolloutShare      = rolloutDesc("share_ratio", "Share of a service's requests that this node may send to the target now.", "service")
@@ -61,8 +61,8 @@
 	return prometheus.NewDesc(prometheus.BuildFQName(namespace, "rollout", name), help, labels, nil)
 }
 
-// rolloutCollector tells what the node knows of orders when metrics are read.
-type rolloutCollector struct{ versions *rollout.Tracker }
+// rolloutCollector collects the state of the orders when metrics are read.
+type rolloutCollector struct{ tracker *rollout.Tracker }
 
 // Describe implements prometheus.Collector.
 func (r rolloutCollector) Describe(descriptions chan<- *prometheus.Desc) {
@@ -76,10 +76,10 @@
 // Collect implements prometheus.Collector.
 func (r rolloutCollector) Collect(collected chan<- prometheus.Metric) {
 	now := boottime.Time()
-	if age, known := r.versions.Age(now); known {
+	if age, known := r.tracker.Age(now); known {
 		collected <- gauge(rolloutAge, age.Seconds())
 	}
-	for _, usage := range r.versions.Usages(now) {
+	for _, usage := range r.tracker.Usages(now) {
 		service := usage.Order.Service
 		current := usage.Order.Current()
 		collected <- gauge(rolloutState, 1, service, string(usage.Order.Target), current.State.String(), current.Stage.String())
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -17,54 +17,56 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// load tells how busy the node is.
-type load interface {
+// busyMeter measures the load of the node.
+type busyMeter interface {
 	// BusyFor returns for how long the node has been overloaded; zero if it is not.
 	BusyFor() time.Duration
 }
 
-// state is what the node believes: the configuration and the servers.
+// state is the node's view of the configuration, the servers, the evacuations and the rollouts.
 type state struct {
 	directory *endpoints.Directory
 	client    *upstream.Client
-	load      load
+	loadMeter busyMeter
 	eras      *catalog.EraTracker
-	// versions is nil where the deployment has no roll-outs.
-	versions *rollout.Tracker
-	// quarantine is told which servers have ended.
+	// tracker is nil if the deployment has no rollouts.
+	tracker *rollout.Tracker
+	// quarantine is notified of crashed servers.
 	quarantine *quarantine.Manager
 	table      atomic.Pointer[routing.Table]
-	// adopting keeps two sources from going back on each other's versions.
-	adopting sync.Mutex
-	// serversKnown is set once the servers have been listed.
+	// adoptMutex prevents concurrent sources from replacing a later version by an earlier one.
+	adoptMutex sync.Mutex
+	// serversKnown is set once the servers were listed, by the store or a peer.
 	serversKnown atomic.Bool
-	// serversListed is set once the store itself has listed them.
+	// serversListed is set once the store itself listed them.
 	serversListed atomic.Bool
-	// evacuationsListed is set once the store itself has told the zones to be emptied.
+	// evacuationsListed is set once the store itself listed the evacuated zones.
 	evacuationsListed atomic.Bool
 	stopping          atomic.Bool
-	// knows is closed once the configuration and the servers are known.
-	knows     chan struct{}
-	knowsOnce sync.Once
-	// handed is the list of servers from another node, serversReached how current the own one is.
-	handed         catalog.Handover[endpoints.Server]
-	serversReached atomic.Pointer[reached]
-	// unreadable are objects of the store that can't be understood.
+	// synced is closed once the state is complete.
+	synced     chan struct{}
+	syncedOnce sync.Once
+	// handover passes on the list of servers from another node; serversPosition is how current
+	// this node's list is.
+	handover        catalog.Handover[endpoints.Server]
+	serversPosition atomic.Pointer[listPosition]
+	// unreadable holds the objects of the store that cannot be decoded.
 	unreadable catalog.UnreadableObjects
-	// replacing keeps a peer's list from taking the place of the store's.
-	replacing sync.Mutex
+	// replaceMutex prevents a peer's list from replacing the store's.
+	replaceMutex sync.Mutex
 }
 
-// reached is how current a list is: it holds what the store told of it at a time.
-type reached struct {
+// listPosition is how current a list is: it has the state of the revision, as the store returned
+// it at the given time.
+type listPosition struct {
 	revision catalog.Revision
-	told     time.Time
+	asOf     time.Time
 }
 
 // Table returns the configuration in force; nil if none is known yet.
 func (s *state) Table() *routing.Table { return s.table.Load() }
 
-// tables returns the configuration in force, the only one; none if it is not known yet.
+// tables returns the configuration in force as a list; empty if none is known yet.
 func (s *state) tables() []*routing.Table {
 	if table := s.table.Load(); table != nil {
 		return []*routing.Table{table}
@@ -72,11 +74,11 @@
 	return nil
 }
 
-// ready reports whether the node takes new connections.
-func (s *state) ready() bool { return s.reason() == "" }
+// ready reports whether the node accepts new connections.
+func (s *state) ready() bool { return s.notReadyReason() == "" }
 
-// reason returns why the node takes no new connections; empty if it does.
-func (s *state) reason() string {
+// notReadyReason returns why the node accepts no new connections; empty if it does.
+func (s *state) notReadyReason() string {
 	switch {
 	case s.stopping.Load():
 		return "the node is stopping"
@@ -84,9 +86,9 @@
 		return "no configuration is known yet"
 	case !s.serversKnown.Load():
 		return "the servers are not known yet"
-	case !s.versions.HasSynced():
+	case !s.tracker.HasSynced():
 		return "the orders of versions are not known yet"
-	case s.load.BusyFor() > 0:
+	case s.loadMeter.BusyFor() > 0:
 		return "the node is overloaded"
 	case s.directory.Isolated(time.Now()):
 		return "no other zone is in reach"
@@ -94,13 +96,13 @@
 	return ""
 }
 
-// noticeOverload is how long after the beginning of overload callers are sent to
-// other nodes: before that the platform would hand them back to this one.
-const noticeOverload = 2500 * time.Millisecond
+// shedDelay is how long the node must be overloaded before callers are sent to
+// other nodes: earlier the platform still considers the node ready and might send
+// them back to it.
+const shedDelay = 2500 * time.Millisecond
 
-// shedsCallers reports whether callers should open their connections anew, to
-// another node.
-func (s *state) shedsCallers() bool { return s.load.BusyFor() > noticeOverload }
+// shedsConnections reports whether callers should reconnect, to another node.
+func (s *state) shedsConnections() bool { return s.loadMeter.BusyFor() > shedDelay }
 
 // version returns the version of the configuration in force; 0 for none.
 func (s *state) version() uint64 {
@@ -110,90 +112,89 @@
 	return 0
 }
 
-// description is what the node believes, for operators.
+// description describes the node's state for operators.
 type description struct {
 	Version     uint64
 	Servers     int
 	NotReadyFor string
 	Rollouts    []rolloutDescription `json:",omitempty"`
-	// Quarantine are the requests under which servers ended.
+	// Quarantine lists the requests that crashed servers.
 	Quarantine []quarantine.Description `json:",omitempty"`
-	// Unreadable are the objects of the store that the node could not understand.
+	// Unreadable lists the objects of the store that could not be decoded.
 	Unreadable []catalog.UnreadableObject `json:",omitempty"`
-	// Era is that of the store, Restored the feeds that were listed since it came back from a copy last.
+	// Era is that of the store; Restored are the feeds listed since it was last restored from a backup.
 	Era      catalog.Era
 	Restored []catalog.RestoredFeed `json:",omitempty"`
-	// Doubted are entries of servers that don't count yet, Missing servers that are kept though they are
-	// not listed.
+	// Doubted is the number of server entries of a restored store that are not yet used, Missing
+	// the number of servers that are kept although they are not listed.
 	Doubted, Missing int
 }
 
 func (s *state) describe() description {
-	doubted, missing := s.directory.UnconfirmedCounts()
+	unconfirmed, missing := s.directory.UnconfirmedCounts()
 	return description{
 		Version:     s.version(),
 		Servers:     s.directory.Count(),
-		NotReadyFor: s.reason(),
-		Rollouts:    describeRollouts(s.versions, s.directory),
+		NotReadyFor: s.notReadyReason(),
+		Rollouts:    describeRollouts(s.tracker, s.directory),
 		Quarantine:  s.quarantine.Describe(),
 		Unreadable:  s.unreadable.List(time.Now()),
 		Era:         s.eras.Latest(),
 		Restored:    s.eras.RestoredFeeds(time.Now()),
-		Doubted:     doubted,
+		Doubted:     unconfirmed,
 		Missing:     missing,
 	}
 }
 
-// adopt takes over a configuration unless a newer one is known: versions never
-// go back within a process.
-func (s *state) adopt(table *routing.Table) {
-	s.adopting.Lock()
-	defer s.adopting.Unlock()
-	if known := s.table.Load(); known != nil && table.Version <= known.Version {
+// adoptTable applies a configuration unless the one in force is at least as new:
+// versions never decrease within a process.
+func (s *state) adoptTable(table *routing.Table) {
+	s.adoptMutex.Lock()
+	defer s.adoptMutex.Unlock()
+	if current := s.table.Load(); current != nil && table.Version <= current.Version {
 		return
 	}
 	s.directory.Configure(table, time.Now())
 	s.table.Store(table)
-	s.noteKnown()
+	s.notifySynced()
 	klog.InfoS("configuration in force", "version", table.Version, "routes", table.RouteCount())
 }
 
 // complete reports whether the node needs nothing from its peers.
 func (s *state) complete() bool {
-	return s.table.Load() != nil && s.serversKnown.Load() && s.versions.HasSynced()
+	return s.table.Load() != nil && s.serversKnown.Load() && s.tracker.HasSynced()
 }
 
-// snapshot returns what the node knows for other nodes; false while it is not
-// complete.
+// snapshot returns the state for other nodes; false while it is not complete.
 func (s *state) snapshot() (peers.Snapshot, bool) {
 	if !s.complete() {
 		return peers.Snapshot{}, false
 	}
-	orders, reached := s.versions.Orders()
+	orders, reached := s.tracker.Orders()
 	snapshot := peers.Snapshot{
 		Table:     s.table.Load().Document(),
 		Evacuated: s.directory.Evacuated(),
 		Orders:    orders,
 		Reached:   reached,
 	}
-	if latest := s.serversReached.Load(); latest != nil && s.serversListed.Load() {
-		snapshot.ServersReached, snapshot.ServersAge = latest.revision, time.Since(latest.told)
+	if latest := s.serversPosition.Load(); latest != nil && s.serversListed.Load() {
+		snapshot.ServersReached, snapshot.ServersAge = latest.revision, time.Since(latest.asOf)
 	}
-	// Servers that have come since are told once more to whoever reads on from the revision.
+	// Servers added since the position are sent again to a node that watches from its revision.
 	snapshot.Servers, snapshot.Unlisted = s.directory.Servers()
 	return snapshot, true
 }
 
-// adoptSnapshot takes over what a peer knows, as far as the store has not told.
+// adoptSnapshot applies a peer's state, except what the store itself has already listed.
 func (s *state) adoptSnapshot(snapshot peers.Snapshot) error {
 	table, err := snapshot.Table.Table()
 	if err != nil {
 		return err
 	}
-	s.versions.Adopt(snapshot.Orders, snapshot.Reached, boottime.Time())
-	s.adopt(table)
-	s.replacing.Lock()
-	defer s.replacing.Unlock()
+	s.tracker.Adopt(snapshot.Orders, snapshot.Reached, boottime.Time())
+	s.adoptTable(table)
+	s.replaceMutex.Lock()
+	defer s.replaceMutex.Unlock()
 	if !s.evacuationsListed.Load() {
 		s.directory.SetEvacuated(snapshot.Evacuated, time.Now())
 	}
@@ -201,46 +202,46 @@
 		s.replaceServers(snapshot.Servers)
 	}
 	if snapshot.ServersReached == 0 {
-		s.handed.Abandon()
+		s.handover.Abandon()
 	} else {
 		page := catalog.Page[endpoints.Server]{Items: snapshot.ListedServers(), Revision: snapshot.ServersReached}
-		s.handed.Put(page, time.Now().Add(-snapshot.ServersAge))
+		s.handover.Put(page, time.Now().Add(-snapshot.ServersAge))
 	}
-	s.noteKnown()
+	s.notifySynced()
 	return nil
 }
 
-// tableSink takes configurations from a follower.
+// tableSink receives configurations from a follower.
 type tableSink struct{ state *state }
 
 // Replace implements catalog.Sink.
 func (t tableSink) Replace(tables []*routing.Table, _ bool) {
 	for _, table := range tables {
-		t.state.adopt(table)
+		t.state.adoptTable(table)
 	}
 }
 
-// Resumed implements catalog.Sink. A configuration does not run out.
+// Resumed implements catalog.Sink. A configuration does not expire.
 func (t tableSink) Resumed() {}
 
-// Apply implements catalog.Sink. The operators' configuration is never removed;
-// a removal leaves the known one in force.
+// Apply implements catalog.Sink. Operators never remove the configuration; after a
+// removal the current one stays in force.
 func (t tableSink) Apply(change catalog.Change[*routing.Table]) {
 	if !change.Removed {
-		t.state.adopt(change.Value)
+		t.state.adoptTable(change.Value)
 	}
 }
 
-// serverSink takes servers from a follower.
+// serverSink receives servers from a follower.
 type serverSink struct{ state *state }
 
 // Replace implements catalog.Sink.
 func (s serverSink) Replace(servers []endpoints.Server, afterOutage bool) {
-	s.state.replacing.Lock()
-	defer s.state.replacing.Unlock()
+	s.state.replaceMutex.Lock()
+	defer s.state.replaceMutex.Unlock()
 	if afterOutage {
-		s.state.forget(s.state.directory.ReplaceAfterOutage(servers, time.Now()))
-		s.state.noteServers()
+		s.state.dropServers(s.state.directory.ReplaceAfterOutage(servers, time.Now()))
+		s.state.markServersKnown()
 	} else {
 		s.state.replaceServers(servers)
 	}
@@ -250,13 +251,13 @@
 
 // ReplaceRestored implements catalog.RestoredSink.
 func (s serverSink) ReplaceRestored(servers []endpoints.Server) {
-	s.state.replacing.Lock()
-	defer s.state.replacing.Unlock()
-	s.state.forget(s.state.directory.ReplaceRestored(servers, time.Now()))
-	s.state.noteServers()
+	s.state.replaceMutex.Lock()
+	defer s.state.replaceMutex.Unlock()
+	s.state.dropServers(s.state.directory.ReplaceRestored(servers, time.Now()))
+	s.state.markServersKnown()
 	s.state.serversListed.Store(true)
-	doubted, missing := s.state.directory.UnconfirmedCounts()
-	klog.InfoS("servers of a restored store", "count", len(servers), "missing", missing, "doubted", doubted)
+	unconfirmed, missing := s.state.directory.UnconfirmedCounts()
+	klog.InfoS("servers of a restored store", "count", len(servers), "missing", missing, "doubted", unconfirmed)
 }
 
 // Diff implements catalog.Differ.
@@ -265,45 +266,46 @@
 }
 
 // ReachedRevision implements catalog.RevisionSink.
-func (s serverSink) ReachedRevision(revision catalog.Revision, told time.Time) {
-	s.state.serversReached.Store(&reached{revision: revision, told: told})
+func (s serverSink) ReachedRevision(revision catalog.Revision, asOf time.Time) {
+	s.state.serversPosition.Store(&listPosition{revision: revision, asOf: asOf})
 }
 
 // Resumed implements catalog.Sink.
 func (s serverSink) Resumed() { s.state.directory.WatchResumed(time.Now()) }
 
 func (s *state) replaceServers(servers []endpoints.Server) {
-	s.forget(s.directory.Replace(servers, time.Now()))
-	s.noteServers()
+	s.dropServers(s.directory.Replace(servers, time.Now()))
+	s.markServersKnown()
 }
 
-// dropUnlisted forgets servers that did not come back into the list.
+// dropUnlisted removes servers that were not listed again in time.
 func (s *state) dropUnlisted(now time.Time) {
 	removed := s.directory.DropUnlisted(now)
 	if len(removed) > 0 {
-		s.forget(removed)
+		s.dropServers(removed)
 		klog.InfoS("servers gone", "count", len(removed))
 	}
 }
 
-// forget closes the connections to servers that were removed.
-func (s *state) forget(removed []string) {
+// dropServers closes the connections to removed servers and reports them to the
+// quarantine as crashed.
+func (s *state) dropServers(removed []string) {
 	for _, incarnation := range removed {
 		s.client.Forget(incarnation)
 		s.quarantine.ServerCrashed(quarantine.ServerID(incarnation))
 	}
 }
 
-// noteServers notes that the servers are known.
-func (s *state) noteServers() {
+// markServersKnown records that the servers were listed.
+func (s *state) markServersKnown() {
 	s.serversKnown.Store(true)
-	s.noteKnown()
+	s.notifySynced()
 }
 
-// noteKnown lets the requests go on that wait until the node is complete.
-func (s *state) noteKnown() {
+// notifySynced releases the requests that wait for the initial state once it is complete.
+func (s *state) notifySynced() {
 	if s.complete() {
-		s.knowsOnce.Do(func() { close(s.knows) })
+		s.syncedOnce.Do(func() { close(s.synced) })
 	}
 }
 
@@ -312,17 +314,17 @@
 	directory := s.state.directory
 	switch {
 	case change.Unreadable:
-		// The server may well be alive: that its entry is of no use says nothing of its end.
+		// An undecodable entry does not mean that the server has crashed: it may still be alive.
 		if incarnation, known := directory.Remove(change.Name); known {
 			s.state.client.Forget(incarnation)
 		}
 	case change.Removed:
 		if incarnation, known := directory.Deregister(change.Name, time.Now()); known {
-			s.state.forget([]string{incarnation})
+			s.state.dropServers([]string{incarnation})
 		}
 	default:
-		if ended, restarted := directory.Put(change.Value, time.Now()); restarted {
-			s.state.forget([]string{ended})
+		if previous, restarted := directory.Put(change.Value, time.Now()); restarted {
+			s.state.dropServers([]string{previous})
 		}
 	}
 }
--- a/internal/edge/state_test.go
+++ b/internal/edge/state_test.go
@@ -14,10 +14,10 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// busyFor is a load that has lasted for a time.
-type busyFor time.Duration
+// fakeMeter is a meter that reports a fixed duration of overload.
+type fakeMeter time.Duration
 
-func (b busyFor) BusyFor() time.Duration { return time.Duration(b) }
+func (b fakeMeter) BusyFor() time.Duration { return time.Duration(b) }
 
 func TestOverloadedNodeIsNotReady(t *testing.T) {
 	for _, test := range []struct {
@@ -26,27 +26,27 @@
 	}{
 		{0, true, false},
 		{time.Millisecond, false, false}, // the platform has not noticed yet
-		{noticeOverload + time.Millisecond, false, true},
+		{shedDelay + time.Millisecond, false, true},
 	} {
 		is := is.New(t)
-		state := &state{directory: endpoints.New(endpoints.Topology{}, nil), load: busyFor(test.busy), knows: make(chan struct{})}
+		state := &state{directory: endpoints.New(endpoints.Topology{}, nil), loadMeter: fakeMeter(test.busy), synced: make(chan struct{})}
 		table, err := routing.NewTable(1, routing.Limits{}, nil, nil)
 		is.NoErr(err)
-		state.adopt(table)
+		state.adoptTable(table)
 		state.serversKnown.Store(true)
 		is.Equal(state.ready(), test.ready)
-		is.Equal(state.shedsCallers(), test.sheds)
+		is.Equal(state.shedsConnections(), test.sheds)
 	}
 }
 
-// A node that hears of no other zone sends its callers elsewhere, and takes them again.
-func TestNodeThatIsCutOffIsNotReady(t *testing.T) {
+// A node that reaches no other zone is not ready; it is ready again once it reaches one.
+func TestIsolatedNodeIsNotReady(t *testing.T) {
 	is := is.New(t)
 	topology := endpoints.Topology{Own: endpoints.Locality{Zone: "own"}, Regions: map[string]string{"own": "r", "other": "r"}}
-	state := &state{directory: endpoints.New(topology, nil), load: busyFor(0), knows: make(chan struct{})}
+	state := &state{directory: endpoints.New(topology, nil), loadMeter: fakeMeter(0), synced: make(chan struct{})}
 	table, err := routing.NewTable(1, routing.Limits{}, nil, nil)
 	is.NoErr(err)
-	state.adopt(table)
+	state.adoptTable(table)
 	state.serversKnown.Store(true)
 	is.True(state.ready())
 	now := time.Now().Add(-time.Minute)
@@ -56,38 +56,38 @@
 		is.Equal(found, endpoints.Chosen)
 		state.directory.ZoneUnreachable(choice.Endpoint, now.Add(time.Second))
 	}
-	is.Equal(state.reason(), "no other zone is in reach")
+	is.Equal(state.notReadyReason(), "no other zone is in reach")
 	state.directory.MarkReachable("other", time.Now())
 	is.True(state.ready())
 }
 
-// An entry that can't be understood any more is of no use, and back once it is mended; that its
-// server has ended is not concluded from it.
-func TestSpoiltEntryNamesNoServer(t *testing.T) {
+// A server whose entry becomes undecodable is not used until the entry is valid again, but it is
+// not treated as crashed.
+func TestUnreadableEntryIsUnusable(t *testing.T) {
 	is := is.New(t)
-	state := &state{directory: endpoints.New(endpoints.Topology{}, nil), client: upstream.NewClient(upstream.Headers{}), load: busyFor(0), knows: make(chan struct{})}
+	state := &state{directory: endpoints.New(endpoints.Topology{}, nil), client: upstream.NewClient(upstream.Headers{}), loadMeter: fakeMeter(0), synced: make(chan struct{})}
 	sink := serverSink{state}
-	sound := catalog.Change[endpoints.Server]{Name: "i-1", Value: endpoints.Server{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z"}}
-	sink.Replace(nil, true) // entries that go while the list settles may only have run out
-	sink.Apply(sound)
+	valid := catalog.Change[endpoints.Server]{Name: "i-1", Value: endpoints.Server{ID: "i-1", Service: "s", Address: "127.0.0.1:1", Zone: "z"}}
+	sink.Replace(nil, true) // while the list is incomplete, missing entries may merely have expired
+	sink.Apply(valid)
 	is.True(state.directory.HasServer("s", nil))
 	sink.Apply(catalog.Change[endpoints.Server]{Name: "i-1", Removed: true, Unreadable: true})
 	is.True(!state.directory.HasServer("s", nil))
-	sink.Apply(sound)
+	sink.Apply(valid)
 	is.True(state.directory.HasServer("s", nil))
 }
 
-// What is asked of a server that has started again under its id ends as after a crash: the
-// connections to the earlier process are closed.
-func TestServerBornAnewGetsNoOldConnections(t *testing.T) {
+// When a server has restarted under the same ID, the connections to its previous process are closed
+// and their requests end, as after a crash.
+func TestRestartedServerGetsNoOldConnections(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	answer := "HTTP/1.1 200 OK\r\nA: r\r\nS: seal\r\nContent-Length: 0\r\n\r\n"
-	go func() { _ = http.Serve(listener, hijacked(answer)) }()
+	go func() { _ = http.Serve(listener, hijackHandler(answer)) }()
 	t.Cleanup(func() { _ = listener.Close() })
 	client := upstream.NewClient(upstream.Headers{AttemptID: "A", Deadline: "D", ExpectedInstance: "E", NotExecuted: "N", Seal: "S", Load: "L"})
-	state := &state{directory: endpoints.New(endpoints.Topology{}, client), client: client, load: busyFor(0), knows: make(chan struct{})}
+	state := &state{directory: endpoints.New(endpoints.Topology{}, client), client: client, loadMeter: fakeMeter(0), synced: make(chan struct{})}
 	server := endpoints.Server{ID: "i-1", Born: 100, Service: "s", Address: listener.Addr().String(), Zone: "z"}
 	serverSink{state}.Apply(catalog.Change[endpoints.Server]{Name: "i-1", Value: server})
 	reply := client.Do(t.Context(), upstream.Call{
@@ -106,8 +106,8 @@
 	is.Equal(client.Idle(), 0)
 }
 
-// hijacked answers each request on a connection with the same bytes, and keeps it open.
-func hijacked(answer string) http.Handler {
+// hijackHandler writes the same bytes to the connection of each request and keeps it open.
+func hijackHandler(answer string) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		connection, _, err := writer.(http.Hijacker).Hijack()
 		if err == nil {
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// noticeTime is how long new connections are still accepted after the signal
-	// to stop: readiness is asked for every second, and two misses count.
-	noticeTime = 3 * time.Second
-	// stopReserve is kept from the stop timeout for the end of the process.
-	stopReserve = 400 * time.Millisecond
-	// stopPoll is how often requests under way are counted.
-	stopPoll = 20 * time.Millisecond
+	// drainDelay is how long new connections are still accepted after the stop
+	// signal: the platform checks readiness every second and acts on the second failure.
+	drainDelay = 3 * time.Second
+	// exitReserve is the part of the stop timeout reserved for the exit of the process.
+	exitReserve = 400 * time.Millisecond
+	// stopPollInterval is how often the requests in flight are counted.
+	stopPollInterval = 20 * time.Millisecond
 )
 
-// stop ends the node: readiness fails at once, callers are told to close their
-// connections, and requests under way are waited for. Those that take longer than
-// the node may are answered at the end. It returns how many were cut.
-func (n *Node) stop(callers net.Listener) int64 {
-	begun, timeout := time.Now(), n.live.Load().StopTimeout
+// stop shuts the node down: readiness fails at once, callers are asked to close
+// their connections, and requests in flight are completed. Those still open when the
+// stop timeout is nearly over get their final answer then. It returns how many were
+// interrupted.
+func (n *Node) stop(listener net.Listener) int64 {
+	started, timeout := time.Now(), n.reloadable.Load().StopTimeout
 	klog.InfoS("stopping", "under_way", n.server.UnderWay())
 	n.state.stopping.Store(true)
 	n.server.Stop()
-	time.Sleep(min(noticeTime, timeout/2))
-	_ = callers.Close()
-	end := begun.Add(timeout - stopReserve)
-	n.awaitRequests(end)
-	if given := n.server.UnderWay(); given > 0 {
-		klog.InfoS("requests given up", "count", given)
+	time.Sleep(min(drainDelay, timeout/2))
+	_ = listener.Close()
+	deadline := started.Add(timeout - exitReserve)
+	n.waitForRequests(deadline)
+	if remaining := n.server.UnderWay(); remaining > 0 {
+		klog.InfoS("requests given up", "count", remaining)
 		n.server.End()
-		n.awaitRequests(end.Add(stopReserve / 2))
+		n.waitForRequests(deadline.Add(exitReserve / 2))
 	}
 	n.server.CloseIdle()
 	return n.server.UnderWay()
 }
 
-// awaitRequests returns when no request is under way, or at the time.
-func (n *Node) awaitRequests(until time.Time) {
+// waitForRequests waits until no request is in flight, at most until the given time.
+func (n *Node) waitForRequests(until time.Time) {
 	for n.server.UnderWay() > 0 && time.Now().Before(until) {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 }
