--- a/internal/node/assemble.go
+++ b/internal/node/assemble.go
@@ -18,7 +18,7 @@
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
-// assemble builds the parts by dependency injection.
+// assemble builds the node by dependency injection.
 func assemble(loaded settings.Settings, opened *listeners) (*Node, error) {
 	container := dig.New()
 	constructors := []any{
@@ -40,7 +40,7 @@
 	}
 	for _, constructor := range constructors {
 		if err := container.Provide(constructor); err != nil {
-			return nil, errors.Wrap(err, "wire the daemon")
+			return nil, errors.Wrap(err, "assemble the node")
 		}
 	}
 	var built *Node
@@ -48,7 +48,7 @@
 	return built, dig.RootCause(err)
 }
 
-// nodeParts are what newNode takes from the container.
+// nodeParts are the dependencies of newNode.
 type nodeParts struct {
 	dig.In
 
@@ -115,7 +115,7 @@
 		Client:    client,
 		Candidate: candidate(loaded.Name, member),
 		Publisher: member,
-		Spread:    spread{member: member},
+		Spread:    propagation{member: member},
 		Known:     store,
 		Registry:  registry,
 	})
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -9,23 +9,23 @@
 	"github.com/driftstage/driftstage/internal/gossip"
 )
 
-// spread tells the controller how far a revision has come.
-type spread struct {
+// propagation reports to the controller how many members have applied a revision.
+type propagation struct {
 	member *gossip.Node
 }
 
-// spreadTimeout bounds asking all members for the revision they hold.
-const spreadTimeout = 3 * time.Second
+// appliedTimeout bounds the query of all members for the revision they hold.
+const appliedTimeout = 3 * time.Second
 
 // Applied implements controller.Spread.
-func (spread spread) Applied(service string, revision int64) (total, applied int, lagging []string) {
-	ctx, cancel := context.WithTimeout(context.Background(), spreadTimeout)
+func (p propagation) Applied(service string, revision int64) (total, applied int, lagging []string) {
+	ctx, cancel := context.WithTimeout(context.Background(), appliedTimeout)
 	defer cancel()
-	return spread.member.Applied(ctx, service, revision)
+	return p.member.Applied(ctx, service, revision)
 }
 
-// candidate tells whether this node may take the controller's lease.
-func candidate(self string, members memberView) func() bool {
+// candidate returns a function that reports whether this node may acquire the controller's lease.
+func candidate(self string, members memberLister) func() bool {
 	return func() bool {
 		return slices.Contains(controller.Candidates(members.Members()), self)
 	}
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -8,8 +8,8 @@
 	"github.com/driftstage/driftstage/internal/settings"
 )
 
-// listeners are the sockets of a node. All are open before anything starts, so
-// that a port in use is reported at once.
+// listeners are the sockets of a node. All are opened before anything starts, so
+// that a port in use is reported early.
 type listeners struct {
 	gateway net.Listener
 	wire    net.Listener
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -19,72 +19,72 @@
 )
 
 const (
-	// machinesInterval is the mean time between two looks at the machine list.
+	// machinesInterval is the mean interval between updates of the machine list.
 	machinesInterval = 2 * time.Second
-	// machinesTimeout bounds one look.
+	// machinesTimeout bounds one update.
 	machinesTimeout = 5 * time.Second
-	// machinesFresh is how long a reader's last look may be passed on.
-	machinesFresh = 30 * time.Second
-	// machinesRank is the name by which the readers are ranked.
-	machinesRank = "machine-list"
+	// maxMachinesAge is the maximum age of a list that a reader serves to other nodes.
+	maxMachinesAge = 30 * time.Second
+	// machinesRankKey is the key by which placement ranks the readers.
+	machinesRankKey = "machine-list"
 )
 
-// machineReader reads the platform's machine list; platform.Client is one.
+// machineReader reads the platform's machine list; platform.Client implements it.
 type machineReader interface {
 	Machines(ctx context.Context) ([]platform.Machine, error)
 }
 
-// machineFollower takes the addresses of live machines; gossip.Node is one.
-type machineFollower interface {
+// machineSink receives the addresses of live machines; gossip.Node implements it.
+type machineSink interface {
 	SetMachines(addresses []string)
 }
 
-// machineList follows the platform's list of machines. It is a hint: it finds
-// nodes that no member has named, and machines that are leaving.
+// machineList polls the platform's list of machines. The list is only a hint: it
+// reveals nodes that no member has announced, and machines that are leaving.
 //
-// The platform bears few readers: the two highest-ranked nodes of each zone read
-// the list, and so do the candidates for the controller's lease and its holder,
-// which must know what machines exist; the others ask the readers of their zone.
-// A node that knows no other member reads it itself.
+// The platform supports only few readers: the two highest-ranked nodes of each zone
+// read the list, and so do the holder of the controller's lease and the candidates
+// for it, which need all machines; the others ask the readers of their zone. A node
+// without other members reads the list itself.
 type machineList struct {
 	self     string
 	zone     string
 	platform machineReader
 	client   *wire.Client
-	members  memberView
-	follower machineFollower
-	// controls tells whether this node runs the controller or may come to.
-	controls func() bool
-	// seen is the last look, read or asked for.
-	seen atomic.Pointer[machinesSeen]
+	members  memberLister
+	sink     machineSink
+	// runsController reports whether this node runs the controller or is a candidate for it.
+	runsController func() bool
+	// latest is the last list, read from the platform or received from a reader.
+	latest atomic.Pointer[machineSnapshot]
 }
 
-// machinesSeen is what a look at the machine list showed.
-type machinesSeen struct {
+// machineSnapshot holds the leaving machines of the list at one time.
+type machineSnapshot struct {
 	at      time.Time
 	leaving []string
-	// byAddress holds leaving.
+	// byAddress is the set of the addresses in leaving.
 	byAddress map[string]bool
 }
 
-func newMachinesSeen(at time.Time, leaving []string) *machinesSeen {
-	seen := &machinesSeen{at: at, leaving: leaving, byAddress: make(map[string]bool, len(leaving))}
+func newMachineSnapshot(at time.Time, leaving []string) *machineSnapshot {
+	snapshot := &machineSnapshot{at: at, leaving: leaving, byAddress: make(map[string]bool, len(leaving))}
 	for _, address := range leaving {
-		seen.byAddress[address] = true
+		snapshot.byAddress[address] = true
 	}
-	return seen
+	return snapshot
 }
 
 func newMachineList(loaded settings.Settings, client *platform.Client, wireClient *wire.Client, server *wire.Server, member *gossip.Node, control *controller.Controller) *machineList {
-	mayLead := candidate(loaded.Name, member)
+	isCandidate := candidate(loaded.Name, member)
 	list := &machineList{
-		self:     loaded.Name,
-		zone:     loaded.Zone,
-		platform: client,
-		client:   wireClient,
-		members:  member,
-		follower: member,
-		controls: func() bool { return control.State().Leading || mayLead() },
+		self:           loaded.Name,
+		zone:           loaded.Zone,
+		platform:       client,
+		client:         wireClient,
+		members:        member,
+		sink:           member,
+		runsController: func() bool { return control.State().Leading || isCandidate() },
 	}
 	wire.Handle(server, list.serve)
 	return list
@@ -92,28 +92,28 @@
 
 // Leaving reports whether the machine at the address is listed as leaving.
 func (list *machineList) Leaving(address string) bool {
-	seen := list.seen.Load()
-	return seen != nil && seen.byAddress[address]
+	snapshot := list.latest.Load()
+	return snapshot != nil && snapshot.byAddress[address]
 }
 
-// serve answers a node that does not read the list itself.
+// serve handles the request of a node that does not read the list itself.
 func (list *machineList) serve(context.Context, *message.MachinesRequest) (*message.MachinesReply, error) {
-	seen := list.seen.Load()
-	if seen == nil || time.Since(seen.at) > machinesFresh {
+	snapshot := list.latest.Load()
+	if snapshot == nil || time.Since(snapshot.at) > maxMachinesAge {
 		return &message.MachinesReply{Leaving: []string{}}, nil
 	}
-	return &message.MachinesReply{Known: true, Leaving: seen.leaving}, nil
+	return &message.MachinesReply{Known: true, Leaving: snapshot.leaving}, nil
 }
 
 func (list *machineList) run(ctx context.Context) {
 	reachable := true
 	for ctx.Err() == nil {
-		err := list.look(ctx)
+		err := list.refresh(ctx)
 		if err != nil && reachable && ctx.Err() == nil {
-			klog.ErrorS(err, "machine list can not be read")
+			klog.ErrorS(err, "machine list cannot be read")
 		}
 		reachable = err == nil
-		// The jitter keeps nodes that started together from asking together.
+		// The jitter spreads the requests of nodes that started at the same time.
 		pause := machinesInterval/2 + rand.N(machinesInterval)
 		select {
 		case <-ctx.Done():
@@ -122,12 +122,12 @@
 	}
 }
 
-// look reads the list or asks one of the nodes that do.
-func (list *machineList) look(ctx context.Context) error {
+// refresh reads the list, or requests it from a node that reads it.
+func (list *machineList) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, machinesTimeout)
 	defer cancel()
-	readers, reads := list.readers()
-	if reads {
+	readers, isReader := list.readers()
+	if isReader {
 		return list.read(ctx)
 	}
 	reader := readers[rand.IntN(len(readers))]
@@ -136,21 +136,21 @@
 		return err
 	}
 	if reply.Known {
-		list.seen.Store(newMachinesSeen(time.Now(), reply.Leaving))
+		list.latest.Store(newMachineSnapshot(time.Now(), reply.Leaving))
 	}
 	return nil
 }
 
-// readers returns the nodes that read the list for this zone, and whether this
-// node is to read it.
-func (list *machineList) readers() (readers []swim.Member, reads bool) {
+// readers returns the nodes that read the list for this zone; isReader is set if this
+// node reads it itself.
+func (list *machineList) readers() (readers []swim.Member, isReader bool) {
 	members := list.members.Members()
 	byID := make(map[string]swim.Member, len(members))
 	for _, member := range members {
 		byID[member.ID] = member
 	}
-	first, second := placement.Rank(placement.Server{Name: machinesRank, Zone: list.zone}, rankedNodes(members))
-	if second == "" || first == list.self || second == list.self || list.controls() {
+	first, second := placement.Rank(placement.Server{Name: machinesRankKey, Zone: list.zone}, rankedNodes(members))
+	if second == "" || first == list.self || second == list.self || list.runsController() {
 		return nil, true
 	}
 	return []swim.Member{byID[first], byID[second]}, false
@@ -170,7 +170,7 @@
 		}
 		live = append(live, machine.Address)
 	}
-	list.seen.Store(newMachinesSeen(time.Now(), leaving))
-	list.follower.SetMachines(live)
+	list.latest.Store(newMachineSnapshot(time.Now(), leaving))
+	list.sink.SetMachines(live)
 	return nil
 }
--- a/internal/node/machines_test.go
+++ b/internal/node/machines_test.go
@@ -14,28 +14,28 @@
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
-// countingPlatform counts how often the machine list is read.
-type countingPlatform struct {
+// fakePlatform returns a fixed machine list or error and counts the reads.
+type fakePlatform struct {
 	machines []platform.Machine
 	err      error
 	reads    int
 }
 
-func (counting *countingPlatform) Machines(context.Context) ([]platform.Machine, error) {
-	counting.reads++
-	return counting.machines, counting.err
+func (f *fakePlatform) Machines(context.Context) ([]platform.Machine, error) {
+	f.reads++
+	return f.machines, f.err
 }
 
 type fixedMembers []swim.Member
 
 func (members fixedMembers) Members() []swim.Member { return members }
 
-type ignoreMachines struct{}
+type nopSink struct{}
 
-func (ignoreMachines) SetMachines([]string) {}
+func (nopSink) SetMachines([]string) {}
 
-// startLists returns the lists of nodes of one zone over one platform.
-func startLists(t *testing.T, count int, source *countingPlatform) []*machineList {
+// newMachineLists returns the machine lists of several nodes of one zone, with one platform.
+func newMachineLists(t *testing.T, count int, fake *fakePlatform) []*machineList {
 	is := is.New(t)
 	client := wire.NewClient(wire.ClientOptions{})
 	t.Cleanup(client.Close)
@@ -46,7 +46,7 @@
 		is.NoErr(err)
 		id := fmt.Sprint("node-", index)
 		members[index] = swim.Member{ID: id, Zone: "a", Address: listener.Addr().String()}
-		lists[index] = &machineList{self: id, zone: "a", platform: source, client: client, members: members, follower: ignoreMachines{}, controls: func() bool { return false }}
+		lists[index] = &machineList{self: id, zone: "a", platform: fake, client: client, members: members, sink: nopSink{}, runsController: func() bool { return false }}
 		server := wire.NewServer(wire.ServerOptions{})
 		wire.Handle(server, lists[index].serve)
 		go func() { _ = server.Serve(listener) }()
@@ -55,51 +55,51 @@
 	return lists
 }
 
-func lookAll(t *testing.T, lists []*machineList) {
+func refreshAll(t *testing.T, lists []*machineList) {
 	for range 2 {
 		for _, list := range lists {
-			is.New(t).NoErr(list.look(context.Background()))
+			is.New(t).NoErr(list.refresh(context.Background()))
 		}
 	}
 }
 
-func TestTwoNodesOfAZoneReadTheMachineList(t *testing.T) {
+func TestTwoNodesPerZoneReadMachineList(t *testing.T) {
 	is := is.New(t)
-	source := &countingPlatform{machines: []platform.Machine{{Address: "127.0.0.1:1", State: platform.MachineLeaving}}}
-	lists := startLists(t, 6, source)
-	lookAll(t, lists)
-	is.Equal(source.reads, 2*2) // two rounds, two readers
+	fake := &fakePlatform{machines: []platform.Machine{{Address: "127.0.0.1:1", State: platform.MachineLeaving}}}
+	lists := newMachineLists(t, 6, fake)
+	refreshAll(t, lists)
+	is.Equal(fake.reads, 2*2) // two rounds, two readers
 	for _, list := range lists {
 		is.True(list.Leaving("127.0.0.1:1"))
 		is.True(!list.Leaving("127.0.0.1:2"))
 	}
 }
 
-// A node that has the controller's lease, or may take it, reads the list besides.
-func TestControllersReadTheMachineList(t *testing.T) {
+// The holder of the controller's lease and the candidates for it read the list, too.
+func TestControllersReadMachineList(t *testing.T) {
 	is := is.New(t)
-	source := &countingPlatform{}
-	lists := startLists(t, 6, source)
+	fake := &fakePlatform{}
+	lists := newMachineLists(t, 6, fake)
 	for _, list := range lists {
-		list.controls = func() bool { return true }
+		list.runsController = func() bool { return true }
 	}
-	lookAll(t, lists)
-	is.Equal(source.reads, 2*len(lists))
+	refreshAll(t, lists)
+	is.Equal(fake.reads, 2*len(lists))
 }
 
-func TestALoneNodeReadsItself(t *testing.T) {
+func TestSingleNodeReadsMachineList(t *testing.T) {
 	is := is.New(t)
-	source := &countingPlatform{}
-	lookAll(t, startLists(t, 1, source))
-	is.Equal(source.reads, 2)
+	fake := &fakePlatform{}
+	refreshAll(t, newMachineLists(t, 1, fake))
+	is.Equal(fake.reads, 2)
 }
 
-func TestUnreadableListKeepsWhatWasSeen(t *testing.T) {
+func TestFailedReadKeepsLastMachineList(t *testing.T) {
 	is := is.New(t)
-	source := &countingPlatform{machines: []platform.Machine{{Address: "127.0.0.1:1", State: platform.MachineLeaving}}}
-	list := startLists(t, 1, source)[0]
-	lookAll(t, []*machineList{list})
-	source.err = errors.New("down")
-	is.True(list.look(context.Background()) != nil)
+	fake := &fakePlatform{machines: []platform.Machine{{Address: "127.0.0.1:1", State: platform.MachineLeaving}}}
+	list := newMachineLists(t, 1, fake)[0]
+	refreshAll(t, []*machineList{list})
+	fake.err = errors.New("down")
+	is.True(list.refresh(context.Background()) != nil)
 	is.True(list.Leaving("127.0.0.1:1"))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node wires the parts of the daemon together and starts and stops them in
+// Package node assembles the components of the daemon and starts and stops them in
 // order.
 package node
 
@@ -20,7 +20,7 @@
 	"github.com/driftstage/driftstage/internal/wire"
 )
 
-// Node is one daemon: gateway, owner, member and candidate for control.
+// Node is one daemon: gateway, owner of servers, member, and candidate for controller.
 type Node struct {
 	settings  settings.Settings
 	listeners *listeners
@@ -34,7 +34,7 @@
 	machines  *machineList
 }
 
-// New opens the listeners and wires the parts; nothing runs yet.
+// New opens the listeners and assembles the node; it starts nothing.
 func New(loaded settings.Settings) (*Node, error) {
 	opened, err := openListeners(loaded)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return built, nil
 }
 
-// Run serves until ctx ends, then stops in order. It returns nil after a stop
-// that cut nothing.
+// Run serves until ctx ends, then shuts down gracefully. It returns nil if nothing
+// was interrupted.
 func (node *Node) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -82,7 +82,7 @@
 	return errors.CombineErrors(cause, stopped)
 }
 
-// serve starts the servers; the channel gives the first that failed.
+// serve starts the servers; the channel receives the first failure.
 func (node *Node) serve() <-chan error {
 	failed := make(chan error, 1)
 	servers := []struct {
@@ -107,9 +107,9 @@
 	return failed
 }
 
-// stop ends the node without cutting requests under way: new ones are refused
-// as not run for the drain delay, those under way are finished, and only then
-// do the listeners close.
+// stop shuts the node down without interrupting requests in flight: for the drain
+// delay, new ones are refused as not run, then those in flight are completed, and
+// only then do the listeners close.
 func (node *Node) stop() error {
 	klog.InfoS("stopping", "drainDelay", node.settings.DrainDelay.String())
 	node.gateway.Drain()
@@ -118,7 +118,7 @@
 	<-drained
 	ctx, cancel := context.WithTimeout(context.Background(), node.settings.StopTimeout)
 	defer cancel()
-	var problems error
+	var failures error
 	steps := []struct {
 		name string
 		stop func(context.Context) error
@@ -129,12 +129,12 @@
 	}
 	for _, step := range steps {
 		if err := step.stop(ctx); err != nil {
-			problems = errors.CombineErrors(problems, errors.Wrapf(err, "stop %s", step.name))
+			failures = errors.CombineErrors(failures, errors.Wrapf(err, "stop %s", step.name))
 		}
 	}
 	node.client.Close()
 	node.member.Close()
 	_ = node.admin.Close()
 	node.listeners.close()
-	return problems
+	return failures
 }
--- a/internal/node/ownership.go
+++ b/internal/node/ownership.go
@@ -9,23 +9,23 @@
 	"github.com/driftstage/driftstage/internal/swim"
 )
 
-// memberView gives the members of the system, this node included.
-type memberView interface {
+// memberLister returns the members of the cluster, this node included.
+type memberLister interface {
 	Members() []swim.Member
 }
 
-// ownership tells which back-end servers this node owns, by the members and the
-// configuration known here. Ranks are computed once for each set of members and
-// each revision of a service.
+// ownership determines which back-end servers this node owns, from its view of the
+// members and the configuration. Ranks are computed once for each set of members
+// and each revision of a service.
 type ownership struct {
 	self    string
-	members memberView
+	members memberLister
 	store   *config.Store
 
-	mutex sync.Mutex
-	list  []swim.Member
-	index *placement.Index
-	owned map[string]ownedServers
+	mutex          sync.Mutex
+	indexedMembers []swim.Member
+	index          *placement.Index
+	owned          map[string]ownedServers
 }
 
 // ownedServers are the names of the servers of one service that this node owns.
@@ -43,26 +43,27 @@
 	members := ownership.members.Members()
 	ownership.mutex.Lock()
 	defer ownership.mutex.Unlock()
-	ownership.follow(members)
+	ownership.updateMembers(members)
 	owned, found := ownership.owned[service]
 	if !found || owned.revision != known.Revision {
-		owned = ownership.rank(known)
+		owned = ownership.rankServers(known)
 		ownership.owned[service] = owned
 	}
 	return owned.names[server]
 }
 
-// follow starts anew when the set of members has changed.
-func (ownership *ownership) follow(members []swim.Member) {
-	if ownership.index != nil && slices.Equal(members, ownership.list) {
+// updateMembers discards the cached ranks if the members have changed. The caller holds the
+// mutex.
+func (ownership *ownership) updateMembers(members []swim.Member) {
+	if ownership.index != nil && slices.Equal(members, ownership.indexedMembers) {
 		return
 	}
-	ownership.list = slices.Clone(members)
+	ownership.indexedMembers = slices.Clone(members)
 	ownership.owned = make(map[string]ownedServers)
 	ownership.index = placement.NewIndex(rankedNodes(members))
 }
 
-// rankedNodes returns the members that take work, as placement ranks them.
+// rankedNodes returns the members that take work, as nodes for placement.
 func rankedNodes(members []swim.Member) []placement.Node {
 	var nodes []placement.Node
 	for _, member := range members {
@@ -73,7 +74,7 @@
 	return nodes
 }
 
-func (ownership *ownership) rank(service *config.Service) ownedServers {
+func (ownership *ownership) rankServers(service *config.Service) ownedServers {
 	owned := ownedServers{revision: service.Revision, names: make(map[string]bool)}
 	for _, server := range service.Spec.Servers {
 		first, _ := ownership.index.Rank(placement.Server{Service: service.Name, Name: server.Name, Zone: server.Zone})
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,7 +13,7 @@
 	client *wire.Client
 }
 
-// Execute asks the owner at the address to run one attempt.
+// Execute makes the owner at the address run one attempt.
 func (peers ownerPeers) Execute(ctx context.Context, address string, request *message.SubRequest) (*message.SubReply, error) {
 	reply := &message.SubReply{}
 	if err := peers.client.Call(ctx, address, request, reply); err != nil {
@@ -22,7 +22,7 @@
 	return reply, nil
 }
 
-// Loads asks the owner at the address for the load of servers.
+// Loads returns the load of servers, from the owner at the address.
 func (peers ownerPeers) Loads(ctx context.Context, address string, request *message.LoadRequest) (*message.LoadReply, error) {
 	reply := &message.LoadReply{}
 	if err := peers.client.Call(ctx, address, request, reply); err != nil {
@@ -31,7 +31,7 @@
 	return reply, nil
 }
 
-// serveOwner answers the calls of other nodes' gateways.
+// serveOwner registers the handlers for calls from the gateways of other nodes.
 func serveOwner(server *wire.Server, manager *owner.Manager) {
 	wire.Handle(server, func(ctx context.Context, request *message.SubRequest) (*message.SubReply, error) {
 		return manager.Execute(ctx, request), nil
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -11,14 +11,14 @@
 	"github.com/driftstage/driftstage/internal/swim"
 )
 
-// state is what /debug/state shows to an operator.
+// state is the response of /debug/state, for operators.
 type state struct {
 	Node     string `json:"node"`
 	Zone     string `json:"zone"`
 	Region   string `json:"region"`
 	NotReady string `json:"notReady,omitempty"`
 	InFlight int    `json:"queriesInFlight"`
-	// Control tells whether this node holds the controller's lease.
+	// Control includes whether this node holds the controller's lease.
 	Control  controller.State `json:"control"`
 	Members  []memberState    `json:"members"`
 	Services []serviceState   `json:"services"`
@@ -41,7 +41,7 @@
 	Owned    []string `json:"ownedServers"`
 }
 
-// stateSource gathers the state of the parts.
+// stateSource collects the state of the components.
 type stateSource struct {
 	dig.In
 
