--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,3 +1,3 @@
-// Package config holds the set of accepted revisions of a node: monotonic merge,
-// tombstones and digests. It is a pure core.
+// Package config holds the accepted configuration revisions of a node, with monotonic
+// merge, tombstones and digests. It does no I/O and reads no clock.
 package config
--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -10,7 +10,7 @@
 )
 
 // Entry is one accepted revision of a service, or the tombstone of a deleted
-// one. It is never changed once made.
+// one. It is immutable.
 type Entry struct {
 	Service string
 	// Revision orders the entries of a service: lease epoch in the upper 32
@@ -21,16 +21,15 @@
 	Spec    *v1.QueryServiceSpec
 }
 
-// Version is one line of a digest: which revision of a service is held.
+// Version is one entry of a digest: the revision held of a service.
 type Version struct {
 	Service  string
 	Revision int64
 }
 
-// Set holds the highest revision of every service that the node has heard of.
-// Its merge is monotonic: the same entries give the same set, whatever their
-// order and however often they come. Set is not safe for concurrent use; Store
-// is.
+// Set holds the highest revision of every service that the node has received. Its
+// merge is monotonic: the same entries give the same set, in any order and with any
+// duplicates. Set is not safe for concurrent use; Store is.
 type Set struct {
 	entries map[string]Entry
 	hash    uint64
@@ -42,8 +41,8 @@
 	return &Set{entries: make(map[string]Entry)}
 }
 
-// Apply takes in an entry and tells whether it changed the set: it does only
-// when its revision is above the one held.
+// Apply merges an entry and reports whether it changed the set: it does only if its
+// revision is higher than the one held.
 func (set *Set) Apply(entry Entry) bool {
 	held, found := set.entries[entry.Service]
 	if found && entry.Revision <= held.Revision {
@@ -59,19 +58,18 @@
 }
 
 // Revision returns the revision held of a service, tombstones included; zero
-// when the service was never heard of.
+// if the service is unknown.
 func (set *Set) Revision(service string) int64 {
 	return set.entries[service].Revision
 }
 
-// Entry returns what is held of a service, tombstones included.
+// Entry returns the entry held of a service, tombstones included.
 func (set *Set) Entry(service string) (Entry, bool) {
 	entry, found := set.entries[service]
 	return entry, found
 }
 
-// Service returns the accepted revision in force of a service that is not
-// deleted.
+// Service returns the revision in force of a service that is not deleted.
 func (set *Set) Service(name string) (*Service, bool) {
 	entry, found := set.entries[name]
 	if !found || entry.Deleted {
@@ -80,7 +78,7 @@
 	return &Service{Name: name, Revision: entry.Revision, Spec: entry.Spec}, true
 }
 
-// Services returns every service that is not deleted, by name.
+// Services returns all services that are not deleted, sorted by name.
 func (set *Set) Services() []*Service {
 	var services []*Service
 	for name := range set.entries {
@@ -92,7 +90,7 @@
 	return services
 }
 
-// Digest lists what is held, tombstones included, by name.
+// Digest returns the revisions of all entries, tombstones included, sorted by name.
 func (set *Set) Digest() []Version {
 	digest := make([]Version, 0, len(set.entries))
 	for _, entry := range set.entries {
@@ -102,8 +100,8 @@
 	return digest
 }
 
-// Newer returns the entries whose revision is above that in the digest, or
-// which the digest does not list, by name.
+// Newer returns the entries whose revision is higher than that in the digest, or that
+// the digest lacks, sorted by name.
 func (set *Set) Newer(digest []Version) []Entry {
 	known := make(map[string]int64, len(digest))
 	for _, version := range digest {
@@ -120,9 +118,9 @@
 	return newer
 }
 
-// Summary describes a whole set in a few bytes. Sets that hold the same have
-// equal summaries. Of two that differ, the one whose Highest is greater holds
-// something that the other lacks; both may.
+// Summary describes a whole set in a few bytes. Equal sets have equal summaries. Of
+// two that differ, the one whose Highest is greater has an entry that the other
+// lacks; the reverse may also be true.
 type Summary struct {
 	// Highest is the highest revision of any service.
 	Highest int64
@@ -134,15 +132,14 @@
 	return Summary{Highest: set.highest, Hash: set.hash}
 }
 
-// Hash is equal for sets that hold the same revisions, and differs otherwise
-// but for a chance of 1 in 2^64. The empty set has hash zero. It is kept up to
-// date by Apply: reading it costs nothing.
+// Hash is equal for sets that hold the same revisions; for others it differs, except
+// with a probability of 1 in 2^64. The empty set has hash zero. Apply updates the hash
+// incrementally, so that reading it is cheap.
 func (set *Set) Hash() uint64 {
 	return set.hash
 }
 
-// versionHash covers the service and its revision: two entries of one service
-// and revision are the same entry.
+// versionHash hashes the service and its revision, which identify an entry.
 func versionHash(entry Entry) uint64 {
 	var revision [8]byte
 	for index := range revision {
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -12,9 +12,9 @@
 	"github.com/driftstage/driftstage/internal/config"
 )
 
-// entryOf makes the one entry that exists of a service and revision: every
-// fourth revision is a tombstone, the others have a spec of their own.
-func entryOf(service string, revision int64) config.Entry {
+// newEntry returns the only entry of a service and revision: every fourth revision is
+// a tombstone, each other one has a unique spec.
+func newEntry(service string, revision int64) config.Entry {
 	entry := config.Entry{Service: service, Revision: revision, Deleted: revision%4 == 0}
 	if !entry.Deleted {
 		entry.Spec = &v1.QueryServiceSpec{Path: fmt.Sprintf("/%s/%d", service, revision)}
@@ -25,12 +25,12 @@
 func drawEntries(t *rapid.T) []config.Entry {
 	return rapid.SliceOf(rapid.Custom(func(t *rapid.T) config.Entry {
 		service := rapid.SampledFrom([]string{"fleet", "desk", "dues"}).Draw(t, "service")
-		return entryOf(service, rapid.Int64Range(1, 12).Draw(t, "revision"))
+		return newEntry(service, rapid.Int64Range(1, 12).Draw(t, "revision"))
 	})).Draw(t, "entries")
 }
 
-// The set never goes back, whatever the order and number of deliveries.
-func TestNodesNeverGoBack(t *testing.T) {
+// The revisions of a set never decrease, for any order and number of deliveries.
+func TestSetRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := config.NewSet()
 		highest := make(map[string]int64)
@@ -51,9 +51,9 @@
 	})
 }
 
-// Sets that took the same entries in any order, some of them twice, are equal;
-// sets that differ have different hashes.
-func TestAllEndEqual(t *testing.T) {
+// Sets with the same entries, applied in any order and with duplicates, are equal;
+// different sets have different hashes.
+func TestSetsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := drawEntries(t)
 		shuffled := rapid.Permutation(append(entries, entries...)).Draw(t, "shuffled")
@@ -75,8 +75,8 @@
 	})
 }
 
-// After one exchange of Newer in each direction two sets hold the same.
-func TestExchangeBringsSetsTogether(t *testing.T) {
+// After one exchange of newer entries in each direction, two sets are equal.
+func TestExchangeMakesSetsEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := config.NewSet(), config.NewSet()
 		for _, entry := range drawEntries(t) {
@@ -87,30 +87,30 @@
 		}
 		for _, entry := range one.Newer(other.Digest()) {
 			if !other.Apply(entry) {
-				t.Fatalf("%v was sent for nothing", entry)
+				t.Fatalf("%v was sent although it changes nothing", entry)
 			}
 		}
 		for _, entry := range other.Newer(one.Digest()) {
 			one.Apply(entry)
 		}
 		if one.Hash() != other.Hash() {
-			t.Fatalf("%v and %v", one.Digest(), other.Digest())
+			t.Fatalf("sets differ after the exchange: %v and %v", one.Digest(), other.Digest())
 		}
 	})
 }
 
-func TestStoreKeepsServicesOfTakenRevisions(t *testing.T) {
+func TestServiceIsUnchangedByLaterRevisions(t *testing.T) {
 	is := is.New(t)
 	store := config.NewStore()
-	is.Equal(len(store.Apply(entryOf("fleet", 1), entryOf("desk", 2), entryOf("fleet", 1))), 2)
-	taken, found := store.Service("fleet")
+	is.Equal(len(store.Apply(newEntry("fleet", 1), newEntry("desk", 2), newEntry("fleet", 1))), 2)
+	earlier, found := store.Service("fleet")
 	is.True(found)
 	is.Equal(len(store.Services()), 2)
-	is.Equal(len(store.Apply(entryOf("fleet", 4))), 1) // the tombstone
-	is.Equal(taken.Spec.Path, "/fleet/1")
+	is.Equal(len(store.Apply(newEntry("fleet", 4))), 1) // the tombstone
+	is.Equal(earlier.Spec.Path, "/fleet/1")
 	_, found = store.Service("fleet")
 	is.True(!found)
 	is.Equal(len(store.Services()), 1)
-	is.Equal(len(store.Apply(entryOf("fleet", 3))), 0) // the tombstone holds
+	is.Equal(len(store.Apply(newEntry("fleet", 3))), 0) // the tombstone stays
 	is.Equal(store.Revision("fleet"), int64(4))
 }
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Store is a Set for concurrent use. Readers get services that never change,
-// so a query that took one works by it from first to last.
+// Store is a Set for concurrent use. It returns immutable services, so that a query
+// uses the same revision from start to end.
 type Store struct {
 	mutex    sync.RWMutex
 	set      *Set
@@ -19,7 +19,7 @@
 	return &Store{set: NewSet(), services: make(map[string]*Service)}
 }
 
-// Apply takes in entries and returns those that changed the store.
+// Apply merges entries and returns those that changed the store.
 func (store *Store) Apply(entries ...Entry) []Entry {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -29,7 +29,7 @@
 			continue
 		}
 		changed = append(changed, entry)
-		store.remember(entry.Service)
+		store.updateService(entry.Service)
 	}
 	if len(changed) > 0 {
 		store.sorted = store.set.Services()
@@ -40,7 +40,7 @@
 	return changed
 }
 
-func (store *Store) remember(name string) {
+func (store *Store) updateService(name string) {
 	service, found := store.set.Service(name)
 	if !found {
 		delete(store.services, name)
@@ -49,7 +49,7 @@
 	store.services[name] = service
 }
 
-// Service returns the accepted revision in force of a service.
+// Service returns the revision in force of a service.
 func (store *Store) Service(name string) (*Service, bool) {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
@@ -57,7 +57,7 @@
 	return service, found
 }
 
-// Services returns every service in force, by name.
+// Services returns all services in force, sorted by name.
 func (store *Store) Services() []*Service {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
@@ -71,14 +71,14 @@
 	return store.set.Revision(service)
 }
 
-// Digest lists what is held, tombstones included, by name.
+// Digest returns the revisions of all entries, tombstones included, sorted by name.
 func (store *Store) Digest() []Version {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
 	return store.set.Digest()
 }
 
-// Newer returns the entries that a node with this digest lacks.
+// Newer returns the entries that a node with the digest lacks, sorted by name.
 func (store *Store) Newer(digest []Version) []Entry {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
