--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Unknown is the version of a query that has pinned none.
+// Unknown is the version of a query that is not pinned to one.
 const Unknown int64 = 0
 
 // Holding lists the versions that the replicas of one shard are known to hold,
-// one list a replica.
+// with one list per replica.
 type Holding [][]int64
 
 // Choice is a version and the number of shards that can answer from it.
@@ -15,9 +15,9 @@
 	Shards  int
 }
 
-// Choose returns the newest version that at least enough shards hold at one
-// replica or more. When there is none it returns the version that most shards
-// hold, the newest of these. Without any known version it returns the zero Choice.
+// Choose returns the newest version that at least enough shards hold on one or more
+// replicas. If there is none, it returns the version that most shards hold, the
+// newest in case of a tie. If no version is known, it returns the zero Choice.
 func Choose(holdings []Holding, enough int) Choice {
 	counts := make(map[int64]int)
 	var seen []int64
@@ -35,41 +35,41 @@
 	var best Choice
 	for version, shards := range counts {
 		candidate := Choice{Version: version, Shards: shards}
-		if version != Unknown && candidate.better(best, enough) {
+		if version != Unknown && candidate.betterThan(best, enough) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-func (choice Choice) better(other Choice, enough int) bool {
-	own, others := min(choice.Shards, enough), min(other.Shards, enough)
-	if own != others {
-		return own > others
+func (choice Choice) betterThan(other Choice, enough int) bool {
+	shards, otherShards := min(choice.Shards, enough), min(other.Shards, enough)
+	if shards != otherShards {
+		return shards > otherShards
 	}
 	return choice.Version > other.Version
 }
 
-// Pin is the version by which one query works.
+// Pin is the version to which a query is pinned.
 type Pin struct {
 	version   int64
 	restarted bool
 }
 
-// NewPin pins the first version of a query.
+// NewPin returns a pin to the first version of a query.
 func NewPin(version int64) Pin { return Pin{version: version} }
 
 // Version returns the pinned version.
 func (pin *Pin) Version() int64 { return pin.version }
 
-// Accepts tells whether a part of the version may be taken.
+// Accepts reports whether a part from the version may be used.
 func (pin *Pin) Accepts(version int64) bool { return version == pin.version }
 
-// Restart moves the query to another version, at most once in its life, and
-// tells whether it did. The query must then forget all parts that it has.
-// mayRunAgain tells that running every shard again is allowed.
-func (pin *Pin) Restart(version int64, mayRunAgain bool) bool {
-	if pin.restarted || !mayRunAgain || version == Unknown || version == pin.version {
+// Restart pins the query to another version, at most once, and reports whether it
+// did. The query must then discard all its parts. repeatable states that all shards
+// may be run again.
+func (pin *Pin) Restart(version int64, repeatable bool) bool {
+	if pin.restarted || !repeatable || version == Unknown || version == pin.version {
 		return false
 	}
 	pin.version = version
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 	}), 1, 8).Draw(t, "holdings")
 }
 
-func holders(holdings []Holding, version int64) int {
+func countHolders(holdings []Holding, version int64) int {
 	count := 0
 	for _, holding := range holdings {
 		if slices.ContainsFunc(holding, func(versions []int64) bool { return slices.Contains(versions, version) }) {
@@ -24,21 +24,21 @@
 	return count
 }
 
-// The chosen version is the newest that enough shards hold; without one, none
-// is held by more shards.
+// The chosen version is the newest that enough shards hold; if there is none, no
+// other version is held by more shards.
 func TestChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holdings := drawHoldings(t)
 		enough := rapid.IntRange(1, len(holdings)).Draw(t, "enough")
 		choice := Choose(holdings, enough)
 		if choice.Version == Unknown {
-			choice.Shards = holders(holdings, Unknown)
+			choice.Shards = countHolders(holdings, Unknown)
 		}
-		if choice.Shards != holders(holdings, choice.Version) {
-			t.Fatalf("%+v, but %d shards hold it", choice, holders(holdings, choice.Version))
+		if choice.Shards != countHolders(holdings, choice.Version) {
+			t.Fatalf("%+v, but %d shards hold it", choice, countHolders(holdings, choice.Version))
 		}
 		for version := int64(1); version <= 5; version++ {
-			count := holders(holdings, version)
+			count := countHolders(holdings, version)
 			if count >= enough && version > choice.Version {
 				t.Fatalf("chose %+v though %d shards hold %d", choice, count, version)
 			}
@@ -49,7 +49,7 @@
 	})
 }
 
-// A query is of one version at a time, and of two at most in its life.
+// A query is pinned to one version at a time, and to at most two in total.
 func TestPinRestartsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pin := NewPin(rapid.Int64Range(1, 5).Draw(t, "first"))
@@ -57,16 +57,16 @@
 		for range rapid.IntRange(0, 10).Draw(t, "steps") {
 			before := pin.Version()
 			next := rapid.Int64Range(0, 5).Draw(t, "next")
-			allowed := rapid.Bool().Draw(t, "may run again")
-			restarted := pin.Restart(next, allowed)
+			repeatable := rapid.Bool().Draw(t, "repeatable")
+			restarted := pin.Restart(next, repeatable)
 			if restarted {
 				restarts++
 			}
-			if restarted && (!allowed || next == Unknown || next == before) || restarted != (pin.Version() != before) {
-				t.Fatalf("from %d to %d, allowed %v: %v", before, next, allowed, restarted)
+			if restarted && (!repeatable || next == Unknown || next == before) || restarted != (pin.Version() != before) {
+				t.Fatalf("from %d to %d, repeatable %v: %v", before, next, repeatable, restarted)
 			}
 			if !pin.Accepts(pin.Version()) || pin.Accepts(pin.Version()+1) {
-				t.Fatalf("accepts another version than the pinned")
+				t.Fatalf("accepts a version other than the pinned one")
 			}
 		}
 		if restarts > 1 {
