--- a/api/v1/decode.go
+++ b/api/v1/decode.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("unexpected data after the value")
+		return nil, errors.New("more follows after the value")
 	}
 	return value, nil
 }
--- a/api/v1/validate.go
+++ b/api/v1/validate.go
@@ -121,7 +121,7 @@
 	for index, name := range shard.Replicas {
 		replica := indexPath(path, index)
 		errs.require(servers[name], replica, "%.80q is not the name of a server", name)
-		errs.require(!seen[name], replica, "%.80q is listed twice", name)
+		errs.require(!seen[name], replica, "%.80q is named twice", name)
 		seen[name] = true
 	}
 }
--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -202,7 +202,7 @@
 	}
 	switch {
 	case canceled:
-		return Result{Failure: verdict.New(verdict.MayHaveRun, verdict.CodeCanceled, "canceled in flight")}
+		return Result{Failure: verdict.New(verdict.MayHaveRun, verdict.CodeCanceled, "given up while under way")}
 	case timedOut:
 		return Result{Failure: verdict.New(verdict.MayHaveRun, verdict.CodeDeadline, "no reply in time")}
 	case reply.Header.StatusCode() == fasthttp.StatusOK && string(reply.Header.Peek(HeaderRequestID)) == exchange.request.RequestID:
--- a/internal/backend/reply.go
+++ b/internal/backend/reply.go
@@ -36,7 +36,7 @@
 		return result, matches
 	}
 	if !matches {
-		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply has no request id")
+		result.Failure = verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply names no request")
 		return result, false
 	}
 	result.Failure = readParts(request, reply, &result)
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -82,10 +82,10 @@
 	defer cancel()
 	known, err := n.quarantine.Release(ctx, digest)
 	if err != nil {
-		return errors.Wrap(err, "released on this node only: the store does not answer, other nodes may still refuse the request")
+		return errors.Wrap(err, "released on this node; the store does not answer, so that others may not know")
 	}
 	if !known {
-		return errors.Newf("request %s is not known on this node", digest)
+		return errors.Newf("no request %s is known here", digest)
 	}
 	return nil
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		klog.ErrorS(err, "cannot encode answer", "request", body.RequestID, "service", body.Service)
 		status = fasthttp.StatusInternalServerError
-		encoded = []byte(`{"verdict":"may-have-run","error":{"code":"internal","message":"the answer cannot be encoded"}}`)
+		encoded = []byte(`{"verdict":"may-have-run","error":{"code":"internal","message":"the answer can not be encoded"}}`)
 	}
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -41,7 +41,7 @@
 		Class:      spec.Class,
 	}
 	if len(ctx.PostBody()) > spec.Limits.BodyBytes {
-		return query, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body of %d bytes exceeds the service's limit of %d", len(ctx.PostBody()), spec.Limits.BodyBytes)
+		return query, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body of %d bytes, the service's limit is %d", len(ctx.PostBody()), spec.Limits.BodyBytes)
 	}
 	parsers := []func(*fasthttp.RequestHeader, *scatter.Query) error{
 		parseRequestID, parseTimeout, parseRepeatable, parseClass, parseMinimumCoverage,
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -52,7 +52,7 @@
 		return query, refusedAnswer(verdict.From(err))
 	}
 	if !gateway.inFlight.acquire(service) {
-		overloaded := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%d queries of the service are in flight on this node", service.Spec.Limits.InFlight)
+		overloaded := verdict.New(verdict.NotRun, verdict.CodeOverloaded, "%d queries of the service are under way in this node", service.Spec.Limits.InFlight)
 		overloaded.RetryAfter = gateway.metrics.expectedDuration(service.Name)
 		return query, refusedAnswer(overloaded)
 	}
@@ -64,7 +64,7 @@
 func (gateway *Gateway) refusal() *verdict.Error {
 	var refusal *verdict.Error
 	if gateway.draining.Load() {
-		refusal = verdict.New(verdict.NotRun, verdict.CodeDraining, "this node is stopping; retry on another node")
+		refusal = verdict.New(verdict.NotRun, verdict.CodeDraining, "this node is stopping; ask another one")
 	} else if reason := gateway.options.NotReadyReason(); reason != "" {
 		refusal = verdict.New(verdict.NotRun, verdict.CodeNotReady, "this node is not ready: %s", reason)
 	} else {
--- a/internal/gossip/caller.go
+++ b/internal/gossip/caller.go
@@ -36,7 +36,7 @@
 // call is wire.Client.Call with a timeout and a limit on open connections.
 func (caller *caller) call(ctx context.Context, address string, request, reply wire.Message) error {
 	if !caller.reachable(caller.self, address) || !caller.reachable(address, caller.self) {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeUnreachable, "link to %s is blocked", address)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeUnreachable, "link to %s is cut", address)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -63,7 +63,7 @@
 	}
 	node.context, node.cancel = context.WithCancel(context.Background())
 	node.queries.pending = make(map[int64]*revisionQuery)
-	node.readiness.setNotReady(now, "the node has not synced since it started")
+	node.readiness.setNotReady(now, "the node has not synced since its start")
 	node.registerHandlers(options.Server)
 	return node
 }
@@ -172,10 +172,10 @@
 			node.readiness.setNotReady(time.Now(), "the node was paused and has not synced since")
 			klog.InfoS("node was paused", "gap", action.Gap.String())
 		case swim.Isolated:
-			node.readiness.setNotReady(time.Now(), "the node is isolated from all other members")
+			node.readiness.setNotReady(time.Now(), "the node hears no other member")
 			klog.InfoS("node is isolated from all other members")
 		case swim.Reconnected:
-			node.readiness.setNotReady(time.Now(), "the node was isolated and has not synced since")
+			node.readiness.setNotReady(time.Now(), "the node was cut off and has not synced since")
 		}
 	}
 }
--- a/internal/ingress/framing.go
+++ b/internal/ingress/framing.go
@@ -8,13 +8,13 @@
 )
 
 var (
-	errBareLineFeed      = errors.New("a header line ends with a bare line feed")
+	errBareLineFeed      = errors.New("a header line ends without a carriage return")
 	errFoldedHeader      = errors.New("a header line is folded")
-	errConflictingLength = errors.New("the request has both a content length and a transfer encoding")
+	errConflictingLength = errors.New("the request has a length and chunks")
 	errMissingID         = errors.New("the request has no attempt id")
 	errRepeatedID        = errors.New("the request has more than one attempt id")
-	errInvalidDeadline   = errors.New("the deadline is not a positive integer of milliseconds")
-	errRepeatedField     = errors.New("the deadline header is repeated")
+	errInvalidDeadline   = errors.New("the deadline is no positive whole number of milliseconds")
+	errRepeatedField     = errors.New("a header that must be single is repeated")
 )
 
 // checkFraming rejects requests whose end other HTTP parsers could find at a different
--- a/internal/lab/answer.go
+++ b/internal/lab/answer.go
@@ -105,7 +105,7 @@
 	seen := map[v1.ShardID]bool{}
 	for _, result := range answer.Results {
 		if seen[result.Shard] {
-			outcome.addFault(FaultFalseCoverage, "shard %d is duplicated", result.Shard)
+			outcome.addFault(FaultFalseCoverage, "shard %d is there twice", result.Shard)
 		}
 		seen[result.Shard] = true
 		outcome.covered = append(outcome.covered, result.Shard)
@@ -135,7 +135,7 @@
 	missing := map[v1.ShardID]bool{}
 	for _, shard := range coverage.Missing {
 		if seen[shard.Shard] {
-			outcome.addFault(FaultFalseCoverage, "shard %d is both missing and covered", shard.Shard)
+			outcome.addFault(FaultFalseCoverage, "shard %d is both missing and there", shard.Shard)
 		}
 		missing[shard.Shard] = true
 	}
--- a/internal/owner/server.go
+++ b/internal/owner/server.go
@@ -227,7 +227,7 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.apply(server.core.Release(server.options.Now(), id))
-	return verdict.New(verdict.NotRun, verdict.CodeCanceled, "canceled before it was sent")
+	return verdict.New(verdict.NotRun, verdict.CodeCanceled, "given up before it was sent")
 }
 
 // apply passes decisions of the core to their waiters. The mutex is held.
--- a/internal/scatter/service.go
+++ b/internal/scatter/service.go
@@ -102,7 +102,7 @@
 		case <-timer.C:
 			return choice, notReady(verdict.CodeVersionNotHeld, "no index version is known")
 		case <-ctx.Done():
-			return choice, notReady(verdict.CodeCanceled, "canceled before anything was sent")
+			return choice, notReady(verdict.CodeCanceled, "given up before anything was sent")
 		}
 	}
 }
--- a/internal/standin/backend/reply.go
+++ b/internal/standin/backend/reply.go
@@ -106,7 +106,7 @@
 	}
 	hijacker, ok := writer.(http.Hijacker)
 	if !ok {
-		http.Error(writer, "connection cannot be hijacked", http.StatusInternalServerError)
+		http.Error(writer, "connection can not be taken over", http.StatusInternalServerError)
 		return
 	}
 	connection, _, err := hijacker.Hijack()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -110,7 +110,7 @@
 func (c *Client) exchange(ctx context.Context, conn *connection, call Call) (Reply, bool) {
 	remaining := time.Until(call.Deadline)
 	if remaining < time.Millisecond {
-		return markUnsent(failedReply(ctx, call, Expired, verdict.NotRun, errors.New("no time left to send the request"))), false
+		return markUnsent(failedReply(ctx, call, Expired, verdict.NotRun, errors.New("no time left to send"))), false
 	}
 	if call.MaySend != nil && !call.MaySend() {
 		return markUnsent(Reply{Kind: NotPermitted, Verdict: verdict.NotRun, Err: errWithheld}), conn.used
@@ -135,7 +135,7 @@
 	return reply, reusable
 }
 
-var errWithheld = errors.New("the server accepts no more requests")
+var errWithheld = errors.New("the server takes no more requests")
 
 // dialErrorKind classifies a dial error. A reset while connecting means that the
 // server is at its connection limit; any other error means that it is unreachable.
--- a/internal/upstream/receive.go
+++ b/internal/upstream/receive.go
@@ -25,7 +25,7 @@
 	idleTimeout time.Duration
 }
 
-var errStaleAnswers = errors.New("received only answers to other requests")
+var errStaleAnswers = errors.New("only answers to other requests arrived")
 
 // receive reads answers until it finds the one with the request's id.
 func (c *Client) receive(reader *bufio.Reader, call Call, reused bool) (Reply, keepAlive) {
@@ -90,13 +90,13 @@
 		reply.RetryAfter = parseRetryAfter(string(response.Header.Peek(fasthttp.HeaderRetryAfter)))
 	case impliesNotRun(reply.Status):
 		reply.Kind, reply.Verdict = Malformed, verdict.MayHaveRun
-		reply.Err = errors.Newf("status %d without the header of a request that has not run", reply.Status)
+		reply.Err = errors.Newf("status %d without the mark of a request that did not run", reply.Status)
 	case len(response.Header.ContentEncoding()) > 0:
 		reply.Kind = Malformed
-		reply.Err = errors.New("the body has a content encoding")
+		reply.Err = errors.New("the body is encoded")
 	case reply.Success() && reply.Seal == "":
 		reply.Kind = Malformed
-		reply.Err = errors.New("a success without a seal")
+		reply.Err = errors.New("a success without the server's seal")
 	default:
 		reply.Body = append([]byte(nil), response.Body()...)
 		if !call.OmitHeaders {
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -10,7 +10,7 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-var errPingTimeout = errors.New("ping timeout")
+var errPingTimeout = errors.New("peer is silent")
 
 // ClientOptions configures a Client; zero fields take the defaults below.
 type ClientOptions struct {
@@ -138,7 +138,7 @@
 		select {
 		case <-dialing:
 		case <-ctx.Done():
-			return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "canceled while connecting to %s", address)
+			return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "given up while connecting to %s", address)
 		}
 	}
 }
--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -67,7 +67,7 @@
 		return verdict.New(verdict.NotRun, verdict.CodeInvalid, "encode request: %v", err)
 	}
 	if len(payload) > MaxPayloadBytes {
-		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request of %d bytes exceeds the limit of %d", len(payload), MaxPayloadBytes)
+		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request of %d bytes, limit is %d", len(payload), MaxPayloadBytes)
 	}
 	started, err := c.start(reply)
 	if err != nil {
@@ -93,7 +93,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failure != nil || c.goAway {
-		return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection accepts no new requests")
+		return nil, verdict.New(verdict.NotRun, verdict.CodeUnreachable, "connection takes no new requests")
 	}
 	c.nextID++
 	started := &call{id: c.nextID, state: callQueued, reply: reply, done: make(chan struct{})}
@@ -139,10 +139,10 @@
 		code = verdict.CodeDeadline
 	}
 	if !written {
-		return verdict.New(verdict.NotRun, code, "canceled before it was written")
+		return verdict.New(verdict.NotRun, code, "given up before it was written")
 	}
 	c.writer.enqueue(outgoing{frame: frame{kind: frameCancel, id: started.id}})
-	return verdict.New(verdict.MayHaveRun, code, "canceled while waiting for the reply")
+	return verdict.New(verdict.MayHaveRun, code, "given up while waiting for the reply")
 }
 
 // readLoop handles frames until the connection fails.
@@ -184,7 +184,7 @@
 		return failureError(&failure)
 	}
 	if received.fingerprint != fingerprintOf(reply.Schema()) {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "unexpected reply schema")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "reply has another schema than expected")
 	}
 	if err := reply.Unmarshal(received.payload); err != nil {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBadReply, "decode reply: %v", err)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -107,7 +107,7 @@
 		return fmt.Errorf("read hello: %w", err)
 	}
 	if !bytes.HasPrefix(received, helloMagic) {
-		return fmt.Errorf("hello is %q, want %q: the peer uses another protocol or version", received, want)
+		return fmt.Errorf("hello is %q, want %q: the peer speaks another protocol or version", received, want)
 	}
 	if !bytes.Equal(received, want) {
 		return errOtherCluster
@@ -126,7 +126,7 @@
 	}
 	length := int(binary.BigEndian.Uint32(reader.header[17:]))
 	if length > MaxPayloadBytes {
-		return frame{}, fmt.Errorf("payload of %d bytes exceeds the limit of %d", length, MaxPayloadBytes)
+		return frame{}, fmt.Errorf("payload of %d bytes, limit is %d", length, MaxPayloadBytes)
 	}
 	if read.kind < frameRequest || read.kind > framePong {
 		return frame{}, fmt.Errorf("unknown frame kind %d", read.kind)
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -80,7 +80,7 @@
 func (s *session) request(received frame) {
 	handler, known := s.server.handlers[received.fingerprint]
 	if !known {
-		s.fail(received.id, verdict.New(verdict.NotRun, verdict.CodeInvalid, "unknown request type; the peer may run another version"))
+		s.fail(received.id, verdict.New(verdict.NotRun, verdict.CodeInvalid, "unknown request type; the peer may be of another version"))
 		return
 	}
 	run, err := handler(received.payload)
@@ -124,7 +124,7 @@
 	payload, err := reply.Marshal()
 	if err != nil || len(payload) > MaxPayloadBytes {
 		klog.ErrorS(err, "cannot send reply", "bytes", len(payload))
-		s.fail(id, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "cannot send reply"))
+		s.fail(id, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "reply can not be sent"))
 		return
 	}
 	s.writer.enqueue(outgoing{frame: frame{kind: frameReply, id: id, fingerprint: fingerprintOf(reply.Schema()), payload: payload}})
