--- a/cmd/driftlab/rollout.go
+++ b/cmd/driftlab/rollout.go
@@ -62,8 +62,8 @@
 		fmt.Fprintf(&help, "  %-15s %s\n", version.Name, version.Help)
 	}
 	help.WriteString("\nTroubles:\n")
-	for _, trouble := range rollouts.InjectedFaults {
-		fmt.Fprintf(&help, "  %-15s %s\n", trouble.Name, trouble.Help)
+	for _, fault := range rollouts.InjectedFaults {
+		fmt.Fprintf(&help, "  %-15s %s\n", fault.Name, fault.Help)
 	}
 	return help.String()
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -34,7 +34,7 @@
 	mutex     sync.Mutex
 	nodes     map[string]*testNode
 	published []config.Entry
-	// blockApplied, if set, blocks Applied until it is closed.
+	// blockApplied, if set, blocks CountApplied until it is closed.
 	blockApplied chan struct{}
 }
 
@@ -131,7 +131,7 @@
 	}
 }
 
-// CountApplied implements controller.Spread.
+// CountApplied implements controller.Propagation.
 func (cluster *cluster) CountApplied(service string, revision int64) (total, applied int, lagging []string) {
 	if cluster.blockApplied != nil {
 		<-cluster.blockApplied
--- a/internal/gossip/applied.go
+++ b/internal/gossip/applied.go
@@ -13,7 +13,7 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// Members report their applied revision only on request. Applied queries a tree of two
+// Members report their applied revision only on request. CountApplied queries a tree of two
 // levels: it calls one random member of each group of groupSize, and that delegate
 // queries its group by datagrams. With 3,600 members, the caller makes 57 calls and each
 // of 57 delegates sends 64 datagrams.
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -29,7 +29,7 @@
 	nodes []*testNode
 	// membership holds the protocol options of nodes started from now on.
 	membership swim.Options
-	// syncTimeout is Options.AloneAfter of nodes started from now on.
+	// syncTimeout is Options.SyncTimeout of nodes started from now on.
 	syncTimeout time.Duration
 
 	mutex sync.Mutex
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -29,7 +29,7 @@
 	is.Equal(len(cluster.nodes[0].store.Services()), 0)
 }
 
-// Applied counts the nodes that apply a revision and names the others. With 80 nodes it
+// CountApplied counts the nodes that apply a revision and names the others. With 80 nodes it
 // queries more than one group via delegates.
 func TestApplied(t *testing.T) {
 	for _, count := range []int{5, 80} {
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -31,7 +31,7 @@
 	// Membership holds the options of the membership protocol; zero means DefaultOptions.
 	Membership swim.Options
 	// SyncTimeout is how long a node that cannot sync is not ready before it serves with
-	// the configuration that it has; zero means DefaultAloneAfter.
+	// the configuration that it has; zero means DefaultSyncTimeout.
 	SyncTimeout time.Duration
 	// Reachable reports whether datagrams and calls can get from one address to another.
 	// Tests use it to block links; nil means that all links are up.
@@ -43,7 +43,7 @@
 	Registry prometheus.Registerer
 }
 
-// DefaultSyncTimeout is the default of Options.AloneAfter.
+// DefaultSyncTimeout is the default of Options.SyncTimeout.
 const DefaultSyncTimeout = 5 * time.Second
 
 const (
--- a/internal/gossip/readiness.go
+++ b/internal/gossip/readiness.go
@@ -105,7 +105,7 @@
 }
 
 // mayServeUnsynced reports whether a node that finds no up-to-date member may be ready.
-// After AloneAfter it serves with the configuration that it has; without any it must first
+// After SyncTimeout it serves with the configuration that it has; without any it must first
 // have read the machine list, which shows whether there are other nodes.
 func (node *Node) mayServeUnsynced(since time.Time) bool {
 	known := node.readiness.machineListSeen.Load() || node.store.Summary().Highest > 0
--- a/internal/lab/answer.go
+++ b/internal/lab/answer.go
@@ -43,7 +43,7 @@
 // AnswerFault is a kind of wrong answer.
 type AnswerFault string
 
-// The values of Fault. Each violates an invariant of driftstage.
+// The values of AnswerFault. Each violates an invariant of driftstage.
 const (
 	// FaultMixedVersions is an answer with parts of several index versions.
 	FaultMixedVersions AnswerFault = "mixed-versions"
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -34,7 +34,7 @@
 	SubRequests int `json:"subRequests"`
 	// Late counts queries that began to run long after their deadline.
 	Late int `json:"late"`
-	// Ratio is ShardExecutions divided by ShardsAsked: 1 means no extra load.
+	// Ratio is ShardExecutions divided by ShardsRequested: 1 means no extra load.
 	Ratio float64 `json:"ratio"`
 }
 
@@ -55,7 +55,7 @@
 	CoverageOfAll float64 `json:"coverageOfAll"`
 	// FullCoverage is the share of useful answers that cover every shard.
 	FullCoverage float64 `json:"whole"`
-	// Latency covers useful answers, Refusals those with verdict NotRun, and All
+	// Latency covers useful answers, Rejections those with verdict NotRun, and All
 	// every query, including unanswered ones.
 	Latency    Quantiles      `json:"latency"`
 	Rejections Quantiles      `json:"refusals"`
@@ -73,11 +73,11 @@
 
 // reportBuilder accumulates outcomes for a report.
 type reportBuilder struct {
-	report                 *Report
-	options                LoadOptions
-	useful, refusals, all  *hdrhistogram.Histogram
-	coverage, fullCoverage float64
-	measured, maxShards    int
+	report                  *Report
+	options                 LoadOptions
+	useful, rejections, all *hdrhistogram.Histogram
+	coverage, fullCoverage  float64
+	measured, maxShards     int
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -87,10 +87,10 @@
 
 func newReport(target string, options LoadOptions, outcomes []*outcome, notSent int, groups map[string]*executionSummary) *Report {
 	builder := &reportBuilder{
-		options:  options,
-		useful:   newHistogram(),
-		refusals: newHistogram(),
-		all:      newHistogram(),
+		options:    options,
+		useful:     newHistogram(),
+		rejections: newHistogram(),
+		all:        newHistogram(),
 		report: &Report{
 			Target:   target,
 			Rate:     options.Rate,
@@ -156,7 +156,7 @@
 		return
 	}
 	if outcome.status != 0 && outcome.verdict == verdict.NotRun {
-		record(builder.refusals, micros)
+		record(builder.rejections, micros)
 	}
 }
 
@@ -209,7 +209,7 @@
 	report.CoverageOfAll = builder.coverage / float64(max(1, builder.measured))
 	report.FullCoverage = builder.fullCoverage / float64(max(1, report.Useful))
 	report.Latency = quantiles(builder.useful)
-	report.Rejections = quantiles(builder.refusals)
+	report.Rejections = quantiles(builder.rejections)
 	report.All = quantiles(builder.all)
 	return report
 }
--- a/internal/lab/rollouts/trouble.go
+++ b/internal/lab/rollouts/fault.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// minTroubleStart and maxTroubleStart limit the random start of a trouble, as fractions of
+	// minFaultStart and maxFaultStart limit the random start of a fault, as fractions of
 	// the order's duration.
-	minTroubleStart, maxTroubleStart = 0.02, 0.4
-	// troubleShare is how long a trouble lasts, as a fraction of the order's duration, up to
-	// maxTroubleDuration.
-	troubleShare       = 0.35
-	maxTroubleDuration = 5 * time.Second
+	minFaultStart, maxFaultStart = 0.02, 0.4
+	// faultShare is how long a fault lasts, as a fraction of the order's duration, up to
+	// maxFaultDuration.
+	faultShare       = 0.35
+	maxFaultDuration = 5 * time.Second
 	// restartDelay is the time between killing a process and restarting it.
 	restartDelay = 500 * time.Millisecond
 	// slowFactor is how many times slower a slow server is.
@@ -35,7 +35,7 @@
 	links bool
 }
 
-// InjectedFaults are all kinds of trouble.
+// InjectedFaults are all kinds of faults.
 var InjectedFaults = []InjectedFault{
 	{Name: "none", Help: "nothing", inject: func(context.Context, *run, time.Duration) error { return nil }},
 	{Name: "slow-servers", Help: "one old and one new server are four times slower until the end", inject: slowDownServers},
@@ -51,27 +51,27 @@
 	{Name: "cut", Help: "the node that wrote the last status is partitioned from the store and the other nodes", inject: partitionDecider, links: true},
 }
 
-func findTrouble(name string) (InjectedFault, bool) {
-	for _, trouble := range InjectedFaults {
-		if trouble.Name == name {
-			return trouble, true
+func findFault(name string) (InjectedFault, bool) {
+	for _, fault := range InjectedFaults {
+		if fault.Name == name {
+			return fault, true
 		}
 	}
 	return InjectedFault{}, false
 }
 
-// injectTrouble waits for the start of the trouble and injects it.
-func (r *run) injectTrouble(ctx context.Context) error {
+// injectFault waits for the start of the fault and injects it.
+func (r *run) injectFault(ctx context.Context) error {
 	duration := r.options.Duration
 	part := r.options.FaultStart
 	if part < 0 {
-		part = minTroubleStart + (maxTroubleStart-minTroubleStart)*r.troubleStart
+		part = minFaultStart + (maxFaultStart-minFaultStart)*r.faultStart
 	}
 	if err := sleep(ctx, time.Duration(part*float64(duration))); err != nil {
 		return err
 	}
-	span := min(time.Duration(troubleShare*float64(duration)), maxTroubleDuration)
-	chosen, _ := findTrouble(r.options.Trouble)
+	span := min(time.Duration(faultShare*float64(duration)), maxFaultDuration)
+	chosen, _ := findFault(r.options.Trouble)
 	return chosen.inject(ctx, r, span)
 }
 
--- a/internal/lab/rollouts/fleet.go
+++ b/internal/lab/rollouts/fleet.go
@@ -32,9 +32,9 @@
 type node struct {
 	name                     string
 	address, readiness, peer string
-	// entrance is the node's own address of the store.
-	entrance *standin.Endpoint
-	// storeLink is the proxy to the entrance, peerLinks are those to the other nodes by
+	// endpoint is the node's own address of the store.
+	endpoint *standin.Endpoint
+	// storeLink is the proxy to the endpoint, peerLinks are those to the other nodes by
 	// their peer addresses; nil if the run needs no network partition.
 	storeLink *standin.Proxy
 	peerLinks map[string]*standin.Proxy
@@ -77,11 +77,11 @@
 }
 
 func newNode(index int, store *standin.Store) (*node, error) {
-	entrance, err := store.OpenEndpoint()
+	endpoint, err := store.OpenEndpoint()
 	if err != nil {
 		return nil, err
 	}
-	built := &node{name: fmt.Sprintf("node-%d", index), entrance: entrance}
+	built := &node{name: fmt.Sprintf("node-%d", index), endpoint: endpoint}
 	for _, address := range []*string{&built.address, &built.readiness, &built.peer} {
 		if *address, err = loopback.FreeAddress(); err != nil {
 			return nil, err
@@ -94,7 +94,7 @@
 func (f *fleet) openLinks() error {
 	for _, from := range f.nodes {
 		var err error
-		if from.storeLink, err = standin.NewProxy(from.entrance.Address()); err != nil {
+		if from.storeLink, err = standin.NewProxy(from.endpoint.Address()); err != nil {
 			return err
 		}
 		from.peerLinks = make(map[string]*standin.Proxy)
@@ -106,7 +106,7 @@
 				return err
 			}
 		}
-		from.entrance.SetView(from.view)
+		from.endpoint.SetView(from.view)
 	}
 	return nil
 }
@@ -152,7 +152,7 @@
 	if n.storeLink != nil {
 		return n.storeLink.Address()
 	}
-	return n.entrance.Address()
+	return n.endpoint.Address()
 }
 
 func zones() string {
@@ -198,7 +198,7 @@
 	for {
 		writer := f.store.LastWriter(standin.KindRollouts)
 		for index, candidate := range f.nodes {
-			if candidate.entrance == writer {
+			if candidate.endpoint == writer {
 				return index, nil
 			}
 		}
--- a/internal/lab/rollouts/options.go
+++ b/internal/lab/rollouts/options.go
@@ -23,15 +23,15 @@
 
 // Options describe one run.
 type Options struct {
-	// Version and Trouble are names of Versions and Troubles.
+	// Version and Trouble are names of Versions and InjectedFaults.
 	Version, Trouble string
 	Nodes            int
 	// Duration is the duration of the order.
 	Duration time.Duration
-	// Seed determines the arrivals, the start of the trouble, and the service with the rollout:
+	// Seed determines the arrivals, the start of the injected fault, and the service with the rollout:
 	// a shard if odd, the service without scatter-gather if even.
 	Seed uint64
-	// FaultStart is the start of the trouble as a fraction of the order's duration; negative for
+	// FaultStart is the start of the injected fault as a fraction of the order's duration; negative for
 	// one chosen by the seed.
 	FaultStart float64
 	// Binaries is the directory of driftrouter, Directory is where its logs are written.
@@ -41,11 +41,11 @@
 // Validate returns the first error of the options, or nil.
 func (o Options) Validate() error {
 	_, version := findVersion(o.Version)
-	_, trouble := findTrouble(o.Trouble)
+	_, found := findFault(o.Trouble)
 	switch {
 	case !version:
 		return errors.Newf("version: unknown kind %q", o.Version)
-	case !trouble:
+	case !found:
 		return errors.Newf("trouble: unknown kind %q", o.Trouble)
 	case o.FaultStart > 1:
 		return errors.New("trouble-at: want a fraction of the order's duration, up to 1")
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -98,7 +98,7 @@
 	return result
 }
 
-// check adds the violated bounds to Broken.
+// check adds the violated bounds to ViolatedBounds.
 func (r *Result) check() {
 	wanted := stateRolledBack
 	if r.Version == versionGood {
--- a/internal/lab/rollouts/run.go
+++ b/internal/lab/rollouts/run.go
@@ -34,8 +34,8 @@
 	fleet    *fleet
 	operator *operator
 	callers  *callers
-	// troubleStart is when the trouble begins, from 0 for minTroubleStart to 1 for maxTroubleStart.
-	troubleStart float64
+	// faultStart is when the injected fault begins, from 0 for minFaultStart to 1 for maxFaultStart.
+	faultStart float64
 }
 
 // Run runs a rollout and returns its result.
@@ -54,14 +54,14 @@
 	defer r.world.close()
 	version, _ := findVersion(options.Version)
 	r.operator = &operator{world: r.world, service: r.service, flaw: version.flaw(options.Duration, route)}
-	trouble, _ := findTrouble(options.Trouble)
-	r.fleet, err = startFleet(ctx, options, r.world.store, trouble.links)
+	fault, _ := findFault(options.Trouble)
+	r.fleet, err = startFleet(ctx, options, r.world.store, fault.links)
 	defer func() { err = errors.CombineErrors(err, r.stop()) }()
 	if err != nil {
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(options.Seed, 0))
-	r.troubleStart = random.Float64()
+	r.faultStart = random.Float64()
 	r.callers = &callers{nodes: r.fleet.nodes, random: random}
 	return r.execute(ctx)
 }
@@ -79,7 +79,7 @@
 	var group sync.WaitGroup
 	failures := make([]error, 2)
 	group.Go(func() { failures[0] = r.operator.run(playing) })
-	group.Go(func() { failures[1] = r.injectTrouble(playing) })
+	group.Go(func() { failures[1] = r.injectFault(playing) })
 	during := r.callers.run(ctx, r.options.Duration)
 	calls := storeCalls(r.world.store) - callsBefore
 	r.callers.run(ctx, time.Until(deadline.Add(deadlineGrace)))
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -17,7 +17,7 @@
 // appliedTimeout bounds the query of all members for the revision they hold.
 const appliedTimeout = 3 * time.Second
 
-// CountApplied implements controller.Spread.
+// CountApplied implements controller.Propagation.
 func (p propagation) CountApplied(service string, revision int64) (total, applied int, lagging []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), appliedTimeout)
 	defer cancel()
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -36,7 +36,7 @@
 	// Timeout bounds one request; zero means DefaultTimeout.
 	Timeout time.Duration
 	// WatchIdleTimeout is how long a watch may receive nothing, not even a bookmark,
-	// before it fails; zero means DefaultWatchIdle.
+	// before it fails; zero means DefaultWatchIdleTimeout.
 	WatchIdleTimeout time.Duration
 }
 
--- a/internal/query/types.go
+++ b/internal/query/types.go
@@ -80,13 +80,13 @@
 
 // Counts are a query's counters, for metrics.
 type Counts struct {
-	// First, Retries, Hedges and Restarted count attempts by purpose;
-	// Restarted counts first attempts at a second version.
+	// First, Retries, Hedges and Restarts count attempts by purpose;
+	// Restarts counts first attempts at a second version.
 	First    int
 	Retries  int
 	Hedges   int
 	Restarts int
-	// RetriesOverBudget and OutOfHedges count attempts not sent because the budget was empty.
+	// RetriesOverBudget and HedgesOverBudget count attempts not sent because the budget was empty.
 	RetriesOverBudget int
 	HedgesOverBudget  int
 	// StaleReplies counts replies dropped because their attempt was not pending.
--- a/internal/standin/backend/admin.go
+++ b/internal/standin/backend/admin.go
@@ -56,7 +56,7 @@
 //	GET  /record    executions as JSON lines; ?requestId=, ?queryHash=, ?server=
 //	DELETE /record  delete all executions
 //	GET  /counters  counters of each server
-//	POST /versions  AdvanceRequest: publish the next index version
+//	POST /versions  PublishRequest: publish the next index version
 //	POST /faults    Fault: set or clear a fault of one server
 func (fleet *Fleet) AdminHandler() fasthttp.RequestHandler {
 	routes := router.New()
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -113,7 +113,7 @@
 		return markUnsent(failedReply(ctx, call, Expired, verdict.NotRun, errors.New("no time left to send"))), false
 	}
 	if call.MaySend != nil && !call.MaySend() {
-		return markUnsent(Reply{Kind: NotPermitted, Verdict: verdict.NotRun, Err: errWithheld}), conn.used
+		return markUnsent(Reply{Kind: NotPermitted, Verdict: verdict.NotRun, Err: errNotPermitted}), conn.used
 	}
 	sent := c.send(conn, call, remaining)
 	if err := sent.syncError(); err != nil {
@@ -135,7 +135,7 @@
 	return reply, reusable
 }
 
-var errWithheld = errors.New("the server takes no more requests")
+var errNotPermitted = errors.New("the server takes no more requests")
 
 // dialErrorKind classifies a dial error. A reset while connecting means that the
 // server is at its connection limit; any other error means that it is unreachable.
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -124,9 +124,9 @@
 	answered := call(server, "id-1", "")
 	reply := newClient().Do(t.Context(), answered)
 	is.True(!reply.Unsent)
-	withheld := call(server, "id-2", "")
-	withheld.MaySend = func() bool { return false }
-	reply = newClient().Do(t.Context(), withheld)
+	notPermitted := call(server, "id-2", "")
+	notPermitted.MaySend = func() bool { return false }
+	reply = newClient().Do(t.Context(), notPermitted)
 	is.True(reply.Unsent)
 	expired := call(server, "id-3", "")
 	expired.Deadline = time.Now()
@@ -259,9 +259,9 @@
 func TestWithheldRequestIsNotSent(t *testing.T) {
 	is := is.New(t)
 	server := startServer(t, standin.ServerOptions{})
-	withheld := call(server, "id-1", "")
-	withheld.MaySend = func() bool { return false }
-	reply := newClient().Do(t.Context(), withheld)
+	notPermitted := call(server, "id-1", "")
+	notPermitted.MaySend = func() bool { return false }
+	reply := newClient().Do(t.Context(), notPermitted)
 	is.Equal(reply.Kind, upstream.NotPermitted)
 	is.Equal(reply.Verdict, verdict.NotRun)
 	is.Equal(len(server.Runs()), 0)
--- a/internal/wire/close_test.go
+++ b/internal/wire/close_test.go
@@ -10,7 +10,7 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// Guards against a data race on the connection of a peer: Close and Forget may run while
+// Guards against a data race on the connection of a peer: Close and Disconnect may run while
 // it is being dialed. Only the race detector finds it.
 func TestCloseWhileDialing(t *testing.T) {
 	for _, disconnect := range []func(*Client){
