--- a/cmd/driftctl/explain.go
+++ b/cmd/driftctl/explain.go
@@ -34,11 +34,11 @@
 		return fail(exitUsage, "%v", err)
 	}
 	defer closeAll()
-	story, err := explain.Read(source, request)
+	timeline, err := explain.Read(source, request)
 	if err != nil {
 		return err
 	}
-	found, err := story.Write(application.output)
+	found, err := timeline.Write(application.output)
 	if err == nil && !found {
 		return fail(exitNotFound, "no log line of request %q; ordinary requests are only sampled", request)
 	}
--- a/cmd/driftlab/failure.go
+++ b/cmd/driftlab/failure.go
@@ -99,11 +99,11 @@
 	}
 	err = errors.CombineErrors(err, <-asked)
 	err = errors.CombineErrors(err, router.stop())
-	story, readErr := explain.Read(&logs, failedRequestID)
+	timeline, readErr := explain.Read(&logs, failedRequestID)
 	if readErr != nil {
 		return errors.CombineErrors(err, readErr)
 	}
-	_, writeErr := story.Write(os.Stdout)
+	_, writeErr := timeline.Write(os.Stdout)
 	return errors.CombineErrors(err, writeErr)
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -48,16 +48,16 @@
 // Read collects the lines of the request. Text before the JSON object of a line is
 // ignored, since some log collectors add a prefix; other lines are skipped.
 func Read(source io.Reader, request string) (Timeline, error) {
-	story := Timeline{Request: request}
+	timeline := Timeline{Request: request}
 	scanner := bufio.NewScanner(source)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if line, found := parse(scanner.Bytes(), request); found {
-			story.Lines = append(story.Lines, line)
+			timeline.Lines = append(timeline.Lines, line)
 		}
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return story, scanner.Err()
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return timeline, scanner.Err()
 }
 
 // header holds the fields that every line of a request has.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,11 +18,11 @@
 
 func TestLinesOfAllNodesAreSortedByTime(t *testing.T) {
 	is := is.New(t)
-	story, err := Read(strings.NewReader(logs), "id-1")
+	timeline, err := Read(strings.NewReader(logs), "id-1")
 	is.NoErr(err)
-	is.Equal(len(story.Lines), 4)
+	is.Equal(len(timeline.Lines), 4)
 	var output strings.Builder
-	found, err := story.Write(&output)
+	found, err := timeline.Write(&output)
 	is.NoErr(err)
 	is.True(found)
 	lines := strings.Split(strings.TrimRight(output.String(), "\n"), "\n")
@@ -34,9 +34,9 @@
 
 func TestUnknownRequest(t *testing.T) {
 	is := is.New(t)
-	story, err := Read(strings.NewReader(logs), "id-3")
+	timeline, err := Read(strings.NewReader(logs), "id-3")
 	is.NoErr(err)
-	found, err := story.Write(&strings.Builder{})
+	found, err := timeline.Write(&strings.Builder{})
 	is.NoErr(err)
 	is.Equal(found, false)
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -85,8 +85,8 @@
 	if err := lab.WriteTable(writer, result.Reports); err != nil {
 		return err
 	}
-	for _, figure := range result.Figures {
-		if _, err := fmt.Fprintf(writer, "%s: %.3f %s\n", figure.Name, figure.Value, figure.Unit); err != nil {
+	for _, metric := range result.Figures {
+		if _, err := fmt.Fprintf(writer, "%s: %.3f %s\n", metric.Name, metric.Value, metric.Unit); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/experiment/overhead.go
+++ b/internal/lab/experiment/overhead.go
@@ -40,7 +40,7 @@
 		Figures: append([]Metric{
 			{"added p50", slope.light.Latency.P50 - direct.Latency.P50, "ms"},
 			{"added p99", slope.light.Latency.P99 - direct.Latency.P99, "ms"},
-		}, slope.figures()...),
+		}, slope.metrics()...),
 	}, nil
 }
 
@@ -67,7 +67,7 @@
 		Experiment: "throughput",
 		Service:    user.Service,
 		Reports:    []*lab.Report{slope.light, slope.heavy},
-		Figures:    slope.figures(),
+		Figures:    slope.metrics(),
 	}, nil
 }
 
@@ -94,7 +94,7 @@
 	return &slope{light: light, heavy: heavy, added: heavyTime - lightTime}, nil
 }
 
-func (slope *slope) figures() []Metric {
+func (slope *slope) metrics() []Metric {
 	added := float64(slope.added.Microseconds())
 	subRequests := slope.heavy.BackEnds.SubRequests - slope.light.BackEnds.SubRequests
 	return []Metric{
--- a/internal/lab/rollouts/options.go
+++ b/internal/lab/rollouts/options.go
@@ -28,11 +28,11 @@
 	Nodes            int
 	// Duration is the duration of the order.
 	Duration time.Duration
-	// Seed determines the arrivals, the start of the injected fault, and the service with the rollout:
-	// a shard if odd, the service without scatter-gather if even.
+	// Seed determines the arrivals, the start of the injected fault, and the service with the
+	// rollout: a shard if odd, the service without scatter-gather if even.
 	Seed uint64
-	// FaultStart is the start of the injected fault as a fraction of the order's duration; negative for
-	// one chosen by the seed.
+	// FaultStart is the start of the injected fault as a fraction of the order's duration;
+	// negative for one chosen by the seed.
 	FaultStart float64
 	// Binaries is the directory of driftrouter, Directory is where its logs are written.
 	Binaries, Directory string
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -141,11 +141,11 @@
 // lastSendAfterFiftiethBad returns the time in seconds from the 50th bad answer to the last
 // request; nil if there are fewer.
 func lastSendAfterFiftiethBad(runs []standin.Run) *float64 {
-	flawed := slices.DeleteFunc(slices.Clone(runs), func(ran standin.Run) bool { return !ran.Affected })
-	if len(flawed) < minBadAnswers {
+	affected := slices.DeleteFunc(slices.Clone(runs), func(ran standin.Run) bool { return !ran.Affected })
+	if len(affected) < minBadAnswers {
 		return nil
 	}
-	return inSeconds(runs[len(runs)-1].At.Sub(flawed[minBadAnswers-1].At))
+	return inSeconds(runs[len(runs)-1].At.Sub(affected[minBadAnswers-1].At))
 }
 
 // inSeconds returns the span in seconds, truncated to milliseconds.
--- a/internal/standin/backend/status.go
+++ b/internal/standin/backend/status.go
@@ -118,12 +118,12 @@
 	if before.RequestID != "" && before.RequestID != reply.RequestID {
 		return before
 	}
-	foreign := Reply{RequestID: "another-request", Snapshot: reply.Snapshot}
+	wrong := Reply{RequestID: "another-request", Snapshot: reply.Snapshot}
 	for _, part := range reply.Parts {
-		part.Body.RequestID = foreign.RequestID
+		part.Body.RequestID = wrong.RequestID
 		part.Body.Server = server
 		part.Body.QueryHash = Hash(nil)
-		foreign.Parts = append(foreign.Parts, part)
+		wrong.Parts = append(wrong.Parts, part)
 	}
-	return foreign
+	return wrong
 }
--- a/test/soak/crash_world_test.go
+++ b/test/soak/crash_world_test.go
@@ -136,7 +136,7 @@
 		ID: id, Service: service, Zone: zoneName(zone), ServiceTime: serverWork, Address: address,
 		Body:    []byte(record(service, "common") + record(service, "own")),
 		CrashOn: func(request *http.Request, _ string) standin.Crash { return w.crashOn(service, request) },
-		OnCrash: func(ended *standin.Server) { w.restartServer(ended, service, zone) },
+		OnCrash: func(crashed *standin.Server) { w.restartServer(crashed, service, zone) },
 	})
 	if err != nil {
 		w.Error(err)
@@ -163,10 +163,10 @@
 func crashesServers(path string) bool { return strings.Contains(path, crashPrefix) }
 
 // restartServer restarts a crashed server with another id, and removes the earlier entry on expiry.
-func (w *crashWorld) restartServer(ended *standin.Server, service string, zone int) {
-	time.AfterFunc(entryExpiry, func() { w.store.Remove("servers", ended.ID()) })
+func (w *crashWorld) restartServer(crashed *standin.Server, service string, zone int) {
+	time.AfterFunc(entryExpiry, func() { w.store.Remove("servers", crashed.ID()) })
 	time.AfterFunc(crashRestartDelay, func() {
-		address := ended.Address()
+		address := crashed.Address()
 		if w.topology.crashKind == standin.CrashHang {
 			address = ""
 		}
--- a/test/soak/restore_test.go
+++ b/test/soak/restore_test.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// backupInterval is the time between two copies of the store, maxBackups the number kept.
+	// backupInterval is the time between two backups of the store, maxBackups the number kept.
 	backupInterval = 500 * time.Millisecond
 	maxBackups     = 40
 	// maxStoreOutage is the longest outage of the store before it is restored.
@@ -57,7 +57,7 @@
 	randomDuration := func(longest time.Duration) time.Duration {
 		return time.Duration(random.IntN(int(longest/time.Millisecond))) * time.Millisecond
 	}
-	var copies []standin.Backup
+	var backups []standin.Backup
 	due := time.Now().Add(randomDuration(8 * time.Second))
 	for {
 		select {
@@ -65,8 +65,8 @@
 			return
 		case <-time.After(backupInterval):
 		}
-		copies = append(copies, world.store.Backup())
-		copies = copies[max(len(copies)-maxBackups, 0):]
+		backups = append(backups, world.store.Backup())
+		backups = backups[max(len(backups)-maxBackups, 0):]
 		if time.Now().Before(due) {
 			continue
 		}
@@ -76,8 +76,8 @@
 		if random.IntN(3) > 0 {
 			time.Sleep(randomDuration(maxStoreOutage))
 		}
-		world.store.Restore(copies[random.IntN(len(copies))])
-		copies = nil
+		world.store.Restore(backups[random.IntN(len(backups))])
+		backups = nil
 		world.store.SetFaults(standin.StoreFaults{})
 		rewriteLost(world, randomDuration)
 	}
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -112,7 +112,7 @@
 			}
 			return standin.CrashNone
 		},
-		OnCrash: func(ended *standin.Server) { world.replaceServer(t, random, ended, service, index) },
+		OnCrash: func(crashed *standin.Server) { world.replaceServer(t, random, crashed, service, index) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -133,9 +133,9 @@
 }
 
 // replaceServer starts a replacement with another id in the same zone for a crashed server.
-func (world *world) replaceServer(t *testing.T, random *lockedRandom, ended *standin.Server, service string, index int) {
+func (world *world) replaceServer(t *testing.T, random *lockedRandom, crashed *standin.Server, service string, index int) {
 	time.Sleep(serverRestartDelay)
-	world.store.Remove("servers", ended.ID())
+	world.store.Remove("servers", crashed.ID())
 	world.mutex.Lock()
 	closed := world.closed
 	world.mutex.Unlock()
