--- a/internal/catalog/backoff.go
+++ b/internal/catalog/backoff.go
@@ -13,14 +13,14 @@
 	maxBackoff            = 800 * time.Millisecond
 	maxInitialListBackoff = 400 * time.Millisecond
 	// backoffPerNode bounds the load of many nodes on a failing store: the maximum delay grows by
-	// it for each node, up to maxSharedBackoff. Together with a watch that hangs, maxSharedBackoff
-	// stays below the shortest time in which a deployment expects a node to recover from an outage
-	// (5 s, contactMs of the smaller deployments).
+	// it for each node, up to maxSharedBackoff. maxSharedBackoff plus the time of a watch that hangs
+	// is below the shortest time in which a deployment expects a node to recover from an outage (5 s,
+	// contactMs of the smaller deployments).
 	backoffPerNode   = 25 * time.Millisecond
 	maxSharedBackoff = 2400 * time.Millisecond
-	// catchUpWaitPerNode is what each node adds to the longest time for which followers wait for a
-	// peer whose data is outdated, up to maxCatchUpWait: if the store is unavailable for a moment,
-	// all of them would otherwise call it at once. Each waits for a random part of that time.
+	// catchUpWaitPerNode times the number of nodes, up to maxCatchUpWait, is the longest time for
+	// which a follower waits for a peer whose data is outdated. Each follower waits for a random
+	// part of it; otherwise all of them would call a store that was briefly unavailable at once.
 	catchUpWaitPerNode = 1200 * time.Microsecond
 	maxCatchUpWait     = 1200 * time.Millisecond
 	// maxSleep bounds a wait for the next call: another feed or another node may have reached the
@@ -33,13 +33,13 @@
 	// disconnected. It is longer than other nodes take to notice that they are not up to date
 	// (maxContactAge).
 	disconnectedAfter = 2 * time.Second
-	// failuresAfterRecovery replaces the number of failures when the store seems to be reachable
-	// again: the delays grow from the second one on.
+	// failuresAfterRecovery is the maximum of the failure count once the store seems to be reachable
+	// again: the delays grow again from the second one on.
 	failuresAfterRecovery = 2
-	// maxContactAge is the maximum age of the latest data of the store for the node to count as up
+	// maxDataAge is the maximum age of the latest data of the store for the node to count as up
 	// to date. It exceeds the age of what a follower receives from a node (relayWait plus the age
 	// of that node's data).
-	maxContactAge = 1500 * time.Millisecond
+	maxDataAge = 1500 * time.Millisecond
 )
 
 // Backoff spaces the calls to a failing store for all feeds of a node together: one call probes the
@@ -56,7 +56,7 @@
 	recovered chan struct{}
 }
 
-// SetCallers sets the number of nodes that call the store.
+// SetCallers sets the number of nodes that may call the store.
 func (b *Backoff) SetCallers(count int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -99,7 +99,8 @@
 	b.failures = 0
 }
 
-// StoreRestored records that the store was restored from a backup: all feeds read it again immediately.
+// StoreRestored records that the store was restored from a backup: all feeds read it again
+// immediately.
 func (b *Backoff) StoreRestored() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -143,8 +144,8 @@
 	return b.recovered
 }
 
-// DataReceived records that a feed holds the data of the store as of a time. If the node was disconnected,
-// its other feeds take that as a sign that the store is reachable again.
+// DataReceived records that a feed holds the data that the store had at the time asOf. If the node
+// was disconnected, its other feeds take this as a sign that the store is reachable again.
 func (b *Backoff) DataReceived(asOf, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -160,7 +161,7 @@
 func (b *Backoff) UpToDate(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return now.Sub(b.dataAt) < maxContactAge
+	return now.Sub(b.dataAt) < maxDataAge
 }
 
 // Failing reports whether the latest call to the store has failed.
@@ -170,8 +171,8 @@
 	return b.failures > 0
 }
 
-// TransientFailure returns how long to wait before the next call, and true, if calls began to fail so
-// recently that the store may only have been unavailable for a moment.
+// TransientFailure returns how long to wait before the next call, and true, if calls began to fail
+// so recently that the store may only have been unavailable for a moment.
 func (b *Backoff) TransientFailure(now time.Time) (wait time.Duration, transient bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -185,10 +186,10 @@
 	return b.failures > 0 && now.Sub(b.failingSince) < outageThreshold
 }
 
-// CatchUpWait returns how long to wait for a peer whose data is outdated: a random time if no call has
-// failed, until this node's next call if calls have just begun to fail, and not at all once they have
-// failed for outageThreshold. A store that some nodes cannot reach may be reachable for others, which
-// have to be found.
+// CatchUpWait returns how long to wait for a peer whose data is outdated: a random time if no call
+// has failed, until this node's next call if calls have just begun to fail, and not at all once
+// they have failed for outageThreshold. A store that some nodes cannot reach may be reachable for
+// others, which have to be found.
 func (b *Backoff) CatchUpWait(now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -202,8 +203,8 @@
 	return 0
 }
 
-// Disconnected reports whether calls to the store have failed for a while and no other node has provided
-// data instead.
+// Disconnected reports whether calls to the store have failed for a while and no other node has
+// provided data instead.
 func (b *Backoff) Disconnected(now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/catalog/backoff_test.go
+++ b/internal/catalog/backoff_test.go
@@ -14,7 +14,7 @@
 	now := time.Unix(100, 0)
 	var backoff Backoff
 	is.Equal(backoff.Reserve(now), time.Duration(0))
-	is.Equal(backoff.Reserve(now), time.Duration(0)) // no failure, no pause
+	is.Equal(backoff.Reserve(now), time.Duration(0)) // no delay without a failure
 	backoff.Failed(now)
 	is.True(backoff.Reserve(now) > 0)
 	now = now.Add(initialBackoff)
@@ -84,8 +84,8 @@
 	})
 }
 
-// Guards against nodes that wait for each other while only some of them are cut off from the store,
-// so that none of them reaches a node that still has current data.
+// Guards against nodes that cannot reach the store and wait for each other, so that none of them
+// finds a node that still has current data.
 func TestNoCatchUpWaitDuringOutage(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -18,8 +18,8 @@
 	Value      T
 }
 
-// DecodeFailure describes an object of a feed that cannot be decoded, for example because another client
-// wrote it.
+// DecodeFailure describes an object of a feed that cannot be decoded, for example because another
+// client wrote it.
 type DecodeFailure struct {
 	// Name is empty if not even the name can be read.
 	Name  string
@@ -37,7 +37,7 @@
 	Next string
 }
 
-// Changes are the changes of a kind of objects up to a revision.
+// Changes holds the changes of one kind of objects up to a revision.
 type Changes[T any] struct {
 	Changes []Change[T]
 	// DecodeFailures are the changed objects that cannot be decoded.
@@ -108,9 +108,9 @@
 	Watcher[T]
 }
 
-// StaleLister is a feed whose first list may lag behind the store, which costs a tenth. It is for
-// kinds of which later changes matter more than the state at startup: the lag ends when the store
-// works normally again, as that of a stale watch does.
+// StaleLister is a feed whose first list may lag behind the store, which costs a tenth of a fresh
+// list. It is for kinds whose later changes matter more than the state at startup. As with a stale
+// watch, the lag ends when the store works normally again.
 type StaleLister[T any] interface {
 	// ListStale is List without the guarantee that the result is not older than the call.
 	ListStale(ctx context.Context, after string) (Page[T], error)
@@ -118,8 +118,8 @@
 
 // Watcher returns the changes of one kind of objects.
 type Watcher[T any] interface {
-	// Watch returns the changes after a revision as soon as there are any, or none after
-	// request.Wait.
+	// Watch returns the changes after request.After as soon as there are any, or none once
+	// request.Wait has passed.
 	Watch(ctx context.Context, request WatchRequest) (Changes[T], error)
 }
 
@@ -136,8 +136,8 @@
 	StoreFailed()
 	// HasFollowers reports whether other nodes follow this one.
 	HasFollowers() bool
-	// IsReader reports whether this node calls the store even while the store answers, so that it
-	// follows no peer.
+	// IsReader reports whether this node is one of the few that read the store and follow no peer
+	// while the store is available.
 	IsReader() bool
 }
 
@@ -146,8 +146,8 @@
 	// Replace sets the full state. After an outage of the store the list may lack objects that
 	// expired during the outage and will be written again soon.
 	Replace(items []T, afterOutage bool)
-	// Resumed is called when changes continue after an outage without a new list. Objects may then
-	// be removed that expired during the outage and will be written again soon.
+	// Resumed is called when changes continue after an outage without a new list. The changes may
+	// remove objects that expired during the outage and will be written again soon.
 	Resumed()
 	Apply(change Change[T])
 }
--- a/internal/catalog/era.go
+++ b/internal/catalog/era.go
@@ -15,11 +15,11 @@
 type Era uint32
 
 const (
-	// MaxBackupAge is above the age of any backup from which the store may be restored: writes of
-	// that time may be lost with a restore.
+	// MaxBackupAge is above the age of any backup from which the store may be restored: a restore
+	// may lose the writes made within this time before it.
 	MaxBackupAge = time.Minute
-	// OperatorRewriteTime is how long after a restore the store may lack objects that operators have
-	// written and still hold objects that they have removed: they repeat both within this time.
+	// OperatorRewriteTime is how long after a restore the store may lack objects that operators wrote
+	// and hold objects that they removed: operators repeat these changes within this time.
 	OperatorRewriteTime = 10 * time.Second
 )
 
@@ -29,7 +29,7 @@
 type Revision uint64
 
 const (
-	// numberBits are the low bits, which hold the store's counter; the bits above hold the era.
+	// numberBits is the number of low bits, which hold the store's counter; the others hold the era.
 	numberBits = 40
 	// MaxEra and MaxNumber are the largest values that fit into a Revision.
 	MaxEra    = Era(1<<(64-numberBits) - 1)
@@ -48,12 +48,12 @@
 // Number returns the store's counter.
 func (r Revision) Number() uint64 { return uint64(r) & MaxNumber }
 
-// EarlierEraThan reports whether the revision is of an earlier era than the other. No changes lead from
-// one era to another.
+// EarlierEraThan reports whether the revision is of an earlier era than the other. No changes lead
+// from one era to another.
 func (r Revision) EarlierEraThan(other Revision) bool { return r.Era() < other.Era() }
 
-// EraTracker tracks the latest era that a node has seen, in answers of the store or of a peer. The zero
-// value has seen none. It is safe for concurrent use.
+// EraTracker tracks the latest era that a node has seen, in answers of the store or of a peer. The
+// zero value has seen none. It is safe for concurrent use.
 type EraTracker struct {
 	latest atomic.Uint32
 
@@ -104,8 +104,8 @@
 // Latest returns the latest era.
 func (e *EraTracker) Latest() Era { return Era(e.latest.Load()) }
 
-// OnRestore adds a function that is called, before Observe returns, with each era that is later than a
-// known one. It must not block or call methods of the EraTracker.
+// OnRestore adds a function that Observe calls, before it returns, with each era that follows a
+// known one. The function must not block or call methods of the EraTracker.
 func (e *EraTracker) OnRestore(restored func(Era)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/catalog/follow.go
+++ b/internal/catalog/follow.go
@@ -7,8 +7,9 @@
 	"k8s.io/klog/v2"
 )
 
-// followPeer takes changes from another node. It returns false if there is none to follow or none
-// answers: then the store must be called immediately.
+// followPeer takes changes from another node. It returns false if the store must be called now:
+// there is no peer to follow, no peer answers, or this node has to check whether the store is
+// available.
 func (f *Follower[T]) followPeer(ctx context.Context) bool {
 	if f.relay == nil {
 		return false
@@ -23,7 +24,7 @@
 		if f.watchPeer(ctx, source, wait) {
 			return !probe
 		}
-		if !f.backoff.Failing() || time.Since(start) > quickRefusal {
+		if !f.backoff.Failing() || time.Since(start) > maxRefusalTime {
 			return false
 		}
 	}
@@ -31,7 +32,7 @@
 }
 
 // peerWait returns how long a peer may wait for changes, and whether the store is to be called as
-// well: if the store is unavailable for a moment, the nodes that read it must not all wait for each
+// well: if the store is briefly unavailable, the nodes that read it must not all wait for each
 // other.
 func (f *Follower[T]) peerWait() (wait time.Duration, probe bool) {
 	if wait, transient := f.backoff.TransientFailure(time.Now()); transient && f.relay.IsReader() {
@@ -40,7 +41,8 @@
 	return relayWait, false
 }
 
-// watchPeer takes changes from one node. It returns false if that node has none to offer.
+// watchPeer takes changes from one peer. It returns false if the peer does not answer or if its
+// answer does not continue the known state.
 func (f *Follower[T]) watchPeer(ctx context.Context, source Watcher[T], wait time.Duration) bool {
 	request := WatchRequest{After: f.revision, Wait: wait, CatchUpWait: f.catchUpWait()}
 	ctx, cancel := context.WithTimeout(ctx, max(relayWait, request.CatchUpWait)+relayGrace)
--- a/internal/catalog/follower.go
+++ b/internal/catalog/follower.go
@@ -14,9 +14,9 @@
 	watchWait = 3 * time.Second
 	// watchGrace is how much longer than watchWait a watch may take before it times out.
 	watchGrace = 900 * time.Millisecond
-	// freshInterval is the time between two watches that must not be stale. The others may be,
-	// which costs a tenth: the store's lag is small in normal operation, and this interval bounds
-	// the effect of a larger one.
+	// freshInterval is the time between two watches that must not be stale. The others may be stale
+	// and cost a tenth: the store's lag is small in normal operation, and this interval bounds the
+	// effect of a larger one.
 	freshInterval = 14 * time.Second
 	// relayWait replaces watchWait if other nodes follow this one: it bounds the age of the data
 	// that they receive.
@@ -27,9 +27,9 @@
 	// relayFreshInterval replaces freshInterval if other nodes follow this one.
 	relayFreshInterval = 5 * time.Second
 	// maxPeersTried is how many peers are tried in a row while the store does not answer, as long
-	// as each reports within quickRefusal that its data is outdated too.
-	maxPeersTried = 2
-	quickRefusal  = 100 * time.Millisecond
+	// as each one refuses within maxRefusalTime because its data is outdated too.
+	maxPeersTried  = 2
+	maxRefusalTime = 100 * time.Millisecond
 	// failuresBeforeRelist is the number of failed calls after which the state is listed again, in
 	// case the store answers but cannot continue from the known revision.
 	failuresBeforeRelist = 12
@@ -45,7 +45,8 @@
 	minRelistInterval = time.Second
 )
 
-// Observer counts calls. Its methods do not block.
+// Observer is notified of calls to the store and of objects that cannot be decoded. Its methods do
+// not block.
 type Observer interface {
 	// StoreCalled is called at the end of each call for the feed.
 	StoreCalled(feed string, err error)
@@ -68,7 +69,7 @@
 	failures           int
 	// outcome is that of the latest call.
 	outcome Outcome
-	// outage is set while the store has not answered since the latest list.
+	// outage is set from a failed call to the store until a call to the store or a peer succeeds.
 	outage bool
 	// freshAt is when the state was last known not to be stale.
 	freshAt time.Time
@@ -104,8 +105,8 @@
 // UseEraTracker lets the followers of a node's feeds track the same era.
 func (f *Follower[T]) UseEraTracker(eras *EraTracker) { f.eras = eras }
 
-// SetBatchDelay sets the delay after a number of changes, in which further changes accumulate: one call
-// for all of them costs as much as one for each. The delay ends early once ended is closed.
+// SetBatchDelay sets the delay after a number of changes, in which further changes accumulate: one
+// call for all of them costs as much as one for each. The delay ends early once ended is closed.
 func (f *Follower[T]) SetBatchDelay(delay func(changes int) time.Duration, ended <-chan struct{}) {
 	f.batchDelay, f.batchDelayEnd = delay, ended
 }
@@ -154,9 +155,9 @@
 	return f.fromEarlierEra() && !f.backoff.Failing() && (f.relay == nil || f.relay.IsReader())
 }
 
-// defersList reports whether a list that is due is left to the nodes that this one follows: if the
-// store discards its history, not all nodes may list it at once. Those nodes list it soon and pass
-// on the changes.
+// defersList reports whether this node leaves a list that is due to the nodes that it follows, which
+// list soon and pass on the changes: if the store discards its history, the nodes must not all list
+// it at once.
 func (f *Follower[T]) defersList() bool {
 	restored := f.fromEarlierEra()
 	if f.listed || f.handover == nil && !restored || f.mustReadRestored() || f.revision == 0 || f.relay == nil {
@@ -216,7 +217,7 @@
 	}
 	f.outage = false
 	f.sink.Resumed()
-	// What the store returned before may have been stale: the next watch must not be.
+	// The answer that ended the outage may have been stale, so the next watch must not be.
 	f.freshAt = time.Time{}
 }
 
@@ -266,8 +267,8 @@
 	return nil
 }
 
-// nextWatch returns the next request: a cheap one that does not wait if it is not known whether the
-// store is reachable again.
+// nextWatch returns the next request. While the store may still be unreachable, it is one that does
+// not wait and may be stale, which is cheaper.
 func (f *Follower[T]) nextWatch() WatchRequest {
 	if f.outage || f.backoff.Failing() {
 		return WatchRequest{After: f.revision, Stale: true}
--- a/internal/catalog/follower_test.go
+++ b/internal/catalog/follower_test.go
@@ -32,6 +32,7 @@
 	staleBehind Revision
 	// delay is the time that each page takes.
 	delay time.Duration
+	// lists, fresh and stale count the pages listed and the watches that must not or may be stale.
 	lists int
 	fresh int
 	stale int
@@ -268,8 +269,8 @@
 	})
 }
 
-// While the store is unavailable, only cheap calls check whether it has recovered. Then changes
-// continue from the known revision without a list.
+// While the store is unavailable, only stale watches check whether it has recovered. After that,
+// changes continue from the known revision without a list.
 func TestStaleWatchesProbeUnavailableStore(t *testing.T) {
 	runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 		var fresh, stale int
@@ -288,7 +289,7 @@
 	})
 }
 
-// A cheap call may be stale: the first call after an outage is followed by one that may not.
+// The watch that ends an outage may be stale, so it is followed by one that may not.
 func TestFreshWatchAfterOutage(t *testing.T) {
 	runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 		feed.configure(func() { feed.fail = true })
@@ -329,8 +330,8 @@
 	}
 }
 
-// A node without any state sends another list beside one that hangs: a store that has recovered
-// answers the newer call.
+// A node without any state sends another list while one hangs: a store that has recovered answers
+// the newer call.
 func TestFirstListIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -347,10 +348,10 @@
 	})
 }
 
-// A call that hangs times out early enough for the configuration to be in force five seconds after
-// the end of the fault.
+// A call that hangs times out early enough for changes to be applied within five seconds after the
+// end of the fault.
 func TestHangingStoreIsRetriedInTime(t *testing.T) {
-	const contact = 5 * time.Second
+	const recoveryBound = 5 * time.Second
 	for delay := time.Duration(0); delay < 6*time.Second; delay += 250 * time.Millisecond {
 		runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 			time.Sleep(delay)
@@ -358,7 +359,7 @@
 			time.Sleep(4500 * time.Millisecond)
 			feed.set("main", "two")
 			feed.configure(func() { feed.hang = false })
-			time.Sleep(contact)
+			time.Sleep(recoveryBound)
 			is.Equal(sink.get(), "two")
 		})
 	}
@@ -372,7 +373,7 @@
 		time.Sleep(freshInterval + watchWait)
 		is.Equal(sink.get(), "two")
 		feed.configure(func() {
-			is.True(feed.stale > 3*feed.fresh) // most calls are the cheap ones
+			is.True(feed.stale > 3*feed.fresh) // most watches may be stale
 		})
 	})
 }
@@ -396,13 +397,13 @@
 	})
 }
 
-// A store that was unresponsive is read again soon after it answers.
-func TestRecoveryAfterSilence(t *testing.T) {
-	for silence := 4 * time.Second; silence < 12*time.Second; silence += 300 * time.Millisecond {
+// A store whose calls hung is read again soon after it answers.
+func TestRecoveryAfterHang(t *testing.T) {
+	for hang := 4 * time.Second; hang < 12*time.Second; hang += 300 * time.Millisecond {
 		runFollower(t, func(is *is.I, feed *memoryFeed, sink *memorySink) {
 			feed.configure(func() { feed.hang = true })
 			feed.set("main", "two")
-			time.Sleep(silence)
+			time.Sleep(hang)
 			feed.configure(func() { feed.hang = false })
 			time.Sleep(pageTimeout + maxBackoff + time.Millisecond)
 			is.Equal(sink.get(), "two")
--- a/internal/catalog/handover_test.go
+++ b/internal/catalog/handover_test.go
@@ -20,15 +20,15 @@
 }
 
 // Nodes that start together each read a bounded part of a long list: what they read from the store
-// grows with their number, not with the product of nodes and objects.
+// in total grows with their number, not with the product of nodes and objects.
 func TestLongListIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const nodes, pages = 60, 50
 		feed := longFeed(pages)
-		whole := Page[string]{Revision: feed.revision} // no other goroutine runs yet
+		full := Page[string]{Revision: feed.revision} // no other goroutine runs yet
 		for index := range pages * pageSize {
-			whole.Items = append(whole.Items, fmt.Sprint("value-", index))
+			full.Items = append(full.Items, fmt.Sprint("value-", index))
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -41,7 +41,7 @@
 		time.Sleep(time.Second)
 		is.Equal(feed.listed(), nodes*maxOwnPages)
 		for index := range handovers {
-			handovers[index].Put(whole, time.Now())
+			handovers[index].Put(full, time.Now())
 		}
 		time.Sleep(time.Second)
 		is.Equal(feed.listed(), nodes*maxOwnPages)
@@ -117,13 +117,14 @@
 	return m.lists
 }
 
-// count returns the size of the latest list, latest the latest object.
+// count returns the size of the latest list.
 func (m *memorySink) count() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.size
 }
 
+// latest returns the first object of the latest list or, if it came later, the latest change.
 func (m *memorySink) latest() string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/catalog/list.go
+++ b/internal/catalog/list.go
@@ -20,9 +20,9 @@
 	// waits for another node to hand over all of it: what all nodes together read from the store
 	// must not grow with the product of nodes and objects.
 	maxOwnPages = 4
-	// handoverWait plus a random part of handoverJitter is how long it waits: if no node can hand
-	// over the list, only few nodes read it at first. maxHandoverAge is the maximum age of that
-	// state: the store must still have the history since then.
+	// handoverWait plus a random part of handoverJitter is how long such a node waits: if no node
+	// can hand over the list, only few nodes read it at first. maxHandoverAge is the maximum age of
+	// the state handed over: the store must still have the history since then.
 	handoverWait   = 3 * time.Second
 	handoverJitter = 9 * time.Second
 	maxHandoverAge = 10 * time.Second
@@ -123,8 +123,8 @@
 	return page, asOf, true
 }
 
-// firstPage reads the first page. Requests wait for the first list of a node that has just started,
-// so that it does not depend on one call that may hang.
+// firstPage reads the first page. A node that has just started hedges the call, which may hang:
+// requests wait for its first list.
 func (f *Follower[T]) firstPage(ctx context.Context) (Page[T], error) {
 	read := func(ctx context.Context) (Page[T], error) { return f.readPage(ctx, "") }
 	if f.revision > 0 {
@@ -141,8 +141,8 @@
 	})
 }
 
-// lister returns the call that reads a page. The known state must not go back in time, so that only
-// a node without any state uses a list that may be stale.
+// lister returns the call that reads a page. The known state must not go back in time, so only a
+// node without any state uses a list that may be stale.
 func (f *Follower[T]) lister() func(context.Context, string) (Page[T], error) {
 	if feed, ok := f.feed.(StaleLister[T]); ok && f.revision == 0 {
 		return feed.ListStale
--- a/internal/catalog/log.go
+++ b/internal/catalog/log.go
@@ -7,14 +7,14 @@
 	// regardless.
 	maxChanges = 512
 	// minRetention is how long changes are kept regardless of their number: several times the
-	// interval between two requests of a follower. If many servers end at once, no follower needs
-	// the full state because of that.
+	// interval between two requests of a follower, so that a burst of changes, as when many servers
+	// end at once, does not make followers take the full state.
 	minRetention = 5 * time.Second
 )
 
-// ChangeLog keeps the latest changes of a kind of objects, so that other nodes can follow them without
-// calling the store. The zero value is an empty log. It does no I/O, reads no clock and is not safe
-// for concurrent use.
+// ChangeLog keeps the latest changes of a kind of objects, so that other nodes can follow them
+// without calling the store. The zero value is an empty log. It does no I/O, reads no clock and is
+// not safe for concurrent use.
 type ChangeLog[T any] struct {
 	batches []batch[T]
 	// base is the revision before the first batch, last the one after the latest batch.
--- a/internal/catalog/log_test.go
+++ b/internal/catalog/log_test.go
@@ -82,8 +82,8 @@
 	is.Equal(len(got.Changes), 1)
 }
 
-// Many servers of a fleet of thousands end at once: followers that request the changes in time get
-// them.
+// When many of thousands of servers end at once, followers that request the changes in time get all
+// of them.
 func TestLogKeepsBurst(t *testing.T) {
 	is := is.New(t)
 	var log ChangeLog[string]
@@ -99,5 +99,5 @@
 	is.NoErr(err)
 	is.Equal(len(got.Changes), bursts*each)
 	log.Append(bursts, changesTo(bursts+1, "one"), epoch.Add(time.Minute))
-	is.Equal(log.size, 1) // every follower that is still there has requested them by now
+	is.Equal(log.size, 1) // every live follower has requested the others by now
 }
--- a/internal/catalog/recovery_test.go
+++ b/internal/catalog/recovery_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// The first feed that gets an answer ends the waits of the others, also of those whose call was
-// sent before and hangs.
+// The first feed that gets an answer ends the delays of the other feeds and cancels their calls that
+// hang.
 func TestFirstAnswerEndsWaitOfAllFeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -129,8 +129,8 @@
 	is.True(!backoff.Disconnected(now))
 	is.True(!backoff.UpToDate(now))
 	backoff.DataReceived(now, now)
-	is.True(backoff.UpToDate(now.Add(maxContactAge / 2)))
-	is.True(!backoff.UpToDate(now.Add(maxContactAge)))
+	is.True(backoff.UpToDate(now.Add(maxDataAge / 2)))
+	is.True(!backoff.UpToDate(now.Add(maxDataAge)))
 	is.True(!backoff.Disconnected(now.Add(time.Hour))) // no call has failed
 	backoff.Failed(now)
 	is.True(!backoff.Disconnected(now.Add(disconnectedAfter / 2)))
@@ -149,7 +149,7 @@
 	var backoff Backoff
 	backoff.SetCallers(manyNodes)
 	backoff.RetryNow(now)
-	is.True(!backoff.Failing()) // no call has failed: nothing to end
+	is.True(!backoff.Failing()) // no effect: no call has failed
 	for range 20 {
 		backoff.Failed(now)
 	}
@@ -163,8 +163,9 @@
 	is.True(wait <= 2*initialBackoff)
 }
 
-// Data that one feed receives after a silence is such a sign for the other feeds of the node.
-func TestDataAfterSilenceIsRecoverySign(t *testing.T) {
+// Data that one feed receives while the node is disconnected is a sign for its other feeds that the
+// store has recovered.
+func TestDataWhileDisconnectedIsRecoverySign(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var backoff Backoff
@@ -197,8 +198,8 @@
 	return Changes[string]{Revision: request.After}, ctx.Err()
 }
 
-// runFor runs the follower for a time, calls look, and returns when the follower has ended.
-func runFor(t *testing.T, follower *Follower[string], duration time.Duration, look func()) {
+// runFor runs the follower for a time, calls check, and returns when the follower has ended.
+func runFor(t *testing.T, follower *Follower[string], duration time.Duration, check func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -206,7 +207,7 @@
 		close(ended)
 	}()
 	time.Sleep(duration)
-	look()
+	check()
 	cancel()
 	<-ended
 }
--- a/internal/catalog/relay_test.go
+++ b/internal/catalog/relay_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// memoryRelay follows a feed that stands for a peer.
+// memoryRelay offers one feed as the peer to follow.
 type memoryRelay struct {
 	mutex     sync.Mutex
 	source    *memoryFeed
@@ -113,7 +113,7 @@
 	}
 }
 
-// An answer of a peer is not an answer of the store.
+// Answers of a peer do not count as calls to the store.
 func TestPeerAnswersAreNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, other, calls := newMemoryFeed(), newMemoryFeed(), &countingObserver{}
@@ -183,7 +183,7 @@
 	})
 }
 
-// diffSink returns one change for each object that the list has more.
+// diffSink returns one change for each object of the list beyond the number that it holds.
 type diffSink struct{ memorySink }
 
 func (d *diffSink) Diff(items []string) []Change[string] {
@@ -227,8 +227,8 @@
 	})
 }
 
-// When a list is due because the store has discarded its history, nodes that follow others leave it
-// to those, and list themselves if those do not answer.
+// When a list is due because the store has discarded its history, a node leaves it to the nodes that
+// it follows, and lists itself only if they do not answer.
 func TestRelistIsDeferredToPeers(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/catalog/unreadable.go
+++ b/internal/catalog/unreadable.go
@@ -24,8 +24,8 @@
 	SecondsAgo float64
 }
 
-// UnreadableObjects collects the objects that could not be decoded. The zero value is empty. It is safe
-// for concurrent use.
+// UnreadableObjects collects the objects that could not be decoded. The zero value is empty. It is
+// safe for concurrent use.
 type UnreadableObjects struct {
 	mutex   sync.Mutex
 	objects map[unreadableKey]*occurrences
