--- a/internal/members/announcer.go
+++ b/internal/members/announcer.go
@@ -16,9 +16,9 @@
 	// minReadInterval is the interval at which a node of a small deployment reads the
 	// announcements.
 	minReadInterval = 8 * time.Second
-	// announceIntervalPerNode and readIntervalPerNode are the minimum intervals per node: what all
-	// nodes together read and write grows no faster than their number. With twice as many
-	// announcements, these were a fifth of the billed calls of 65 nodes on a day without faults
+	// announceIntervalPerNode and readIntervalPerNode times the number of nodes are minimum
+	// intervals: what all nodes together read and write grows no faster than their number. At twice
+	// this rate, announcements were a fifth of the billed calls of 65 nodes on a day without faults
 	// (130 of 680).
 	announceIntervalPerNode = time.Second
 	readIntervalPerNode     = 200 * time.Millisecond
@@ -78,7 +78,7 @@
 	table    *Table
 	observer Observer
 	count    Count
-	// restored has an element once the registry was restored from a backup.
+	// restored receives a value when the registry was restored from a backup.
 	restored chan struct{}
 	// askPeer returns the announcements that another node has read; nil if there is none to ask.
 	askPeer func() ([]Member, error)
@@ -87,10 +87,10 @@
 	latest   []Member
 	latestAt time.Time
 
-	// announcedAt is when the node announced itself last. skippedShare is the random share by which
+	// announcedAt is when the node announced itself last. jitterShare is the random share by which
 	// the next interval is shorter, to spread nodes that started together.
-	announcedAt  time.Time
-	skippedShare float64
+	announcedAt time.Time
+	jitterShare float64
 	// retryAt is when a failed announcement is made again.
 	retryAt time.Time
 	readAt  time.Time
@@ -111,8 +111,8 @@
 	}
 }
 
-// StoreRestored signals that the registry was restored from a backup, which may lack announcements. It
-// does not block.
+// StoreRestored signals that the registry was restored from a backup, which may lack announcements.
+// It does not block.
 func (a *Announcer) StoreRestored() {
 	select {
 	case a.restored <- struct{}{}:
@@ -124,8 +124,8 @@
 // do not fit on one page of the registry.
 func (a *Announcer) PreferPeers(ask func() ([]Member, error)) { a.askPeer = ask }
 
-// Latest returns the announcements that were read from the registry last, or false if they are too
-// old for other nodes to count by them.
+// Latest returns the announcements that were read last. It returns false if there are none or they
+// are too old for other nodes to use.
 func (a *Announcer) Latest() ([]Member, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -181,11 +181,11 @@
 		return
 	}
 	a.announcedAt, a.retryAt = now, time.Time{}
-	a.skippedShare = maxJitter * rand.Float64()
+	a.jitterShare = maxJitter * rand.Float64()
 }
 
-// announceAt returns when the node announces itself next. It uses the latest count: at the first
-// announcement the node knows of no others.
+// announceAt returns when the node announces itself next. The interval depends on the latest count,
+// since the node knows no others at its first announcement.
 func (a *Announcer) announceAt() time.Time {
 	switch {
 	case !a.retryAt.IsZero():
@@ -194,7 +194,7 @@
 		return time.Time{}
 	}
 	interval := a.intervals().announce
-	return a.announcedAt.Add(interval - time.Duration(a.skippedShare*float64(interval)))
+	return a.announcedAt.Add(interval - time.Duration(a.jitterShare*float64(interval)))
 }
 
 func (a *Announcer) read(now time.Time) {
@@ -233,8 +233,8 @@
 
 // readPages reads all announcements. If they do not fit on one page, it asks another node: what all
 // nodes together read from the registry must not grow with the square of their number. Each page
-// has its own timeout and retries: a busy registry must not make a node start over that has many
-// pages to read.
+// has its own timeout and retries: a node that reads many pages from a busy registry must not start
+// over.
 func (a *Announcer) readPages() ([]Member, error) {
 	var all []Member
 	failures := 0
--- a/internal/members/announcer_test.go
+++ b/internal/members/announcer_test.go
@@ -111,7 +111,7 @@
 		for index := range counters {
 			nodeContext, stop := context.WithCancel(ctx)
 			stops[index] = stop
-			announcer := NewAnnouncer(shared, Member{Name: string(rune('a' + index))}, everywhere, &counters[index])
+			announcer := NewAnnouncer(shared, Member{Name: string(rune('a' + index))}, allZones, &counters[index])
 			go announcer.Run(nodeContext)
 		}
 		time.Sleep(settleTime - time.Second)
@@ -133,7 +133,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var count settledCount
-		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &count).Run(ctx)
+		go NewAnnouncer(shared, Member{Name: "own"}, allZones, &count).Run(ctx)
 		time.Sleep(settleTime + time.Second)
 		is.Equal(count.get(), 2)
 		shared.setDown(true)
@@ -149,7 +149,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		counts := make(chan Count, 8)
-		go NewAnnouncer(shared, Member{Name: "a"}, everywhere, countChannel(counts)).Run(ctx)
+		go NewAnnouncer(shared, Member{Name: "a"}, allZones, countChannel(counts)).Run(ctx)
 		is.Equal(<-counts, Count{All: 3, Region: 3})
 		is.Equal(<-counts, Count{All: 3, Region: 3, Settled: true})
 	})
@@ -171,7 +171,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &settledCount{}).Run(ctx)
+		go NewAnnouncer(shared, Member{Name: "own"}, allZones, &settledCount{}).Run(ctx)
 		time.Sleep(80 * time.Second) // the interval of 101 nodes is 101 s, less an eighth
 		shared.mutex.Lock()
 		is.Equal(shared.writes, 1)
@@ -201,7 +201,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var count settledCount
-		go NewAnnouncer(shared, Member{Name: "own"}, everywhere, &count).Run(ctx)
+		go NewAnnouncer(shared, Member{Name: "own"}, allZones, &count).Run(ctx)
 		time.Sleep(3 * settleTime)
 		is.Equal(count.get(), 401)
 	})
@@ -224,7 +224,7 @@
 		var first *Announcer
 		counters := make([]settledCount, nodes)
 		for index := range nodes {
-			announcer := NewAnnouncer(shared, Member{Name: fmt.Sprintf("node-%03d", index)}, everywhere, &counters[index])
+			announcer := NewAnnouncer(shared, Member{Name: fmt.Sprintf("node-%03d", index)}, allZones, &counters[index])
 			if index >= seeds {
 				announcer.PreferPeers(func() ([]Member, error) {
 					latest, found := first.Latest()
@@ -252,8 +252,8 @@
 	})
 }
 
-// Guards against shares of budgets that are too large because a restored registry lacks live
-// members.
+// Guards against a count that is too small because a restored registry lacks live members: each node
+// would then use too large a share of the common limits.
 func TestUnlistedMembersCountAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -263,7 +263,7 @@
 		counters := make([]settledCount, 3)
 		announcers := make([]*Announcer, len(counters))
 		for index := range counters {
-			announcers[index] = NewAnnouncer(shared, Member{Name: string(rune('a' + index))}, everywhere, &counters[index])
+			announcers[index] = NewAnnouncer(shared, Member{Name: string(rune('a' + index))}, allZones, &counters[index])
 			go announcers[index].Run(ctx)
 		}
 		time.Sleep(settleTime + 2*time.Second)
@@ -282,6 +282,6 @@
 		shared.mutex.Lock()
 		defer shared.mutex.Unlock()
 		is.Equal(len(shared.members), 3)
-		is.True(shared.writes <= 3+3+3*3) // the first ones, one more each, then the regular ones
+		is.True(shared.writes <= 3+3+3*3) // three first ones, three after the restore, then regular ones
 	})
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,6 +1,6 @@
 // Package members counts the nodes of the query tier by a shared registry: each node announces
-// itself periodically and reads the announcements of the others. The count divides what all nodes
-// share: the connections of a server and the slack of the retry budget.
+// itself periodically and reads the announcements of the others. Limits that all nodes share are
+// divided by the count: the connections of a server and the slack of the retry budget.
 package members
 
 import "time"
@@ -39,7 +39,7 @@
 
 // Table tracks the announcements of all nodes. It does no I/O and reads no clock.
 type Table struct {
-	own      Member
+	self     Member
 	inRegion func(zone string) bool
 	entries  map[string]entry
 	// keepUntil is the time until which members that are not listed are kept.
@@ -48,8 +48,8 @@
 
 // NewTable returns a table that contains only the node itself; inRegion reports whether a zone is
 // in its region.
-func NewTable(own Member, inRegion func(zone string) bool) *Table {
-	return &Table{own: own, inRegion: inRegion, entries: make(map[string]entry)}
+func NewTable(self Member, inRegion func(zone string) bool) *Table {
+	return &Table{self: self, inRegion: inRegion, entries: make(map[string]entry)}
 }
 
 // Observe updates the table from a list of all announcements.
@@ -72,20 +72,21 @@
 	}
 }
 
-// KeepUnlisted keeps members that are not listed until the given time, as long as they count as live.
+// KeepUnlisted keeps members that are no longer listed until the given time. They count as live for
+// their lifetime only.
 func (t *Table) KeepUnlisted(until time.Time) { t.keepUntil = until }
 
 // Count is a number of nodes.
 type Count struct {
 	All int
-	// Region is the number of nodes in the region of the node that counts.
+	// Region is the number of nodes in the region of the counting node.
 	Region int
 	// Settled is set once nodes that started together have had time to announce themselves; before
 	// that the count may be too small.
 	Settled bool
 }
 
-// AtLeast returns the maximum of each number of the two counts.
+// AtLeast returns the count with each number raised to at least that of the other count.
 func (c Count) AtLeast(other Count) Count {
 	c.All = max(c.All, other.All)
 	c.Region = max(c.Region, other.Region)
@@ -94,9 +95,9 @@
 
 // Live returns this node and those whose announcement has changed within the lifetime.
 func (t *Table) Live(now time.Time, lifetime time.Duration) []Member {
-	live := []Member{t.own}
+	live := []Member{t.self}
 	for name, known := range t.entries {
-		if name != t.own.Name && now.Sub(known.changedAt) < lifetime {
+		if name != t.self.Name && now.Sub(known.changedAt) < lifetime {
 			live = append(live, known.member)
 		}
 	}
@@ -108,7 +109,7 @@
 	live := t.Live(now, lifetime)
 	count := Count{All: len(live)}
 	for _, member := range live {
-		if member.Name == t.own.Name || t.inRegion(member.Zone) {
+		if member.Name == t.self.Name || t.inRegion(member.Zone) {
 			count.Region++
 		}
 	}
