--- a/internal/swim/broadcast.go
+++ b/internal/swim/broadcast.go
@@ -32,9 +32,9 @@
 	queue.order = append(queue.order, item)
 }
 
-// take returns updates up to the given total size and counts them as sent once. The order is a
-// stack of unsent updates above a round of updates sent before: new items are appended, sent ones
-// are moved to the front.
+// take returns updates up to the given total size and counts them as sent once. It takes them from
+// the end of order, where new updates are appended, and moves them to the front: unsent updates,
+// the latest first, precede those sent before.
 func (queue *updateQueue) take(bytes int) []Update {
 	var updates []Update
 	var sent []*queuedUpdate
@@ -86,8 +86,8 @@
 	}
 }
 
-// send adds queued updates to a message and sends it. The urgent updates go first, such as the
-// claim that the receiver is suspect or dead, which it may refute.
+// send adds queued updates to a message and sends it. The urgent updates go first: for example, the
+// claim that the receiver is suspect or dead, so that it can refute it.
 func (core *Core) send(address string, message Message, urgent ...Update) {
 	space := core.options.MaxDatagramBytes - message.headerSize()
 	for _, update := range urgent {
@@ -101,7 +101,7 @@
 }
 
 // broadcast queues an update for all members. An isolated node has no reliable information about
-// others, so that it sends no updates about them.
+// others, so it sends no updates about them.
 func (core *Core) broadcast(update Update) {
 	if core.isolated && update.ID != core.self.ID {
 		return
@@ -119,7 +119,8 @@
 	core.gossip(core.options.GossipFanout)
 }
 
-// gossip sends a round to members of the same zone and, one message in three, to any zone.
+// gossip sends a round of messages: one in three to a member of any zone, the others to members of
+// the same zone.
 func (core *Core) gossip(fanout int) {
 	core.nextGossip = core.now.Add(core.options.GossipPeriod)
 	for index := range fanout {
@@ -134,6 +135,5 @@
 	}
 }
 
-// anyZoneGossipEvery is the interval, in messages of a round, at which one goes to any zone: one in
-// three.
+// anyZoneGossipEvery is the interval, in messages of a round, at which one goes to any zone.
 const anyZoneGossipEvery = 3
--- a/internal/swim/core.go
+++ b/internal/swim/core.go
@@ -24,11 +24,11 @@
 	// pendingGossip is how many gossip messages are still to be sent even without updates.
 	pendingGossip int
 
-	sequence      uint64
-	probe         *probe
-	relays        map[uint64]relay
-	probeRequests []*record
-	suspects      []*record
+	sequence       uint64
+	probe          *probe
+	forwardedPings map[uint64]forwardedPing
+	probeRequests  []*record
+	suspects       []*record
 
 	started       time.Time
 	lastTick      time.Time
@@ -45,27 +45,27 @@
 // expiryPeriod is the time between two searches for expired records.
 const expiryPeriod = 10 * time.Second
 
-// New returns the core of a node that knows no other. The incarnation of self must be above that of
-// an earlier process with the same ID or address: a wall clock in milliseconds is enough. If that
-// clock has gone back, the node raises its incarnation when others contradict it.
+// New returns the core of a node that knows no other. The incarnation of self should be above that
+// of any earlier process with the same ID or address: the wall clock in milliseconds is enough. If
+// that clock has gone back, the node raises its incarnation when others contradict it.
 func New(options Options, self Member, random *rand.Rand, now time.Time) *Core {
 	self.State = Alive
 	core := &Core{
-		options:      options,
-		random:       random,
-		now:          now,
-		self:         &record{Member: self},
-		table:        newTable(),
-		updates:      newUpdateQueue(),
-		sequence:     random.Uint64() >> 1,
-		relays:       make(map[uint64]relay),
-		started:      now,
-		lastSync:     now,
-		lastTick:     now,
-		lastReceived: now,
+		options:        options,
+		random:         random,
+		now:            now,
+		self:           &record{Member: self},
+		table:          newTable(),
+		updates:        newUpdateQueue(),
+		sequence:       random.Uint64() >> 1,
+		forwardedPings: make(map[uint64]forwardedPing),
+		started:        now,
+		lastSync:       now,
+		lastTick:       now,
+		lastReceived:   now,
 	}
 	core.table.insert(core.self)
-	core.peers.changed = true
+	core.peers.needsRebuild = true
 	core.nextProbe = now.Add(core.jitter(options.ProbePeriod))
 	core.updates.push(core.self.detailedUpdate(), options.transmissions(1))
 	return core
@@ -135,8 +135,8 @@
 	return failed
 }
 
-// view returns the member with any suspicion in its state; a suspect that was leaving stays
-// leaving.
+// view returns the member with the state Suspect if it is suspected; a suspected member that is
+// leaving keeps the state Leaving.
 func (record *record) view() Member {
 	member := record.Member
 	if member.State == Alive && record.suspect() {
@@ -172,7 +172,7 @@
 	core.lastTick = core.now
 	core.lastReceived = core.now
 	core.probe = nil
-	clear(core.relays)
+	clear(core.forwardedPings)
 	for _, suspect := range core.suspects {
 		suspect.suspectUntil = suspect.suspectUntil.Add(gap)
 	}
@@ -226,9 +226,9 @@
 	core.gossip(exitFanout)
 }
 
-// checkIsolation compares the time since the last received message with the time in which a node
-// with several live members must have received one. A node whose only peer is silent cannot tell
-// which of the two failed, and declares the peer dead after the usual suspicion.
+// checkIsolation marks the node as isolated once it has received no message for IsolationTimeout
+// although it knows several live members. A node whose only peer does not answer cannot tell which
+// of the two failed, and declares the peer dead after the usual suspicion.
 func (core *Core) checkIsolation() {
 	silence := core.now.Sub(core.lastReceived)
 	if core.isolated || silence < core.options.IsolationTimeout || core.table.live <= 2 {
@@ -238,7 +238,7 @@
 	core.emit(Isolated{})
 }
 
-func (core *Core) noteReceived() {
+func (core *Core) recordReceived() {
 	core.lastReceived = core.now
 	if core.isolated {
 		core.isolated = false
@@ -247,7 +247,7 @@
 	}
 }
 
-// removeExpired removes dead members whose retention is over, and expired relays.
+// removeExpired removes dead members whose retention is over, and forwarded pings that expired.
 func (core *Core) removeExpired() {
 	if core.now.Before(core.nextExpiry) {
 		return
@@ -261,9 +261,9 @@
 	}
 	for _, record := range expired {
 		core.table.remove(record)
-		core.peers.changed = true
+		core.peers.needsRebuild = true
 	}
-	maps.DeleteFunc(core.relays, func(_ uint64, relay relay) bool { return core.now.After(relay.expires) })
+	maps.DeleteFunc(core.forwardedPings, func(_ uint64, forwarded forwardedPing) bool { return core.now.After(forwarded.expires) })
 }
 
 func (core *Core) retention(record *record) time.Duration {
--- a/internal/swim/core_test.go
+++ b/internal/swim/core_test.go
@@ -69,10 +69,10 @@
 		simulation.loss, simulation.cut = 0, newSimulator(0, 0).cut
 		for _, node := range simulation.nodes {
 			if node.frozen {
-				simulation.thaw(node)
+				simulation.unfreeze(node)
 			}
 		}
-		// One of the seeds must run: partitions that never knew each other cannot find each other otherwise.
+		// A seed must run: otherwise, partitions whose members never knew each other cannot rejoin.
 		if !simulation.nodes[0].running {
 			simulation.startNode(simulation.nodes[0], "node-000-again")
 		}
@@ -80,8 +80,8 @@
 	})
 }
 
-// Many nodes that start at once soon know each other: what gossip delivers slowly is fetched by
-// table syncs.
+// Many nodes that start at once soon know each other: table syncs deliver what gossip alone would
+// deliver slowly.
 func TestManyStartAtOnce(t *testing.T) {
 	simulation := newSimulator(1, 200)
 	simulation.startAll()
@@ -115,8 +115,9 @@
 	}
 }
 
-// If a link between two nodes is cut in one direction and others reach both, no node is suspected.
-func TestOneWayCutBetweenTwoNodes(t *testing.T) {
+// If messages between two nodes are lost in one direction and others reach both, no node is
+// suspected.
+func TestOneWayPartitionBetweenTwoNodes(t *testing.T) {
 	for seed := range uint64(5) {
 		simulation := started(t, seed, 8)
 		from, to := simulation.nodes[2], simulation.nodes[5]
@@ -161,7 +162,7 @@
 		simulation.cut = func(from, to *simulatedNode) bool { return from.region != to.region }
 		simulation.run(time.Minute)
 		if first := simulation.nodes[0].core.Members(); len(first) != 8 {
-			t.Fatalf("seed %d: %d members in a region of 8 that is cut off", seed, len(first))
+			t.Fatalf("seed %d: %d members in a partitioned region of 8", seed, len(first))
 		}
 		simulation.run(29 * time.Minute)
 		for _, node := range simulation.nodes {
@@ -176,7 +177,7 @@
 		}
 		simulation.cut = newSimulator(0, 0).cut
 		took := mustAgree(t, simulation, rejoinBound)
-		t.Logf("seed %d: joined again after %v", seed, took)
+		t.Logf("seed %d: rejoined after %v", seed, took)
 	}
 }
 
@@ -189,7 +190,7 @@
 	simulation.run(time.Minute)
 	is.Equal(len(simulation.nodes[0].core.Members()), 7)
 	is.Equal(frozen.paused, 0)
-	simulation.thaw(frozen)
+	simulation.unfreeze(frozen)
 	simulation.run(tickPeriod)
 	is.Equal(frozen.paused, 1)
 	mustAgree(t, simulation, 10*time.Second)
--- a/internal/swim/event.go
+++ b/internal/swim/event.go
@@ -11,8 +11,8 @@
 	Message Message
 }
 
-// Seeds replaces the list of gossip addresses at which other nodes may be: the join list of the
-// settings and the machine list.
+// Seeds replaces the list of gossip addresses at which other nodes may run, from the join list in
+// the settings and the machine list.
 type Seeds struct{ Addresses []string }
 
 // Synced delivers entries of another node's table.
--- a/internal/swim/member.go
+++ b/internal/swim/member.go
@@ -6,7 +6,7 @@
 type State uint8
 
 const (
-	// Alive members take work.
+	// Alive members may own servers.
 	Alive State = iota
 	// Suspect members have not answered recently; they still own servers.
 	Suspect
--- a/internal/swim/options.go
+++ b/internal/swim/options.go
@@ -21,8 +21,8 @@
 	GossipPeriod time.Duration
 	// GossipFanout is the number of members that receive a round of gossip.
 	GossipFanout int
-	// RetransmitFactor times the logarithm (base 10) of the number of members is how often a node
-	// sends each update.
+	// RetransmitFactor times the logarithm (base 10, rounded up) of the number of members is how
+	// often a node sends each update.
 	RetransmitFactor int
 	// MaxDatagramBytes is the maximum size of a message, below the usual MTU of 1,500 bytes.
 	MaxDatagramBytes int
--- a/internal/swim/peers.go
+++ b/internal/swim/peers.go
@@ -4,10 +4,10 @@
 
 // peers are the other members in the groups from which targets are drawn.
 type peers struct {
-	// changed requests a rebuild before the next use.
-	changed  bool
-	sameZone []*record
-	all      []*record
+	// needsRebuild is set when the groups must be rebuilt before the next use.
+	needsRebuild bool
+	sameZone     []*record
+	all          []*record
 	// dead are the members that failed, without those that left by themselves.
 	dead []*record
 	// zoneRound and allRound are the rest of a round of probes, in random order: probing in rounds
@@ -19,10 +19,10 @@
 }
 
 const (
-	// minZonePeers is the number of members in the same zone from which most probes go there; below
-	// it all members are probed alike.
+	// minZonePeers is the minimum number of members in the same zone for most probes and gossip to
+	// stay in the zone; with fewer, all members are chosen alike.
 	minZonePeers = 4
-	// anyZoneProbeEvery is the interval, in probes, at which one goes to any zone: one in four.
+	// anyZoneProbeEvery is the interval, in probes, at which one goes to any zone.
 	anyZoneProbeEvery = 4
 	// maxDraws bounds the random draws for a member that meets a condition.
 	maxDraws = 16
@@ -30,10 +30,10 @@
 
 func (core *Core) refreshPeers() *peers {
 	peers := &core.peers
-	if !peers.changed {
+	if !peers.needsRebuild {
 		return peers
 	}
-	peers.changed = false
+	peers.needsRebuild = false
 	peers.sameZone, peers.all, peers.dead = peers.sameZone[:0], peers.all[:0], peers.dead[:0]
 	for _, record := range core.table.ordered {
 		switch {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// requestProbe requests a probe of a member out of turn.
+// requestProbe requests an additional probe of a member, outside of the rounds.
 func (core *Core) requestProbe(record *record) {
 	if record.probeRequested || record == core.self {
 		return
@@ -138,8 +138,8 @@
 	core.nextDeadProbe = core.now
 }
 
-// probeDead pings a member that this node considers dead but another does not, and periodically any
-// dead member and seeds without a known member: they may be running again.
+// probeDead pings a member that this node considers dead but another node does not. Periodically it
+// also pings a random dead member and seeds without a known member, which may be running again.
 func (core *Core) probeDead() {
 	if requested := core.takeProbeRequest(true); requested != nil {
 		core.ping(requested, core.nextSequence())
@@ -175,7 +175,7 @@
 	return unknown[:min(len(unknown), seedsPerRound)]
 }
 
-// pingAddress pings any node at an address, and sends the details of this node.
+// pingAddress pings whichever node is at an address, and sends it the details of this node.
 func (core *Core) pingAddress(address string) {
 	message := core.message(Ping)
 	message.Sequence = core.nextSequence()
--- a/internal/swim/probe.go
+++ b/internal/swim/probe.go
@@ -14,8 +14,8 @@
 	deadline   time.Time
 }
 
-// relay is a ping sent on behalf of another member.
-type relay struct {
+// forwardedPing is a ping sent on behalf of another member.
+type forwardedPing struct {
 	address  string
 	sequence uint64
 	expires  time.Time
@@ -54,8 +54,8 @@
 	core.send(target.GossipAddress, message, ownStatusUpdate(target)...)
 }
 
-// ownStatusUpdate returns what a member must learn about itself in order to refute it: that it is
-// suspect or dead.
+// ownStatusUpdate returns the claim that the target is suspect or dead, if this node holds it, so
+// that the target can refute it.
 func ownStatusUpdate(target *record) []Update {
 	if target.suspect() || target.dead() {
 		return []Update{target.update()}
@@ -107,7 +107,7 @@
 	if message.From == core.self.ID || core.self.dead() {
 		return
 	}
-	core.noteReceived()
+	core.recordReceived()
 	before := core.self.Incarnation
 	core.applyUpdates(address, message)
 	sender := core.table.byID[message.From]
@@ -118,7 +118,7 @@
 	case Ping:
 		core.answerPing(address, message, sender)
 	case PingRequest:
-		core.relayPing(address, message)
+		core.forwardPing(address, message)
 	case Ack:
 		core.receiveAck(message)
 	case Gossip:
@@ -205,9 +205,9 @@
 	core.send(address, core.message(Gossip), core.self.detailedUpdate(), replaced)
 }
 
-func (core *Core) relayPing(address string, message Message) {
+func (core *Core) forwardPing(address string, message Message) {
 	sequence := core.nextSequence()
-	core.relays[sequence] = relay{
+	core.forwardedPings[sequence] = forwardedPing{
 		address:  address,
 		sequence: message.Sequence,
 		expires:  core.now.Add(core.options.ProbePeriod),
@@ -224,21 +224,21 @@
 		core.probe = nil
 		return
 	}
-	relay, found := core.relays[message.Sequence]
+	forwarded, found := core.forwardedPings[message.Sequence]
 	if !found {
 		return
 	}
-	delete(core.relays, message.Sequence)
-	if core.now.After(relay.expires) {
+	delete(core.forwardedPings, message.Sequence)
+	if core.now.After(forwarded.expires) {
 		return
 	}
 	answer := core.message(Ack)
-	answer.Sequence = relay.sequence
-	core.send(relay.address, answer)
+	answer.Sequence = forwarded.sequence
+	core.send(forwarded.address, answer)
 }
 
-// helpers returns members that probe the target from other places: one in the target's zone, one in
-// a third region, the others at random.
+// helpers returns the members that are asked to probe the target: one in the target's zone, one in a
+// region other than the target's and this node's, the others at random.
 func (core *Core) helpers(target *record) []*record {
 	var helpers []*record
 	add := func(fits func(*record) bool) {
--- a/internal/swim/simulator_test.go
+++ b/internal/swim/simulator_test.go
@@ -49,11 +49,14 @@
 }
 
 const (
-	tickPeriod   = 100 * time.Millisecond
-	sameZone     = time.Millisecond / 2
-	sameRegion   = time.Millisecond
-	betweenZones = 10 * time.Millisecond
-	zonesInAll   = 4
+	tickPeriod = 100 * time.Millisecond
+
+	// Minimum one-way latencies.
+	sameZoneLatency    = time.Millisecond / 2
+	sameRegionLatency  = time.Millisecond
+	crossRegionLatency = 10 * time.Millisecond
+
+	zoneCount = 4
 )
 
 func newSimulator(seed uint64, count int) *simulator {
@@ -66,7 +69,7 @@
 		cut:     func(from, to *simulatedNode) bool { return false },
 	}
 	for index := range count {
-		zone := index % zonesInAll
+		zone := index % zoneCount
 		simulation.nodes = append(simulation.nodes, &simulatedNode{
 			index:   index,
 			address: fmt.Sprintf("10.0.0.%d:7000", index),
@@ -196,12 +199,12 @@
 
 // latency varies by up to its base value, so that messages are reordered.
 func (simulation *simulator) latency(from, to *simulatedNode) time.Duration {
-	base := betweenZones
+	base := crossRegionLatency
 	switch {
 	case from.zone == to.zone:
-		base = sameZone
+		base = sameZoneLatency
 	case from.region == to.region:
-		base = sameRegion
+		base = sameRegionLatency
 	}
 	return base + time.Duration(simulation.random.Float64()*float64(base))
 }
@@ -214,7 +217,7 @@
 
 func (simulation *simulator) freeze(node *simulatedNode) { node.frozen = true }
 
-func (simulation *simulator) thaw(node *simulatedNode) {
+func (simulation *simulator) unfreeze(node *simulatedNode) {
 	node.frozen = false
 	for _, deliver := range node.backlog {
 		deliver()
--- a/internal/swim/step_test.go
+++ b/internal/swim/step_test.go
@@ -81,7 +81,7 @@
 	return found
 }
 
-// A probe in progress when the process was paused proves nothing.
+// A probe in progress when the process is paused has no effect.
 func TestProbeEndsWithPause(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
@@ -109,7 +109,7 @@
 	is.Equal(len(changes(h.run(3*time.Second))), 1) // dead after four seconds in total
 }
 
-// A ping to a suspect carries the suspicion, even if it was sent to all members long ago.
+// A ping to a suspect carries the suspicion, even after all transmissions of that update.
 func TestPingCarriesSuspicion(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(1)
@@ -174,7 +174,8 @@
 	is.Equal(members[0].ID, "later")
 }
 
-// A member that is considered dead may be partitioned from the members that it suspects.
+// Claims of a dead member about others are ignored: it may be partitioned from the members that it
+// suspects.
 func TestUpdatesFromDeadMemberAreIgnored(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(2)
--- a/internal/swim/sync.go
+++ b/internal/swim/sync.go
@@ -76,8 +76,8 @@
 	return quiet || justStarted || overdue
 }
 
-// merge merges entries of another table. Most nodes know them already, so that they are not
-// broadcast; if they contradict this table, the member in question is probed.
+// merge merges entries of another table. They are not broadcast, since most nodes know them already.
+// A member about which an entry contradicts this table is probed.
 func (core *Core) merge(entries []Update) {
 	core.synced = true
 	for _, entry := range entries {
@@ -100,7 +100,7 @@
 	unknown := &record{Member: Member{ID: entry.ID, State: Dead}}
 	core.table.insert(unknown)
 	core.overwrite(unknown, entry)
-	core.peers.changed = true
+	core.peers.needsRebuild = true
 }
 
 func (core *Core) mergeKnown(known *record, entry Update) {
--- a/internal/swim/table.go
+++ b/internal/swim/table.go
@@ -22,7 +22,7 @@
 	deadSince time.Time
 	// informedAt is when the member was last told that it is considered dead.
 	informedAt time.Time
-	// probeRequested is set while the member waits for a probe out of turn because another node
+	// probeRequested is set while the member waits for an additional probe because another node
 	// holds a different state.
 	probeRequested bool
 }
--- a/internal/swim/update.go
+++ b/internal/swim/update.go
@@ -77,7 +77,7 @@
 		return
 	}
 	if (after.State == Dead) != (before == Dead) {
-		core.peers.changed = true
+		core.peers.needsRebuild = true
 	}
 	core.emit(Changed{Member: after, Before: before})
 }
