--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -53,7 +53,7 @@
 	Refused
 )
 
-// RaiseEpoch requests an epoch above Above: some accepted revision is of that epoch, so that the
+// RaiseEpoch requests an epoch above Above: a revision of that epoch has been accepted, so the
 // record must have been lost and created again.
 type RaiseEpoch struct {
 	Above int64
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -9,7 +9,8 @@
 	MaxTerm = 60 * time.Second
 	// intervalsPerTerm is the number of renewals by the holder, or reads by a candidate, per term.
 	intervalsPerTerm = 4
-	// roundTripsPerTerm keeps the term well above the duration of a renewal.
+	// roundTripsPerTerm is the minimum term in round trips to the Object API, so that a renewal
+	// completes well within a term.
 	roundTripsPerTerm = 6
 )
 
@@ -205,7 +206,7 @@
 	return lease.write(now, Record{Epoch: epoch, Term: lease.term()})
 }
 
-// discard drops the observation: a node that is no candidate does not read, so that what it knows
+// discard drops the observation: a node that is not a candidate does not read, so its observation
 // becomes outdated.
 func (lease *Lease) discard(now time.Duration) {
 	lease.known = false
@@ -238,7 +239,8 @@
 	}
 }
 
-// confirm takes the lease if the record is one of the attempts.
+// confirm takes or renews the lease if the record was written by one of the attempts, and gives it
+// up if another node holds the record.
 func (lease *Lease) confirm(record Record) {
 	for _, attempt := range lease.attempts {
 		if attempt.record == record {
@@ -251,8 +253,8 @@
 	}
 }
 
-// hold starts the holding at the time before the attempt was sent. A renewal that is confirmed
-// after its epoch expired has no effect: the next write takes a higher epoch.
+// hold starts or extends the holding, counted from when the attempt was sent. A renewal that is
+// confirmed after its epoch expired has no effect: the next write takes a higher epoch.
 func (lease *Lease) hold(attempt attempt) {
 	if attempt.record.Holder != lease.self || lease.resigning {
 		return
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -58,22 +58,22 @@
 }
 
 // simulation runs nodes, the store and a network that delays, reorders and loses messages. A node
-// that is not drawn for long acts as a paused one.
+// for which no step is drawn for long behaves like a paused process.
 type simulation struct {
-	t        *rapid.T
-	global   time.Duration
-	store    store
-	nodes    []*participant
-	network  []message
-	sent     int
-	holderOf map[int64]int
-	lastOf   map[int]int64
+	t           *rapid.T
+	global      time.Duration
+	store       store
+	nodes       []*participant
+	network     []message
+	sent        int
+	holderOf    map[int64]int
+	lastEpochOf map[int]int64
 }
 
 const simulatedNodes = 3
 
 func newSimulation(t *rapid.T) *simulation {
-	simulation := &simulation{t: t, holderOf: make(map[int64]int), lastOf: make(map[int]int64)}
+	simulation := &simulation{t: t, holderOf: make(map[int64]int), lastEpochOf: make(map[int]int64)}
 	for index := range simulatedNodes {
 		simulation.nodes = append(simulation.nodes, &participant{
 			lease: New(Options{Self: fmt.Sprint("node-", index)}),
@@ -107,18 +107,18 @@
 		if earlier, found := simulation.holderOf[epoch]; found && earlier != index {
 			simulation.t.Fatalf("epoch %d was held by node %d and by node %d", epoch, earlier, index)
 		}
-		if epoch < simulation.lastOf[index] {
-			simulation.t.Fatalf("node %d went back from epoch %d to %d", index, simulation.lastOf[index], epoch)
+		if epoch < simulation.lastEpochOf[index] {
+			simulation.t.Fatalf("node %d went back from epoch %d to %d", index, simulation.lastEpochOf[index], epoch)
 		}
 		simulation.holderOf[epoch] = index
-		simulation.lastOf[index] = epoch
+		simulation.lastEpochOf[index] = epoch
 	}
 	if holders > 1 {
 		simulation.t.Fatalf("%d holders at %v", holders, simulation.global)
 	}
 }
 
-// advance advances the time and checks at moments in between.
+// advance advances the time in several parts and checks after each.
 func (simulation *simulation) advance(by time.Duration) {
 	const parts = 8
 	for range parts {
@@ -216,7 +216,7 @@
 			return
 		}
 	}
-	simulation.t.Fatalf("nobody holds the lease after the faults: %+v", simulation.store)
+	simulation.t.Fatalf("no node holds the lease after the faults: %+v", simulation.store)
 }
 
 // acquire returns a lease held since time zero, with the record at version "1".
@@ -233,7 +233,7 @@
 	return lease
 }
 
-func TestHolderCountsFromBeforeTheRenewal(t *testing.T) {
+func TestHoldingCountsFromSendTime(t *testing.T) {
 	is := is.New(t)
 	lease := acquire(t)
 	_, held := lease.Held(DefaultTerm*2/3 - 1)
@@ -315,8 +315,8 @@
 	}
 }
 
-// TestLostRecord checks that, when the record is deleted, a node that knew it takes an epoch above
-// it, and another one is raised above the accepted epoch.
+// TestLostRecord checks that, when the record is deleted, a node that knew it takes a higher epoch
+// than the record's, and that RaiseEpoch makes another node take one above the accepted epoch.
 func TestLostRecord(t *testing.T) {
 	is := is.New(t)
 	lease := acquire(t)
@@ -357,8 +357,9 @@
 	t.Fatal("no takeover within two terms")
 }
 
-// TestHoldsTheEpochThatTookEffect covers several writes with an unknown outcome.
-func TestHoldsTheEpochThatTookEffect(t *testing.T) {
+// TestWrittenEpochIsHeld checks that, after several writes with an unknown outcome, the node holds
+// the epoch of the one that took effect.
+func TestWrittenEpochIsHeld(t *testing.T) {
 	is := is.New(t)
 	lease := acquire(t)
 	var last Write
