--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -1,14 +1,14 @@
 package placement
 
-// Index ranks servers over a fixed set of nodes. It returns the same as Rank, but only considers
-// the nodes in the server's zone if these fill both ranks: at 3,600 nodes in 16 zones that is a
-// sixteenth of the work.
+// Index ranks a fixed set of nodes for servers. It returns the same as the function Rank, but
+// considers only the nodes in the server's zone if there are enough: with 3,600 nodes in 16 zones
+// that is a sixteenth of the work.
 type Index struct {
 	all    []keyedNode
 	byZone map[string][]keyedNode
 }
 
-// rankedNodes is the number of ranks that the nodes of a zone must fill.
+// rankedNodes is the number of nodes that Rank returns.
 const rankedNodes = 2
 
 // NewIndex returns the index of a set of nodes, which must not change later.
--- a/internal/placement/index_test.go
+++ b/internal/placement/index_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestIndexRanksAsRankDoes(t *testing.T) {
+func TestIndexMatchesRank(t *testing.T) {
 	zones := rapid.SampledFrom([]string{"a", "b", "c"})
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := make([]Node, rapid.IntRange(0, 12).Draw(t, "nodes"))
--- a/internal/placement/measure_test.go
+++ b/internal/placement/measure_test.go
@@ -30,19 +30,19 @@
 // servers of one replica column are adjacent and in one zone: each replica of a shard is in another
 // column.
 func services(prefix string, count, servers, zones int) []placement.Server {
-	var made []placement.Server
+	var all []placement.Server
 	columns := min(zones, replicas)
 	for service := range count {
 		for index := range servers {
 			column := index * columns / servers
-			made = append(made, placement.Server{
+			all = append(all, placement.Server{
 				Service: fmt.Sprintf("%s-%d", prefix, service),
 				Name:    fmt.Sprintf("server-%04d", index),
 				Zone:    fmt.Sprintf("zone-%d", (column*(zones/columns)+service)%zones),
 			})
 		}
 	}
-	return made
+	return all
 }
 
 const replicas = 3
@@ -121,12 +121,12 @@
 	}
 	chosen := make(map[placement.Server]string)
 	for zone, members := range groups {
-		slices.SortFunc(members, func(a, b placement.Server) int { return strings.Compare(hashed(a), hashed(b)) })
+		slices.SortFunc(members, func(a, b placement.Server) int { return strings.Compare(hashKey(a), hashKey(b)) })
 		limit := int(math.Ceil(allowance * float64(len(members)) / float64(len(byZone[zone]))))
 		load := make(map[string]int)
 		for _, server := range members {
-			open := slices.DeleteFunc(slices.Clone(byZone[zone]), func(node placement.Node) bool { return load[node.ID] >= limit })
-			owner, _ := placement.Rank(server, open)
+			available := slices.DeleteFunc(slices.Clone(byZone[zone]), func(node placement.Node) bool { return load[node.ID] >= limit })
+			owner, _ := placement.Rank(server, available)
 			chosen[server] = owner
 			load[owner]++
 		}
@@ -138,7 +138,7 @@
 	return owners
 }
 
-func hashed(server placement.Server) string {
+func hashKey(server placement.Server) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(server.Service+"/"+server.Name))
 }
 
@@ -177,28 +177,28 @@
 // a leave the servers of the node that leaves, on a join the mean number per node. Both are summed
 // over the trials.
 func movesOverMinimum(scenario scenario, assign func([]placement.Server, []placement.Node) []string, nodes []placement.Node, owners []string) (leave, join float64) {
-	var leaveMoves, leaveLeast, joinMoves, joinLeast float64
+	var leaveMoves, leaveMinimum, joinMoves, joinMinimum float64
 	for trial := range *trials {
 		leaver := nodes[trial*7919%len(nodes)]
 		rest := slices.DeleteFunc(slices.Clone(nodes), func(node placement.Node) bool { return node == leaver })
 		leaveMoves += float64(moved(owners, assign(scenario.servers, rest)))
 		for _, owner := range owners {
 			if owner == leaver.ID {
-				leaveLeast++
+				leaveMinimum++
 			}
 		}
 		joiner := placement.Node{ID: fmt.Sprintf("joiner-%d", trial), Zone: fmt.Sprintf("zone-%d", trial%scenario.zones)}
 		joinMoves += float64(moved(owners, assign(scenario.servers, append(slices.Clone(nodes), joiner))))
-		joinLeast += float64(len(scenario.servers)) / float64(len(nodes)+1)
+		joinMinimum += float64(len(scenario.servers)) / float64(len(nodes)+1)
 	}
-	return leaveMoves / leaveLeast, joinMoves / joinLeast
+	return leaveMoves / leaveMinimum, joinMoves / joinMinimum
 }
 
 // queries is the number of queries for which owners are counted.
 const queries = 20
 
-// ownersPerQuery returns the mean number of owners that a query to the last service reaches: with one
-// replica of each shard drawn at random, and with all from one column.
+// ownersPerQuery returns the mean number of owners that a query to the last service reaches: with
+// one replica of each shard drawn at random, and with all from one column.
 func ownersPerQuery(scenario scenario, owners []string) (random, column float64) {
 	last := scenario.servers[len(scenario.servers)-1].Service
 	first := slices.IndexFunc(scenario.servers, func(server placement.Server) bool { return server.Service == last })
@@ -206,14 +206,14 @@
 	perColumn := count / replicas
 	source := rand.New(rand.NewPCG(1, 2))
 	for trial := range queries {
-		anywhere, together := make(map[string]bool), make(map[string]bool)
+		randomOwners, columnOwners := make(map[string]bool), make(map[string]bool)
 		for shard := range scenario.shards {
 			position := shard % perColumn
-			anywhere[owners[first+source.IntN(replicas)*perColumn+position]] = true
-			together[owners[first+trial%replicas*perColumn+position]] = true
+			randomOwners[owners[first+source.IntN(replicas)*perColumn+position]] = true
+			columnOwners[owners[first+trial%replicas*perColumn+position]] = true
 		}
-		random += float64(len(anywhere)) / queries
-		column += float64(len(together)) / queries
+		random += float64(len(randomOwners)) / queries
+		column += float64(len(columnOwners)) / queries
 	}
 	return random, column
 }
@@ -230,13 +230,13 @@
 			balance := largestOverMean(owners, len(nodes))
 			leave, join := movesOverMinimum(scenario, strategy.assign, nodes, owners)
 			random, column := ownersPerQuery(scenario, owners)
-			t.Logf("%-22s largest/mean %.2f, moves/least: leave %.2f, join %.2f, owners met of %d shards: any replica %.1f, one column %.1f",
+			t.Logf("%-22s largest/mean %.2f, moves/minimum: leave %.2f, join %.2f, owners per query of %d shards: any replica %.1f, one column %.1f",
 				strategy.name, balance, leave, join, scenario.shards, random, column)
 			if number > 0 {
 				continue
 			}
 			if balance > scenario.largestOverMean || leave > 1 || join > scenario.movesOverMinimum {
-				t.Errorf("%s: largest/mean %.2f, moves over least %.2f and %.2f", scenario.name, balance, leave, join)
+				t.Errorf("%s: largest/mean %.2f, moves over minimum %.2f and %.2f", scenario.name, balance, leave, join)
 			}
 		}
 	}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -9,7 +9,7 @@
 	Zone string
 }
 
-// Server is a back-end server to be owned.
+// Server is a back-end server, which one node owns.
 type Server struct {
 	Service string
 	Name    string
@@ -44,16 +44,16 @@
 	var best, next candidate
 	for index := range nodes {
 		node := &nodes[index]
-		offered := candidate{
+		contender := candidate{
 			id:     node.ID,
 			inZone: node.Zone == server.Zone,
 			weight: weight(key, node.key),
 		}
 		switch {
-		case offered.ranksAbove(best):
-			best, next = offered, best
-		case offered.ranksAbove(next):
-			next = offered
+		case contender.ranksAbove(best):
+			best, next = contender, best
+		case contender.ranksAbove(next):
+			next = contender
 		}
 	}
 	return best.id, next.id
