--- a/internal/catalog/backoff.go
+++ b/internal/catalog/backoff.go
@@ -20,7 +20,7 @@
 	maxSharedBackoff = 2400 * time.Millisecond
 	// catchUpWaitPerNode times the number of nodes, up to maxCatchUpWait, is the longest time for
 	// which a follower waits for a peer whose data is outdated. Each follower waits for a random
-	// part of it; otherwise all of them would call a store that was briefly unavailable at once.
+	// part of it; otherwise all of them would call the store at the same time after a short outage.
 	catchUpWaitPerNode = 1200 * time.Microsecond
 	maxCatchUpWait     = 1200 * time.Millisecond
 	// maxSleep bounds a wait for the next call: another feed or another node may have reached the
--- a/internal/catalog/follower_test.go
+++ b/internal/catalog/follower_test.go
@@ -310,7 +310,7 @@
 		want  bool
 	}{
 		{"history gone", func(*memoryFeed) {}, false},
-		{"away", func(feed *memoryFeed) {
+		{"store unavailable", func(feed *memoryFeed) {
 			feed.configure(func() { feed.fail = true })
 			time.Sleep(2 * watchWait)
 			feed.configure(func() { feed.fail = false })
--- a/internal/catalog/handover_test.go
+++ b/internal/catalog/handover_test.go
@@ -61,11 +61,11 @@
 		change func(*Handover[string])
 		within time.Duration
 	}{
-		{"nobody answers", func(handover *Handover[string]) { handover.Abandon() }, time.Second},
-		{"what is handed over is old", func(handover *Handover[string]) {
+		{"no peer answers", func(handover *Handover[string]) { handover.Abandon() }, time.Second},
+		{"outdated handover", func(handover *Handover[string]) {
 			handover.Put(Page[string]{Revision: 1, Items: []string{"old"}}, time.Now().Add(-maxHandoverAge-time.Second))
 		}, time.Second},
-		{"others are busy", func(*Handover[string]) {}, handoverWait + handoverJitter + time.Second},
+		{"no handover in time", func(*Handover[string]) {}, handoverWait + handoverJitter + time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
