--- a/internal/exchange/admit_test.go
+++ b/internal/exchange/admit_test.go
@@ -14,17 +14,17 @@
 // it may be incomplete.
 func TestTooFewShardsWithServersAreRefusedBeforeAnythingIsSent(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		settling bool
-		want     time.Duration
+		name           string
+		listIncomplete bool
+		want           time.Duration
 	}{
 		{"complete list", false, 0},
-		{"list just after an outage", true, testPatience},
+		{"list just after an outage", true, testHoldTime},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			plan := gatherPlan("a", "b", "c")
-			core := New(plan, &fakeServers{servers: map[string]int{"a": 1, "b": 1}, settling: test.settling})
+			core := New(plan, &fakeServers{servers: map[string]int{"a": 1, "b": 1}, listIncomplete: test.listIncomplete})
 			now := time.Duration(0)
 			batch := core.Start(now)
 			for batch.Outcome == nil {
@@ -43,7 +43,7 @@
 
 func TestServersThatAppearAreAsked(t *testing.T) {
 	is := is.New(t)
-	servers := &fakeServers{servers: map[string]int{"a": 1}, settling: true}
+	servers := &fakeServers{servers: map[string]int{"a": 1}, listIncomplete: true}
 	core := New(gatherPlan("a", "b"), servers)
 	is.Equal(len(core.Start(0).Sends), 0)
 	servers.servers["b"] = 1
@@ -53,14 +53,14 @@
 // A request that is held before anything is sent reports the cause at each step.
 func TestHeldRequestReportsTheCause(t *testing.T) {
 	is := is.New(t)
-	servers := &fakeServers{servers: map[string]int{"a": 1}, settling: true}
+	servers := &fakeServers{servers: map[string]int{"a": 1}, listIncomplete: true}
 	plan := gatherPlan("a", "b")
 	plan.Jitter = 0.5
 	core := New(plan, servers)
 	is.Equal(core.Start(0).Hold, HoldUnlisted)
-	servers.servers["b"], servers.growing = 1, true
+	servers.servers["b"], servers.listGrowing = 1, true
 	is.Equal(core.Tick(20*ms).Hold, HoldGrowing)
-	servers.growing = false
+	servers.listGrowing = false
 	is.Equal(core.Tick(40*ms).Hold, HoldSpread) // until 60 ms
 	batch := core.Tick(60 * ms)
 	is.Equal(batch.Hold, HoldNone)
@@ -141,9 +141,9 @@
 	servers := &fakeServers{servers: map[string]int{"a": 3}, budget: 1}
 	core := New(gatherPlan("a"), servers)
 	core.Start(0)
-	core.Tick(testLateAfter)
+	core.Tick(testHedgeDelay)
 	is.Equal(servers.budget, 0)
-	batch := core.Reply(AttemptID{0, 1}, unsentUnreachable, testLateAfter+ms)
+	batch := core.Reply(AttemptID{0, 1}, unsentUnreachable, testHedgeDelay+ms)
 	is.Equal(ids(batch), []AttemptID{{0, 2}}) // with the budget of the first hedge
 	is.Equal(servers.budget, 0)
 	is.Equal(servers.extra, 1)
--- a/internal/exchange/budget.go
+++ b/internal/exchange/budget.go
@@ -8,7 +8,7 @@
 
 // minSuccessProbability is the probability of success from which a gathered request is always
 // started. Below it, a random draw starts requests in proportion to their probability:
-// these show when servers refuse less. With 12 of 36 shards whose servers refuse 70% of
+// the started ones show when servers refuse less. With 12 of 36 shards whose servers refuse 70% of
 // all requests, 40% of the failing requests are refused at once because of it, and
 // as many are served as without it.
 const minSuccessProbability = 0.7
--- a/internal/exchange/budget_test.go
+++ b/internal/exchange/budget_test.go
@@ -12,8 +12,8 @@
 // A gathered request is started only if the retry budgets left at its shards make a success
 // likely; otherwise it is refused at once, with nothing sent.
 func TestGatheredRequestWithoutEnoughBudgetIsRefusedAtOnce(t *testing.T) {
-	failing := func(extra float64) endpoints.ServiceHealth {
-		return endpoints.ServiceHealth{FailureRate: 0.6, RetryBudget: extra}
+	failing := func(retryBudget float64) endpoints.ServiceHealth {
+		return endpoints.ServiceHealth{FailureRate: 0.6, RetryBudget: retryBudget}
 	}
 	reliable := endpoints.ServiceHealth{RetryBudget: 0}
 	for _, test := range []struct {
--- a/internal/exchange/core.go
+++ b/internal/exchange/core.go
@@ -43,7 +43,7 @@
 	// yieldCheckAt is when a late request next checks whether it may start; zero before
 	// its first check.
 	yieldCheckAt time.Duration
-	// guard stops a request that may terminate the servers that run it.
+	// guard stops a request that may crash the servers that run it.
 	guard crashguard.Guard
 	// budgetExhausted is set once a shard is lost for lack of retry budget.
 	budgetExhausted bool
@@ -180,7 +180,7 @@
 		return
 	}
 	switch inFlight := shard.inFlight(); {
-	case c.sequential() && (c.inFlight() > 0 || c.waitsForSuspects(shard)):
+	case c.sequential() && (c.inFlight() > 0 || c.waitsForSuspectedServices(shard)):
 		shard.nextCheckAt = now + pollInterval
 	case len(shard.attempts) == 0:
 		c.send(index, ReasonFirst, now, batch)
@@ -271,7 +271,7 @@
 	for index := range shard.attempts {
 		attempt := &shard.attempts[index]
 		// The loop does not stop at the first reachable server: each call of ZoneUnreachable
-		// also records the silence of that server for the reachability of its zone.
+		// also records a server that is unresponsive for the reachability of its zone.
 		if !attempt.finished && !c.servers.ZoneUnreachable(attempt.choice.Endpoint) {
 			unreachable = false
 		}
--- a/internal/exchange/core_test.go
+++ b/internal/exchange/core_test.go
@@ -37,9 +37,9 @@
 	servers := &fakeServers{servers: map[string]int{"a": 3}, budget: 5}
 	core := New(gatherPlan("a"), servers)
 	batch := core.Start(0)
-	is.Equal(batch.Wake, testLateAfter)
-	is.Equal(len(core.Tick(testLateAfter-ms).Sends), 0)
-	batch = core.Tick(testLateAfter)
+	is.Equal(batch.Wake, testHedgeDelay)
+	is.Equal(len(core.Tick(testHedgeDelay-ms).Sends), 0)
+	batch = core.Tick(testHedgeDelay)
 	is.Equal(ids(batch), []AttemptID{{0, 1}})
 	is.Equal(batch.Sends[0].Reason, ReasonHedge)
 	is.Equal(len(core.Tick(150*ms).Sends), 0) // two attempts are the most
@@ -52,7 +52,7 @@
 	is := is.New(t)
 	core := New(gatherPlan("a", "b"), &fakeServers{servers: map[string]int{"a": 2, "b": 2}, budget: 5})
 	core.Start(0)
-	core.Tick(testLateAfter)
+	core.Tick(testHedgeDelay)
 	batch := core.Reply(AttemptID{0, 1}, answered(200), 60*ms)
 	is.Equal(batch.Cancels, []AttemptID{{0, 0}})
 }
@@ -127,7 +127,7 @@
 			is := is.New(t)
 			core := New(singlePlan(false), &fakeServers{servers: map[string]int{"a": 9}, budget: 9})
 			core.Start(0)
-			is.Equal(len(core.Tick(10*testLateAfter).Sends), 0) // never hedged
+			is.Equal(len(core.Tick(10*testHedgeDelay).Sends), 0) // never hedged
 			batch := core.Reply(AttemptID{0, 0}, test.reply, 510*ms)
 			is.Equal(len(batch.Sends) == 1, test.retried)
 			if test.retried {
@@ -143,7 +143,7 @@
 	is := is.New(t)
 	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 2}, budget: 9})
 	core.Start(0)
-	core.Tick(testLateAfter)
+	core.Tick(testHedgeDelay)
 	core.Reply(AttemptID{0, 1}, refused, 60*ms)
 	now := 70 * ms
 	batch := core.Reply(AttemptID{0, 0}, lost, now)
@@ -186,7 +186,7 @@
 	is := is.New(t)
 	plan := gatherPlan("a", "b", "c")
 	plan.LeastShards = 2
-	servers := &fakeServers{servers: map[string]int{"a": 1, "b": 1, "c": 1}, lateAfter: 2 * testTarget}
+	servers := &fakeServers{servers: map[string]int{"a": 1, "b": 1, "c": 1}, hedgeDelay: 2 * testTarget}
 	core := New(plan, servers)
 	is.Equal(len(core.Start(0).Sends), 3)
 	is.True(core.Tick(testTarget).Outcome == nil)
@@ -240,7 +240,7 @@
 	is := is.New(t)
 	core := New(singlePlan(true), &fakeServers{servers: map[string]int{"a": 2}, budget: 9})
 	core.Start(0)
-	core.Tick(testLateAfter)
+	core.Tick(testHedgeDelay)
 	is.True(core.Reply(AttemptID{0, 0}, answered(200), 60*ms).Outcome != nil)
 	late := core.Reply(AttemptID{0, 1}, answered(200), 70*ms)
 	is.Equal(late.Outcome, (*Outcome)(nil))
@@ -321,7 +321,7 @@
 	is.True(batch.Outcome != nil)
 	is.Equal(batch.Outcome.Status, StatusRefused)
 	is.Equal(batch.Outcome.Cause, CauseNoServers)
-	waiting := New(singlePlan(true), &fakeServers{settling: true})
+	waiting := New(singlePlan(true), &fakeServers{listIncomplete: true})
 	is.True(waiting.Start(0).Outcome == nil)
 }
 
@@ -336,7 +336,7 @@
 		plan.MaximumAttempts = attempts
 		core := New(plan, servers)
 		core.Start(0)
-		is.True(core.Reply(AttemptID{Shard: 1}, answered(200), testLateAfter/2).Outcome == nil)
+		is.True(core.Reply(AttemptID{Shard: 1}, answered(200), testHedgeDelay/2).Outcome == nil)
 		is.True(core.Tick(2*testTarget).Outcome == nil)
 		servers.unreachable = true
 		batch := core.Tick(2*testTarget + reachCheckInterval)
@@ -347,7 +347,7 @@
 	for _, repeatable := range []bool{true, false} {
 		core := New(singlePlan(repeatable), &fakeServers{servers: map[string]int{"a": 1}, budget: 9, unreachable: true})
 		core.Start(0)
-		for now := testLateAfter; now < testDeadline; now += reachCheckInterval {
+		for now := testHedgeDelay; now < testDeadline; now += reachCheckInterval {
 			is.New(t).True(core.Tick(now).Outcome == nil)
 		}
 	}
--- a/internal/exchange/fake_test.go
+++ b/internal/exchange/fake_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	testTarget    = 200 * time.Millisecond
-	testDeadline  = 2 * time.Second
-	testPatience  = time.Second
-	testLateAfter = 50 * time.Millisecond
-	testExpected  = 30 * time.Millisecond
+	testTarget     = 200 * time.Millisecond
+	testDeadline   = 2 * time.Second
+	testHoldTime   = time.Second
+	testHedgeDelay = 50 * time.Millisecond
+	testExpected   = 30 * time.Millisecond
 )
 
 // fakeServers implements Servers. It returns the servers of a service in order and creates
@@ -30,14 +30,14 @@
 	cold map[string]bool
 	// extra is the number of extra sends charged to the budget and not refunded.
 	extra int
-	// lateAfter replaces testLateAfter if it is set.
-	lateAfter time.Duration
-	// settling is set while servers may be missing from the list.
-	settling bool
+	// hedgeDelay replaces testHedgeDelay if it is set.
+	hedgeDelay time.Duration
+	// listIncomplete is set while servers may be missing from the list.
+	listIncomplete bool
 	// unreachable is set while the servers are unreachable.
 	unreachable bool
-	// growing is set while servers are being added to the list.
-	growing bool
+	// listGrowing is set while servers are being added to the list.
+	listGrowing bool
 	// shedding is set while servers shed load, justStarted while the node has just started.
 	shedding, justStarted bool
 	// health are the failure rates and retry budgets of the services.
@@ -48,9 +48,9 @@
 
 func (f *fakeServers) HasServer(service string) bool { return f.servers[service] > 0 }
 
-func (f *fakeServers) ListIncomplete() bool { return f.settling }
+func (f *fakeServers) ListIncomplete() bool { return f.listIncomplete }
 
-func (f *fakeServers) ListGrowing() bool { return f.growing }
+func (f *fakeServers) ListGrowing() bool { return f.listGrowing }
 
 func (f *fakeServers) Shedding() bool { return f.shedding }
 
@@ -75,7 +75,7 @@
 		f.budget--
 		f.extra++
 	}
-	return endpoints.Choice{Endpoint: chosen, Expected: testExpected, HedgeDelay: cmp.Or(f.lateAfter, testLateAfter)}, endpoints.Chosen
+	return endpoints.Choice{Endpoint: chosen, Expected: testExpected, HedgeDelay: cmp.Or(f.hedgeDelay, testHedgeDelay)}, endpoints.Chosen
 }
 
 // choose returns a server that is not in tried and, unless only is nil, is in only; nil if
@@ -113,7 +113,7 @@
 		LeastShards:     len(services),
 		Target:          testTarget,
 		Deadline:        testDeadline,
-		HoldUntil:       testPatience,
+		HoldUntil:       testHoldTime,
 	}
 }
 
@@ -125,7 +125,7 @@
 		LeastShards:     1,
 		Target:          testTarget,
 		Deadline:        testDeadline,
-		HoldUntil:       testPatience,
+		HoldUntil:       testHoldTime,
 	}
 }
 
--- a/internal/exchange/guard.go
+++ b/internal/exchange/guard.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// noteAnswer records that a server answered, and lets the shards proceed that waited for it.
+// noteAnswer records that a server answered. If the attempts were sequential until then, all
+// shards are checked now.
 func (c *Core) noteAnswer(now time.Duration) {
 	wasSequential := c.sequential()
 	c.guard.RecordAnswer()
@@ -37,9 +38,9 @@
 	return c.guard.Sequential() || c.plan.Trial && !c.guard.Answered()
 }
 
-// waitsForSuspects reports whether a shard of a trial waits because a suspect shard is still
-// open.
-func (c *Core) waitsForSuspects(shard *shard) bool {
+// waitsForSuspectedServices reports whether a shard of a trial waits for the shards of
+// suspected services, of which one is still open.
+func (c *Core) waitsForSuspectedServices(shard *shard) bool {
 	if !c.plan.Trial || slices.Contains(c.plan.SuspectedServices, shard.service) {
 		return false
 	}
--- a/internal/exchange/guard_test.go
+++ b/internal/exchange/guard_test.go
@@ -11,7 +11,7 @@
 	"github.com/driftstage/driftstage/internal/verdict"
 )
 
-// A request that may terminate servers is sent to only one more server once its first
+// A request that may crash servers is sent to only one more server once its first
 // attempts were lost, not to another server of each shard.
 func TestRequestThatLosesAllItsAttemptsGetsOneMore(t *testing.T) {
 	is := is.New(t)
@@ -60,7 +60,7 @@
 	servers := &fakeServers{servers: map[string]int{"a": 3, "b": 3}, budget: 9}
 	core := New(plan, servers)
 	is.Equal(ids(core.Start(0)), []AttemptID{{0, 0}})
-	is.Equal(len(core.Tick(2*testLateAfter).Sends), 0) // not hedged either
+	is.Equal(len(core.Tick(2*testHedgeDelay).Sends), 0) // not hedged either
 	batch := core.Reply(AttemptID{0, 0}, answered(200), 60*ms)
 	is.Equal(ids(batch), []AttemptID{{1, 0}})
 
@@ -72,7 +72,7 @@
 	is.Equal(failed.Sends(), 1)
 }
 
-// A trial whose attempt reaches no server continues at the next one: nothing has run.
+// A trial whose attempt reaches no server continues with the next server: nothing has run.
 func TestTrialContinuesIfNoServerIsReached(t *testing.T) {
 	is := is.New(t)
 	plan := singlePlan(false)
@@ -83,9 +83,9 @@
 	is.Equal(core.Reply(AttemptID{0, 1}, answered(200), 2*ms).Outcome.Status, StatusAnswered)
 }
 
-// A trial starts at a suspect shard, whose servers terminated; the others wait for its
-// answer.
-func TestTrialStartsWithTheSuspects(t *testing.T) {
+// A trial starts at the shard of a suspected service, whose servers crashed; the others wait
+// for its answer.
+func TestTrialStartsWithSuspectedServices(t *testing.T) {
 	is := is.New(t)
 	plan := gatherPlan("a", "b", "c")
 	plan.Trial, plan.SuspectedServices = true, []string{"c"}
--- a/internal/exchange/hedge_test.go
+++ b/internal/exchange/hedge_test.go
@@ -34,7 +34,7 @@
 	plan, servers := manyShards(90)
 	core := New(plan, servers)
 	is.Equal(len(core.Start(0).Sends), 90)
-	for now := testLateAfter; now < testTarget-testExpected; now += 5 * time.Millisecond {
+	for now := testHedgeDelay; now < testTarget-testExpected; now += 5 * time.Millisecond {
 		is.Equal(len(core.Tick(now).Sends), 0)
 	}
 	// This is the latest time at which a hedge can still meet the target.
@@ -52,7 +52,7 @@
 		hedged += len(core.Reply(AttemptID{Shard: shard}, success(), 40*time.Millisecond).Sends)
 	}
 	is.Equal(hedged, 0)
-	batch := core.Tick(testLateAfter)
+	batch := core.Tick(testHedgeDelay)
 	is.Equal(len(batch.Sends), 20)
 	is.Equal(batch.Sends[0].Reason, ReasonHedge)
 }
@@ -64,11 +64,11 @@
 	plan, servers := manyShards(90)
 	core := New(plan, servers)
 	core.Start(0)
-	core.Tick(testLateAfter)
+	core.Tick(testHedgeDelay)
 	for shard := range 80 {
-		core.Reply(AttemptID{Shard: shard}, success(), testLateAfter+time.Millisecond)
+		core.Reply(AttemptID{Shard: shard}, success(), testHedgeDelay+time.Millisecond)
 	}
-	is.Equal(len(core.Tick(testLateAfter+pollInterval).Sends), 10)
+	is.Equal(len(core.Tick(testHedgeDelay+pollInterval).Sends), 10)
 }
 
 // A gather of few shards adds little load: each is hedged when it is late.
@@ -77,7 +77,7 @@
 	plan, servers := manyShards(maxStragglerCount)
 	core := New(plan, servers)
 	core.Start(0)
-	is.Equal(len(core.Tick(testLateAfter).Sends), maxStragglerCount)
+	is.Equal(len(core.Tick(testHedgeDelay).Sends), maxStragglerCount)
 }
 
 // A slow node returns a partial answer earlier, so that it reaches the caller in time.
--- a/internal/exchange/property_test.go
+++ b/internal/exchange/property_test.go
@@ -21,25 +21,25 @@
 	outcomes []*Outcome
 }
 
-// TestRequestInvariants drives the core with random replies at random
-// times and checks the invariants of every request.
+// TestRequestInvariants drives the core with random replies at random times and checks the
+// invariants of every request.
 func TestRequestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := drawPlan(t)
 		servers := &fakeServers{
-			servers:     make(map[string]int),
-			health:      make(map[string]endpoints.ServiceHealth),
-			budget:      rapid.IntRange(0, 6).Draw(t, "budget"),
-			busy:        make(map[string]bool),
-			settling:    rapid.Bool().Draw(t, "settling"),
-			justStarted: rapid.Bool().Draw(t, "fresh"),
-			shedding:    rapid.Bool().Draw(t, "pressed"),
+			servers:        make(map[string]int),
+			health:         make(map[string]endpoints.ServiceHealth),
+			budget:         rapid.IntRange(0, 6).Draw(t, "budget"),
+			busy:           make(map[string]bool),
+			listIncomplete: rapid.Bool().Draw(t, "list incomplete"),
+			justStarted:    rapid.Bool().Draw(t, "just started"),
+			shedding:       rapid.Bool().Draw(t, "shedding"),
 		}
 		for _, service := range plan.Services {
 			servers.servers[service] = rapid.IntRange(0, 3).Draw(t, "servers")
 			servers.health[service] = endpoints.ServiceHealth{
-				FailureRate: rapid.Float64Range(0, 1).Draw(t, "failing"),
-				RetryBudget: float64(rapid.IntRange(-1, 6).Draw(t, "extra")),
+				FailureRate: rapid.Float64Range(0, 1).Draw(t, "failure rate"),
+				RetryBudget: float64(rapid.IntRange(-1, 6).Draw(t, "retry budget")),
 			}
 		}
 		history := &history{sends: make(map[int]int), chosen: make(map[AttemptID]*endpoints.Endpoint), started: make(map[AttemptID]bool), ended: make(map[AttemptID]upstream.Reply)}
@@ -70,7 +70,7 @@
 		plan.MaximumAttempts = rapid.IntRange(1, 3).Draw(t, "attempts")
 		plan.ArrivedLate = rapid.Bool().Draw(t, "late")
 		plan.YieldUntil = time.Duration(rapid.IntRange(0, 1200).Draw(t, "yield")) * ms
-		plan.Jitter = rapid.Float64Range(0, 1).Draw(t, "spread")
+		plan.Jitter = rapid.Float64Range(0, 1).Draw(t, "jitter")
 		return plan
 	}
 	plan := singlePlan(rapid.Bool().Draw(t, "repeatable"))
@@ -79,7 +79,7 @@
 	return plan
 }
 
-// record records the actions of a batch.
+// record adds the actions of a batch to the history.
 func (h *history) record(batch Batch) {
 	for _, send := range batch.Sends {
 		h.sends[send.ID.Shard]++
@@ -95,6 +95,7 @@
 	}
 }
 
+// finish removes the attempt from the open ones.
 func (h *history) finish(id AttemptID) {
 	for index, other := range h.open {
 		if other == id {
--- a/internal/exchange/shard.go
+++ b/internal/exchange/shard.go
@@ -18,7 +18,7 @@
 	// refused it without running it.
 	unsent, refused bool
 	// sequential is set if it was the only attempt in flight, to find out whether the request
-	// terminates servers.
+	// crashes servers.
 	sequential bool
 	// retryable is set if the server may be asked again, from retryAt on.
 	retryable bool
@@ -145,6 +145,7 @@
 	return now >= s.lateAt()
 }
 
+// lateAt returns when the latest attempt in flight becomes late.
 func (s *shard) lateAt() time.Duration {
 	newest := len(s.attempts) - 1
 	for newest > 0 && s.attempts[newest].finished {
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -41,13 +41,14 @@
 	// YieldUntil is until when a late request may be held back in favor of others on a node
 	// that has just started.
 	YieldUntil time.Duration
-	// Trial is set for a request during which servers have terminated before: it starts
+	// Trial is set for a request during which servers have crashed before: it starts
 	// with a single attempt, at one of the services in SuspectedServices if that has a server.
 	Trial             bool
 	SuspectedServices []string
-	// Jitter is a random number from 0 to 1. It adds jitter to the release of requests
-	// that were held for the same servers: each is held for this share of its wait once
-	// more. Under overload it also draws which requests are admitted.
+	// Jitter is a random number from 0 to 1. It spreads the release of requests
+	// that were held for the same servers: each is held longer by this share of its wait.
+	// While servers shed load, it also decides which requests that are unlikely to succeed
+	// are started.
 	Jitter float64
 }
 
@@ -193,11 +194,11 @@
 	CauseServerFailed Cause = "server_failed"
 	// CauseNoBudget means that a retry was needed and the retry budget did not allow it.
 	CauseNoBudget Cause = "no_budget"
-	// CauseQuarantined means that the request is known to terminate servers, or is
+	// CauseQuarantined means that the request is known to crash servers, or is
 	// suspected of it and has to wait for a trial.
 	CauseQuarantined Cause = "quarantined"
 	// CauseServersEnded means that no more attempts are made because the request may have
-	// terminated the servers that ran it.
+	// crashed the servers that ran it.
 	CauseServersEnded Cause = "servers_ended"
 	// CauseNodeOverloaded means that this node lacks processor time.
 	CauseNodeOverloaded Cause = "node_overloaded"
