--- a/internal/endpoints/choose.go
+++ b/internal/endpoints/choose.go
@@ -7,7 +7,7 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// Choice is a server chosen for one request together with the expectations of it.
+// Choice is a server chosen for one request together with what is expected of it.
 type Choice struct {
 	Endpoint *Endpoint
 	// Server is the registry entry on which the choice was based, Incarnation identifies
@@ -81,36 +81,36 @@
 // least predicted time anywhere. Traffic between regions is expensive, and an answer
 // within the time left is not worth more for being earlier. Servers that recently
 // failed come last. The reservation ends with Finish.
-func (d *Directory) Choose(demand Criteria, now time.Time) (Choice, Availability) {
+func (d *Directory) Choose(criteria Criteria, now time.Time) (Choice, Availability) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	admission := d.admit(demand, now)
-	best, availability := d.best(demand, admission, now)
+	admission := d.admit(criteria, now)
+	best, availability := d.best(criteria, admission, now)
 	if availability != Chosen && admission.Trial() {
 		admission = d.versions.Decline(admission)
-		best, availability = d.best(demand, admission, now)
+		best, availability = d.best(criteria, admission, now)
 	}
 	switch {
 	case availability != Chosen:
 		d.versions.Refund(admission)
 		return Choice{}, availability
-	case demand.Extra && !d.takeExtra(demand.Service, now):
+	case criteria.Extra && !d.takeExtra(criteria.Service, now):
 		d.versions.Refund(admission)
-		d.requestGrant(demand.Service, now)
+		d.requestGrant(criteria.Service, now)
 		return Choice{}, NoBudget
 	}
-	choice := d.reserve(best, demand, now)
+	choice := d.reserve(best, criteria, now)
 	choice.Admission = admission
-	if demand.Route != nil {
-		choice.Route = demand.Route.Name
+	if criteria.Route != nil {
+		choice.Route = criteria.Route.Name
 	}
 	d.versions.Begin(choice.candidate(), admission)
 	return choice, Chosen
 }
 
 // expected returns the predicted time until an answer, round trip included.
-func (d *Directory) expected(endpoint *Endpoint, demand Criteria, now time.Time) time.Duration {
-	return endpoint.predict(demand.Estimate.Mean(), now) + d.networkTime(endpoint)
+func (d *Directory) expected(endpoint *Endpoint, criteria Criteria, now time.Time) time.Duration {
+	return endpoint.predict(criteria.Estimate.Mean(), now) + d.networkTime(endpoint)
 }
 
 // networkTime returns the round-trip time to the endpoint, plus the time of a new
@@ -120,13 +120,13 @@
 }
 
 // best returns the server with the least cost, or why there is none.
-func (d *Directory) best(demand Criteria, admission rollout.Admission, now time.Time) (*Endpoint, Availability) {
+func (d *Directory) best(criteria Criteria, admission rollout.Admission, now time.Time) (*Endpoint, Availability) {
 	var best *Endpoint
 	var bestCost time.Duration
 	availability := NoServer
-	for _, endpoint := range d.admitted(demand.Service, admission) {
-		// The remoteCost of servers of other regions exceeds the cost of any good local server.
-		if best != nil && bestCost < remoteCost && !endpoint.location.local || !d.eligible(endpoint, demand, now) {
+	for _, endpoint := range d.admitted(criteria.Service, admission) {
+		// remoteCost, added for servers of other regions, exceeds the cost of any good local server.
+		if best != nil && bestCost < remoteCost && !endpoint.location.local || !d.eligible(endpoint, criteria, now) {
 			continue
 		}
 		if !d.coldStartAllows(endpoint, now) {
@@ -139,7 +139,7 @@
 			availability = Busy
 			continue
 		}
-		cost := d.cost(endpoint, demand, now)
+		cost := d.cost(endpoint, criteria, now)
 		if best == nil || cost < bestCost {
 			best, bestCost = endpoint, cost
 		}
@@ -168,10 +168,10 @@
 	slowLocalShare = 0.25
 )
 
-func (d *Directory) cost(endpoint *Endpoint, demand Criteria, now time.Time) time.Duration {
-	expected := d.expected(endpoint, demand, now)
-	cost := expected + endpoint.failures.cost(demand.TimeLeft, now)
-	if !preferred(endpoint, expected, demand.TimeLeft, now) {
+func (d *Directory) cost(endpoint *Endpoint, criteria Criteria, now time.Time) time.Duration {
+	expected := d.expected(endpoint, criteria, now)
+	cost := expected + endpoint.failures.cost(criteria.TimeLeft, now)
+	if !preferred(endpoint, expected, criteria.TimeLeft, now) {
 		cost += remoteCost
 	}
 	if endpoint.backingOff(now) {
@@ -183,7 +183,7 @@
 // preferred reports whether the server is local, reliable and, by its expected time, fast
 // enough to leave time for another attempt.
 func preferred(endpoint *Endpoint, expected, left time.Duration, now time.Time) bool {
-	if !endpoint.location.local || endpoint.failures.current(now) >= unreliableShare {
+	if !endpoint.location.local || endpoint.failures.current(now) >= unreliableRate {
 		return false
 	}
 	share := localShare
@@ -193,17 +193,17 @@
 	return expected <= time.Duration(share*float64(left))
 }
 
-func (d *Directory) reserve(endpoint *Endpoint, demand Criteria, now time.Time) Choice {
+func (d *Directory) reserve(endpoint *Endpoint, criteria Criteria, now time.Time) Choice {
 	choice := Choice{
 		Endpoint:        endpoint,
 		Server:          endpoint.Server,
 		Incarnation:     endpoint.incarnation,
-		Expected:        d.expected(endpoint, demand, now),
-		HedgeDelay:      d.lateAfter(endpoint, demand, now),
+		Expected:        d.expected(endpoint, criteria, now),
+		HedgeDelay:      d.hedgeDelay(endpoint, criteria, now),
 		ConnectTime:     d.connectTime(endpoint),
-		SchedulingDelay: demand.SchedulingDelay,
+		SchedulingDelay: criteria.SchedulingDelay,
 		InFlight:        len(endpoint.inFlight),
-		BudgetLeft:      d.service(endpoint.Service).extra.Remaining(d.budget, now),
+		BudgetLeft:      d.service(endpoint.Service).retryBudget.Remaining(d.budgetLimits, now),
 		ReservedAt:      now,
 	}
 	endpoint.begin(now)
--- a/internal/endpoints/cold.go
+++ b/internal/endpoints/cold.go
@@ -26,9 +26,9 @@
 
 func (e *Endpoint) cold(now time.Time) bool { return now.Before(e.coldUntil) }
 
-// coldStartAllows reports whether the server may get a request as far as its start is
-// concerned. If the service has a rate for cold servers, one gets one request at a time from
-// each node, in turns that a hash spreads over the nodes. The rate then holds for all nodes
+// coldStartAllows reports whether the rate for cold servers lets the server get a request.
+// If its service has such a rate, each node sends a cold server at most one request per turn,
+// and a hash spreads the turns of the nodes over time. The rate then holds for all nodes
 // together without coordination, as long as each knows their approximate number. A node that
 // has not counted the others has no turns.
 func (d *Directory) coldStartAllows(endpoint *Endpoint, now time.Time) bool {
--- a/internal/endpoints/cold_test.go
+++ b/internal/endpoints/cold_test.go
@@ -47,8 +47,8 @@
 	var times []time.Duration
 	for at := time.Duration(0); at < span; at += step {
 		for _, node := range nodes {
-			choice, found := node.Choose(demand(NewEstimate(20*time.Millisecond)), epoch.Add(at))
-			if found == Chosen {
+			choice, availability := node.Choose(newCriteria(NewEstimate(20*time.Millisecond)), epoch.Add(at))
+			if availability == Chosen {
 				times = append(times, at)
 				node.Finish(choice, established(20*time.Millisecond), ResultAnswered, epoch.Add(at+time.Millisecond))
 			}
@@ -101,7 +101,7 @@
 	chosen := make(map[string]int)
 	for at := time.Duration(0); at < 4*time.Second; at += 20 * time.Millisecond {
 		now := epoch.Add(at)
-		choice := choose(t, directory, demand(NewEstimate(20*time.Millisecond)), now)
+		choice := choose(t, directory, newCriteria(NewEstimate(20*time.Millisecond)), now)
 		chosen[choice.Server.ID]++
 		directory.Finish(choice, established(20*time.Millisecond), ResultAnswered, now.Add(time.Millisecond))
 	}
@@ -113,8 +113,8 @@
 	is := is.New(t)
 	directory := newNode(t, "a", 1, 12, coldServer("cold"))
 	directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: 1}, epoch)
-	_, found := directory.Choose(demand(NewEstimate(20*time.Millisecond)), epoch)
-	is.Equal(found, Cold)
+	_, availability := directory.Choose(newCriteria(NewEstimate(20*time.Millisecond)), epoch)
+	is.Equal(availability, Cold)
 }
 
 func TestNoLimitWithoutColdRate(t *testing.T) {
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -42,14 +42,14 @@
 	// refusals is how often servers refuse requests.
 	refusals refusals
 	// firstList is set if the list read after the outage was the first one of this node.
-	firstList bool
-	budget    retrybudget.Limits
+	firstList    bool
+	budgetLimits retrybudget.Limits
 	// pooled is set while there are too many nodes to divide the retry budget among them;
-	// grants are then the requests for extra sends from the pool.
-	pooled bool
-	grants grantRequests
-	nodes  NodeCounts
-	byID   map[string]*Endpoint
+	// grantRequests are then the requests for extra sends from the pool.
+	pooled        bool
+	grantRequests grantRequests
+	nodes         NodeCounts
+	byID          map[string]*Endpoint
 	// retired are recently ended servers by incarnation; unconfirmed are entries of a
 	// restored list, by ID, that have no effect yet.
 	retired     map[string]retiredServer
@@ -68,8 +68,8 @@
 // service is what the node keeps of one service.
 type service struct {
 	endpoints []*Endpoint
-	// extra counts the sends after the first one of each request.
-	extra          retrybudget.Budget
+	// retryBudget counts the sends after the first one of each request.
+	retryBudget    retrybudget.Budget
 	maxConnections int
 	// growth is how much the list has grown since a store outage.
 	growth listGrowth
@@ -94,7 +94,7 @@
 		unconfirmedZones: make(map[string]unconfirmedZone),
 		zones:            make(map[string]*reachability),
 		services:         make(map[string]*service),
-		grants:           newGrantRequests(),
+		grantRequests:    newGrantRequests(),
 	}
 }
 
@@ -118,10 +118,10 @@
 	known, found := d.byID[server.ID]
 	switch {
 	case !found:
-	case server.Born > 0 && known.bornAfter(server):
+	case server.Born > 0 && known.startedAfter(server):
 		// A late entry of a process that has already ended.
 		return "", false
-	case server.bornAfter(known.Server):
+	case server.startedAfter(known.Server):
 		d.retire(known, now)
 		ended, restarted = known.incarnation, true
 	default:
@@ -160,7 +160,7 @@
 	}
 }
 
-// supersede takes servers out of use whose address a newer one has: they have ended,
+// supersede takes out of use the servers whose address the newer one has: they have ended,
 // though their entries have not expired yet. Requests sent there reach the newer server,
 // which refuses them.
 func (d *Directory) supersede(newer *Endpoint) {
@@ -182,7 +182,7 @@
 	return d.removeWith(id, func(endpoint *Endpoint) { d.retire(endpoint, now) })
 }
 
-// removeWith removes the server by the given function.
+// removeWith removes the server with the given function.
 func (d *Directory) removeWith(id string, remove func(*Endpoint)) (removed string, known bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -255,12 +255,12 @@
 	}
 }
 
-// SetShares sets the retry budget of each service, whether a pool grants extra sends beyond it,
-// and the numbers of nodes that share the connections of a server.
-func (d *Directory) SetShares(budget retrybudget.Limits, pooled bool, nodes NodeCounts, now time.Time) {
+// SetShares sets the limits of the retry budget of each service, whether a pool grants extra
+// sends beyond it, and the numbers of nodes that share the connections of a server.
+func (d *Directory) SetShares(limits retrybudget.Limits, pooled bool, nodes NodeCounts, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.budget, d.pooled = budget, pooled
+	d.budgetLimits, d.pooled = limits, pooled
 	d.nodes = nodes
 	for _, svc := range d.services {
 		d.updateMaxLimits(svc, now)
@@ -291,8 +291,8 @@
 	})
 }
 
-// HasReachableServer reports whether the service has a server that may get requests of the route and has
-// not just been found unreachable.
+// HasReachableServer reports whether the service has a server that may get requests of the
+// route and has not just been found unreachable.
 func (d *Directory) HasReachableServer(service string, route *routing.Route, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/endpoints/directory_test.go
+++ b/internal/endpoints/directory_test.go
@@ -33,8 +33,8 @@
 	return directory
 }
 
-func demand(work *Estimate, tried ...*Endpoint) Criteria {
-	return Criteria{Service: "s", Estimate: work, Tried: tried, TimeLeft: 200 * time.Millisecond}
+func newCriteria(estimate *Estimate, tried ...*Endpoint) Criteria {
+	return Criteria{Service: "s", Estimate: estimate, Tried: tried, TimeLeft: 200 * time.Millisecond}
 }
 
 // established returns an estimate as after many observations.
@@ -54,21 +54,21 @@
 func TestNearestServerIsChosenFirst(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("far", "far-1"), server("mid", "near-2"), server("near", "near-1"))
-	work := NewEstimate(20 * time.Millisecond)
-	first := choose(t, directory, demand(work), epoch)
+	estimate := NewEstimate(20 * time.Millisecond)
+	first := choose(t, directory, newCriteria(estimate), epoch)
 	is.Equal(first.Server.ID, "near")
-	second := choose(t, directory, demand(work, first.Endpoint), epoch)
+	second := choose(t, directory, newCriteria(estimate, first.Endpoint), epoch)
 	is.Equal(second.Server.ID, "mid")
-	third := choose(t, directory, demand(work, first.Endpoint, second.Endpoint), epoch)
+	third := choose(t, directory, newCriteria(estimate, first.Endpoint, second.Endpoint), epoch)
 	is.Equal(third.Server.ID, "far")
-	_, availability := directory.Choose(demand(work, first.Endpoint, second.Endpoint, third.Endpoint), epoch)
+	_, availability := directory.Choose(newCriteria(estimate, first.Endpoint, second.Endpoint, third.Endpoint), epoch)
 	is.Equal(availability, NoServer)
 }
 
 func TestSlowLocalServerLosesToARemoteOne(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	now := epoch
 	for range 10 {
 		choice := choose(t, directory, Criteria{Service: "s", Estimate: NewEstimate(20 * time.Millisecond), TimeLeft: time.Hour}, now)
@@ -76,101 +76,101 @@
 		now = now.Add(300 * time.Millisecond)
 		directory.Finish(choice, established(20*time.Millisecond), ResultAnswered, now)
 	}
-	is.Equal(choose(t, directory, demand(work), now).Server.ID, "far")
+	is.Equal(choose(t, directory, newCriteria(estimate), now).Server.ID, "far")
 	later := now.Add(10 * slownessHalfLife)
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "near") // tried again after a while
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "near") // tried again after a while
 }
 
 func TestSlowServerIsTriedAgainWithOneRequest(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	slow := directory.byID["near"]
 	slow.slowness, slow.slownessUpdatedAt = 8, epoch
 	later := epoch.Add(2 * slownessHalfLife)
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "near")
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far")
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "near")
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "far")
 }
 
 func TestFailedServerIsTriedAgainWithOneRequest(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	work := NewEstimate(20 * time.Millisecond)
-	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultFailed, epoch)
+	estimate := NewEstimate(20 * time.Millisecond)
+	directory.Finish(choose(t, directory, newCriteria(estimate), epoch), estimate, ResultFailed, epoch)
 	later := epoch.Add(maxBackoff)
-	probe := choose(t, directory, demand(work), later)
+	probe := choose(t, directory, newCriteria(estimate), later)
 	is.Equal(probe.Server.ID, "near")
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far")
-	directory.Finish(probe, work, ResultAnswered, later)
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "near")
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "near")
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "far")
+	directory.Finish(probe, estimate, ResultAnswered, later)
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "near")
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "near")
 }
 
 func TestStalledServerIsAvoided(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	work := NewEstimate(20 * time.Millisecond)
-	stuck := choose(t, directory, demand(work), epoch)
+	estimate := NewEstimate(20 * time.Millisecond)
+	stuck := choose(t, directory, newCriteria(estimate), epoch)
 	later := epoch.Add(150 * time.Millisecond)
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far")
-	directory.Finish(stuck, work, ResultAbandoned, later)
-	is.Equal(choose(t, directory, demand(work), later).Server.ID, "far") // also after the request was given up
-	is.Equal(choose(t, directory, demand(work), later.Add(time.Minute)).Server.ID, "near")
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "far")
+	directory.Finish(stuck, estimate, ResultAbandoned, later)
+	is.Equal(choose(t, directory, newCriteria(estimate), later).Server.ID, "far") // also after the request was given up
+	is.Equal(choose(t, directory, newCriteria(estimate), later.Add(time.Minute)).Server.ID, "near")
 }
 
 func TestOneLongRequestIsNoStall(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	work := NewEstimate(20 * time.Millisecond)
-	choose(t, directory, demand(work), epoch) // takes long
-	other := choose(t, directory, demand(work), epoch.Add(time.Millisecond))
+	estimate := NewEstimate(20 * time.Millisecond)
+	choose(t, directory, newCriteria(estimate), epoch) // takes long
+	other := choose(t, directory, newCriteria(estimate), epoch.Add(time.Millisecond))
 	is.Equal(other.Server.ID, "near")
 	answeredAt := epoch.Add(21 * time.Millisecond)
-	directory.Finish(other, work, ResultAnswered, answeredAt)
-	is.Equal(choose(t, directory, demand(work), epoch.Add(100*time.Millisecond)).Server.ID, "near")
+	directory.Finish(other, estimate, ResultAnswered, answeredAt)
+	is.Equal(choose(t, directory, newCriteria(estimate), epoch.Add(100*time.Millisecond)).Server.ID, "near")
 }
 
 func TestResultsThatCauseBackoff(t *testing.T) {
 	for _, result := range []Result{ResultFailed, ResultRefused, ResultUnreachable, ResultReset} {
 		is := is.New(t)
 		directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-		work := NewEstimate(20 * time.Millisecond)
-		choice := choose(t, directory, demand(work), epoch)
-		directory.Finish(choice, work, result, epoch)
-		is.Equal(choose(t, directory, demand(work), epoch.Add(time.Millisecond)).Server.ID, "far")
-		is.Equal(choose(t, directory, demand(work), epoch.Add(time.Minute)).Server.ID, "near")
+		estimate := NewEstimate(20 * time.Millisecond)
+		choice := choose(t, directory, newCriteria(estimate), epoch)
+		directory.Finish(choice, estimate, result, epoch)
+		is.Equal(choose(t, directory, newCriteria(estimate), epoch.Add(time.Millisecond)).Server.ID, "far")
+		is.Equal(choose(t, directory, newCriteria(estimate), epoch.Add(time.Minute)).Server.ID, "near")
 	}
 }
 
 func TestReusedAddressIsNotTriedAgain(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("only", "near-1"))
-	work := NewEstimate(20 * time.Millisecond)
-	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultWrongServer, epoch)
-	_, availability := directory.Choose(demand(work), epoch.Add(time.Hour))
+	estimate := NewEstimate(20 * time.Millisecond)
+	directory.Finish(choose(t, directory, newCriteria(estimate), epoch), estimate, ResultWrongServer, epoch)
+	_, availability := directory.Choose(newCriteria(estimate), epoch.Add(time.Hour))
 	is.Equal(availability, NoServer)
 	directory.Put(server("next", "near-1"), epoch)
-	is.Equal(choose(t, directory, demand(work), epoch).Server.ID, "next")
+	is.Equal(choose(t, directory, newCriteria(estimate), epoch).Server.ID, "next")
 }
 
 func TestServerThatFailedIsStillTheLastResort(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("only", "near-1"))
-	work := NewEstimate(20 * time.Millisecond)
-	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultFailed, epoch)
-	is.Equal(choose(t, directory, demand(work), epoch).Server.ID, "only")
+	estimate := NewEstimate(20 * time.Millisecond)
+	directory.Finish(choose(t, directory, newCriteria(estimate), epoch), estimate, ResultFailed, epoch)
+	is.Equal(choose(t, directory, newCriteria(estimate), epoch).Server.ID, "only")
 }
 
 func TestDrainingAndRemovedServersGetNothing(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"), server("b", "near-1"))
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	draining := server("a", "near-1")
 	draining.Draining = true
 	directory.Put(draining, epoch)
-	is.Equal(choose(t, directory, demand(work), epoch).Server.ID, "b")
+	is.Equal(choose(t, directory, newCriteria(estimate), epoch).Server.ID, "b")
 	directory.Remove("b")
-	_, availability := directory.Choose(demand(work), epoch)
+	_, availability := directory.Choose(newCriteria(estimate), epoch)
 	is.Equal(availability, NoServer)
 }
 
@@ -194,22 +194,22 @@
 	is.Equal(directory.IdleLimit(server("only", "near-1")), 2)
 	is.Equal(directory.IdleLimit(server("beside", "near-2")), 2) // another zone of the region
 	is.Equal(directory.IdleLimit(server("other", "far-1")), 0)   // less than one each
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	var choices []Choice
 	for range 4 { // two fifths of ten
-		choices = append(choices, choose(t, directory, demand(work), epoch))
+		choices = append(choices, choose(t, directory, newCriteria(estimate), epoch))
 	}
-	_, availability := directory.Choose(demand(work), epoch)
+	_, availability := directory.Choose(newCriteria(estimate), epoch)
 	is.Equal(availability, Busy)
-	directory.Finish(choices[0], work, ResultReset, epoch)
-	_, availability = directory.Choose(demand(work), epoch)
+	directory.Finish(choices[0], estimate, ResultReset, epoch)
+	_, availability = directory.Choose(newCriteria(estimate), epoch)
 	is.Equal(availability, Busy) // the limit was decreased
 	for _, choice := range choices[1:] {
-		directory.Finish(choice, work, ResultAnswered, epoch)
+		directory.Finish(choice, estimate, ResultAnswered, epoch)
 	}
 	later := epoch.Add(10 * time.Second)
 	for range 4 {
-		choose(t, directory, demand(work), later) // it has grown again
+		choose(t, directory, newCriteria(estimate), later) // it has grown again
 	}
 }
 
@@ -231,11 +231,11 @@
 		only.Slots = test.slots
 		directory := directoryOf(only)
 		directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: test.near, Remote: 1}, epoch)
-		work := NewEstimate(20 * time.Millisecond)
+		estimate := NewEstimate(20 * time.Millisecond)
 		for range test.want {
-			choose(t, directory, demand(work), epoch)
+			choose(t, directory, newCriteria(estimate), epoch)
 		}
-		_, availability := directory.Choose(demand(work), epoch)
+		_, availability := directory.Choose(newCriteria(estimate), epoch)
 		is.Equal(availability, Busy)
 	}
 }
@@ -252,15 +252,15 @@
 	idle := connections{}
 	directory := New(testTopology(), idle)
 	directory.Put(server("only", "near-1"), epoch)
-	work := NewEstimate(20 * time.Millisecond)
-	directory.Finish(choose(t, directory, demand(work), epoch), work, ResultReset, epoch)
+	estimate := NewEstimate(20 * time.Millisecond)
+	directory.Finish(choose(t, directory, newCriteria(estimate), epoch), estimate, ResultReset, epoch)
 	soon := epoch.Add(connectPause / 2)
-	_, availability := directory.Choose(demand(work), soon)
+	_, availability := directory.Choose(newCriteria(estimate), soon)
 	is.Equal(availability, Busy)
 	idle["only"] = true
-	directory.Finish(choose(t, directory, demand(work), soon), work, ResultAnswered, soon)
+	directory.Finish(choose(t, directory, newCriteria(estimate), soon), estimate, ResultAnswered, soon)
 	delete(idle, "only")
-	choose(t, directory, demand(work), epoch.Add(2*connectPause))
+	choose(t, directory, newCriteria(estimate), epoch.Add(2*connectPause))
 }
 
 func TestIdleLimitOfUnboundedServers(t *testing.T) {
@@ -271,8 +271,8 @@
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"))
 	directory.SetShares(retrybudget.Limits{Ratio: 0.5, Capacity: 1, Started: epoch.Add(time.Hour)}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
-	work := NewEstimate(20 * time.Millisecond)
-	extra := demand(work)
+	estimate := NewEstimate(20 * time.Millisecond)
+	extra := newCriteria(estimate)
 	extra.Extra = true
 	_, availability := directory.Choose(extra, epoch)
 	is.Equal(availability, NoBudget)
@@ -285,22 +285,22 @@
 
 func TestHedgeToAnotherRegionWaitsAsLongAsPossible(t *testing.T) {
 	is := is.New(t)
-	work := NewEstimate(20 * time.Millisecond)
-	remoteOnly := choose(t, directoryOf(server("near", "near-1"), server("far", "far-1")), demand(work), epoch)
-	withLocal := choose(t, directoryOf(server("near", "near-1"), server("mid", "near-2")), demand(work), epoch)
+	estimate := NewEstimate(20 * time.Millisecond)
+	remoteOnly := choose(t, directoryOf(server("near", "near-1"), server("far", "far-1")), newCriteria(estimate), epoch)
+	withLocal := choose(t, directoryOf(server("near", "near-1"), server("mid", "near-2")), newCriteria(estimate), epoch)
 	is.True(remoteOnly.HedgeDelay > withLocal.HedgeDelay)
 	is.True(remoteOnly.HedgeDelay < 150*time.Millisecond) // leaves time for the hedge
 }
 
 func TestSlowLocalServerCausesNoEarlyHedge(t *testing.T) {
 	is := is.New(t)
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	slow := directory.byID["near"]
 	slow.slowness, slow.slownessUpdatedAt = 20, epoch
-	choice := choose(t, directory, demand(work), epoch)
+	choice := choose(t, directory, newCriteria(estimate), epoch)
 	is.Equal(choice.Server.ID, "far")
-	alone := choose(t, directoryOf(server("far", "far-1")), demand(work), epoch)
+	alone := choose(t, directoryOf(server("far", "far-1")), newCriteria(estimate), epoch)
 	is.Equal(choice.HedgeDelay, alone.HedgeDelay)
 }
 
@@ -308,11 +308,11 @@
 	is := is.New(t)
 	estimate := NewEstimate(100 * time.Millisecond)
 	for index := range 2000 {
-		work := 10 * time.Millisecond
+		processing := 10 * time.Millisecond
 		if index%50 == 0 { // two in a hundred
-			work = 80 * time.Millisecond
+			processing = 80 * time.Millisecond
 		}
-		estimate.observe(work, false)
+		estimate.observe(processing, false)
 	}
 	is.True(estimate.Mean() > 8*time.Millisecond && estimate.Mean() < 18*time.Millisecond)
 	is.True(estimate.Quantile() >= estimate.Mean() && estimate.Quantile() < 40*time.Millisecond)
--- a/internal/endpoints/endpoint.go
+++ b/internal/endpoints/endpoint.go
@@ -65,7 +65,7 @@
 	// lastColdTurn is the latest of this node's turns in which it sent the server a
 	// request while it was cold.
 	lastColdTurn int64
-	// consecutiveFailures counts failures in a row; failures is their share of requests.
+	// consecutiveFailures counts failures in a row; failures tracks their share of requests.
 	consecutiveFailures int
 	failures            failures
 	backoffUntil        time.Time
@@ -163,8 +163,8 @@
 	return max(min(a, b), min(max(a, b), c))
 }
 
-// learnAtLeast is learn for an abandoned request, whose true ratio is at least the
-// one observed.
+// learnAtLeast learns from an abandoned request, whose true ratio is at least the one
+// observed.
 func (e *Endpoint) learnAtLeast(ratio float64, sent, now time.Time) {
 	if ratio > e.learnedSlowness(now) {
 		e.learn(ratio, sent, now)
@@ -185,9 +185,9 @@
 	return predicted
 }
 
-// sharedLoad is the fraction of the expected time that a full server adds besides
-// its queue: requests of other nodes are not visible, and nearly full servers are
-// slower.
+// sharedLoad is the delay at a server with all slots in use, besides its queue, as a
+// fraction of the expected time: requests of other nodes are not visible, and nearly full
+// servers are slower.
 const sharedLoad = 0.25
 
 // queueing returns the expected wait in units of the processing time.
@@ -198,9 +198,9 @@
 	return (sharedLoad*inFlight + queued) / slots
 }
 
-// stalledFor returns the age of the oldest request in flight since which the server
-// has answered nothing. A late request is only a long one if others were answered
-// meanwhile.
+// stalledFor returns the age of the oldest request in flight since whose start the server has
+// not responded to any request; zero if there is none. A late request merely takes long if
+// the server has responded to others meanwhile.
 func (e *Endpoint) stalledFor(now time.Time) time.Duration {
 	stalled := time.Duration(0)
 	for _, started := range e.inFlight {
--- a/internal/endpoints/estimate.go
+++ b/internal/endpoints/estimate.go
@@ -7,12 +7,12 @@
 	meanWeight     = 0.05
 	slownessWeight = 0.3
 	// quantileStep is the fraction of the estimated quantile by which each observation
-	// moves it, scaled by the quantile's complement.
+	// moves it, times hedgeQuantile if it moves up and times 1-hedgeQuantile if down.
 	quantileStep = 0.15
 	// hedgeQuantile is the quantile of the processing times after which a request is
 	// considered late.
 	hedgeQuantile = 0.93
-	// initialQuantileFactor is the quantile in units of the mean before any observation.
+	// initialQuantileFactor is the ratio of the quantile to the mean before any observation.
 	initialQuantileFactor = 2.0
 )
 
--- a/internal/endpoints/failures.go
+++ b/internal/endpoints/failures.go
@@ -9,20 +9,20 @@
 	// failureWeight is the weight of one request in the moving average of failures:
 	// after one failure a server counts as failing 0.3 of its requests.
 	failureWeight = 0.3
-	// failureHalfLife is the half-life of the failure share without further requests: a
-	// node sends one or two per second to a server, and such faults last for seconds. It
+	// failureHalfLife is the half-life of the failure rate without further requests: a
+	// node sends one or two per second to a server, and faults last for seconds. It
 	// doubles up to maxFailureHalfLife each time that the server fails again within
 	// failureRepeatWindow, because each attempt to find out costs an extra send of the
 	// retry budget.
 	failureHalfLife     = 3 * time.Second
 	maxFailureHalfLife  = 12 * time.Second
 	failureRepeatWindow = 10 * time.Second
-	// recentHalfLife is the half-life of the share of recent failures.
+	// recentHalfLife is the half-life of the recent failure rate.
 	recentHalfLife = time.Second
-	// unreliableShare is the failure share from which a local server is no longer
+	// unreliableRate is the failure rate from which a local server is no longer
 	// preferred. After a single failure it takes two successes or one half-life to fall
 	// below it.
-	unreliableShare = 0.16
+	unreliableRate = 0.16
 	// minFailureCost is the cost of a failed attempt for a request that has no time left:
 	// about the time of a second attempt in another region.
 	minFailureCost = 100 * time.Millisecond
@@ -34,21 +34,21 @@
 // 0.4 of the requests it matters to send the first attempt elsewhere. The zero value has no
 // failures.
 type failures struct {
-	share     float64
+	rate      float64
 	updatedAt time.Time
-	// halfLife is the half-life of the share, failedAt the time of the latest failure.
+	// halfLife is the half-life of the rate, failedAt the time of the latest failure.
 	halfLife time.Duration
 	failedAt time.Time
 }
 
 // record takes the end of a request into account.
 func (f *failures) record(failed bool, now time.Time) {
-	share := f.current(now) * (1 - failureWeight)
+	rate := f.current(now) * (1 - failureWeight)
 	if failed {
-		share += failureWeight
+		rate += failureWeight
 		f.updateHalfLife(now)
 	}
-	f.share, f.updatedAt = share, now
+	f.rate, f.updatedAt = rate, now
 }
 
 // updateHalfLife sets the half-life at a failure.
@@ -71,12 +71,12 @@
 	return f.decayed(now, recentHalfLife)
 }
 
-// decayed returns the share after decay with the given half-life.
+// decayed returns the rate after decay with the given half-life.
 func (f *failures) decayed(now time.Time, halfLife time.Duration) float64 {
-	if f.share == 0 {
+	if f.rate == 0 {
 		return 0
 	}
-	return f.share * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(max(halfLife, recentHalfLife)))
+	return f.rate * math.Exp2(-float64(now.Sub(f.updatedAt))/float64(max(halfLife, recentHalfLife)))
 }
 
 // cost returns the expected loss by failures: the time left until the target, because the
--- a/internal/endpoints/failures_test.go
+++ b/internal/endpoints/failures_test.go
@@ -13,17 +13,17 @@
 	for _, result := range []Result{ResultFailed, ResultServerError, ResultRefused} {
 		is := is.New(t)
 		directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-		work := established(20 * time.Millisecond)
+		estimate := established(20 * time.Millisecond)
 		near := directory.byID["near"]
 		now := epoch
 		for _, end := range []Result{result, ResultAnswered, result} {
 			near.begin(now)
-			directory.Finish(Choice{Endpoint: near, Server: near.Server, ReservedAt: now}, work, end, now.Add(20*time.Millisecond))
+			directory.Finish(Choice{Endpoint: near, Server: near.Server, ReservedAt: now}, estimate, end, now.Add(20*time.Millisecond))
 			now = now.Add(400 * time.Millisecond)
 		}
 		is.True(!near.backingOff(now))
-		is.Equal(choose(t, directory, demand(work), now).Server.ID, "far")
-		is.Equal(choose(t, directory, demand(work), now.Add(5*maxFailureHalfLife)).Server.ID, "near")
+		is.Equal(choose(t, directory, newCriteria(estimate), now).Server.ID, "far")
+		is.Equal(choose(t, directory, newCriteria(estimate), now.Add(5*maxFailureHalfLife)).Server.ID, "near")
 	}
 }
 
@@ -36,20 +36,20 @@
 	is.Equal(tracked.current(epoch.Add(failureHalfLife)), failureWeight/2)
 	again := epoch.Add(failureRepeatWindow)
 	tracked.record(true, again)
-	share := tracked.current(again)
-	is.Equal(tracked.current(again.Add(2*failureHalfLife)), share/2)
+	rate := tracked.current(again)
+	is.Equal(tracked.current(again.Add(2*failureHalfLife)), rate/2)
 	for range 5 {
 		tracked.record(true, again)
 	}
-	share = tracked.current(again)
-	is.Equal(tracked.current(again.Add(maxFailureHalfLife)), share/2)
+	rate = tracked.current(again)
+	is.Equal(tracked.current(again.Add(maxFailureHalfLife)), rate/2)
 	later := again.Add(failureRepeatWindow + time.Second)
 	tracked.record(true, later)
-	share = tracked.current(later)
-	is.Equal(tracked.current(later.Add(failureHalfLife)), share/2)
+	rate = tracked.current(later)
+	is.Equal(tracked.current(later.Add(failureHalfLife)), rate/2)
 }
 
-// The share of recent failures decays faster than the expected failure share.
+// The recent failure rate decays faster than the expected one.
 func TestRecentFailuresDecayFaster(t *testing.T) {
 	is := is.New(t)
 	var tracked failures
@@ -63,19 +63,19 @@
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
 	for _, endpoint := range directory.byID {
-		endpoint.failures = failures{share: 0.4, updatedAt: epoch, halfLife: failureHalfLife}
+		endpoint.failures = failures{rate: 0.4, updatedAt: epoch, halfLife: failureHalfLife}
 	}
-	is.Equal(choose(t, directory, demand(established(20*time.Millisecond)), epoch).Server.ID, "near")
+	is.Equal(choose(t, directory, newCriteria(established(20*time.Millisecond)), epoch).Server.ID, "near")
 }
 
 // Errors return quickly and say nothing about the processing time.
 func TestEstimateIgnoresErrors(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"))
-	work := established(20 * time.Millisecond)
+	estimate := established(20 * time.Millisecond)
 	for step := range 20 {
 		now := epoch.Add(time.Duration(step) * time.Second)
-		directory.Finish(choose(t, directory, demand(work), now), work, ResultServerError, now.Add(time.Millisecond))
+		directory.Finish(choose(t, directory, newCriteria(estimate), now), estimate, ResultServerError, now.Add(time.Millisecond))
 	}
-	is.Equal(work.Mean(), 20*time.Millisecond)
+	is.Equal(estimate.Mean(), 20*time.Millisecond)
 }
--- a/internal/endpoints/learn_test.go
+++ b/internal/endpoints/learn_test.go
@@ -67,25 +67,25 @@
 func TestLongerProcessingThanEstimatedIsNoSlowness(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"))
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	now := epoch
 	for range 6 {
-		choice := choose(t, directory, demand(work), now)
+		choice := choose(t, directory, newCriteria(estimate), now)
 		now = now.Add(200 * time.Millisecond)
-		directory.Finish(choice, work, ResultAnswered, now)
+		directory.Finish(choice, estimate, ResultAnswered, now)
 		is.True(choice.Endpoint.currentSlowness(now) < 2)
 	}
-	is.True(work.Mean() > 150*time.Millisecond)
+	is.True(estimate.Mean() > 150*time.Millisecond)
 }
 
 func TestSlowLocalServerIsPreferredLess(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	slow := directory.byID["near"]
 	slow.slowness, slow.slownessUpdatedAt = 4, epoch // 80 of the 200 ms left
-	is.Equal(choose(t, directory, demand(work), epoch).Server.ID, "far")
-	patient := demand(work)
+	is.Equal(choose(t, directory, newCriteria(estimate), epoch).Server.ID, "far")
+	patient := newCriteria(estimate)
 	patient.TimeLeft = time.Second
 	is.Equal(choose(t, directory, patient, epoch).Server.ID, "near")
 }
@@ -93,23 +93,23 @@
 // The processing time is learned from the answers of ordinary servers, not of slow ones.
 func TestEstimateIgnoresSlowServers(t *testing.T) {
 	is := is.New(t)
-	work := established(20 * time.Millisecond)
+	estimate := established(20 * time.Millisecond)
 	for range 30 {
-		work.observe(200*time.Millisecond, true)
-		work.observe(20*time.Millisecond, false)
+		estimate.observe(200*time.Millisecond, true)
+		estimate.observe(20*time.Millisecond, false)
 	}
-	is.Equal(work.Mean(), 20*time.Millisecond)
-	is.True(work.Quantile() <= 40*time.Millisecond)
+	is.Equal(estimate.Mean(), 20*time.Millisecond)
+	is.True(estimate.Quantile() <= 40*time.Millisecond)
 }
 
 // The estimate follows when requests take longer at all servers.
 func TestEstimateFollowsSlowdownOfAllServers(t *testing.T) {
 	is := is.New(t)
-	work := established(20 * time.Millisecond)
+	estimate := established(20 * time.Millisecond)
 	for range maxSkipped + 100 {
-		work.observe(200*time.Millisecond, true)
+		estimate.observe(200*time.Millisecond, true)
 	}
-	is.True(work.Mean() > 150*time.Millisecond)
+	is.True(estimate.Mean() > 150*time.Millisecond)
 }
 
 // A hedge is sent while its answer can still be in time, even if the hedge quantile of the
@@ -118,15 +118,15 @@
 	for _, zone := range []string{"near-2", "far-1"} {
 		is := is.New(t)
 		directory := directoryOf(server("near", "near-1"), server("other", zone))
-		work := established(20 * time.Millisecond)
-		work.quantile = 150 * time.Millisecond
-		choice := choose(t, directory, demand(work), epoch)
+		estimate := established(20 * time.Millisecond)
+		estimate.quantile = 150 * time.Millisecond
+		choice := choose(t, directory, newCriteria(estimate), epoch)
 		is.Equal(choice.Server.ID, "near")
 		is.True(choice.HedgeDelay <= 140*time.Millisecond) // of the 200 ms left
 		is.True(choice.HedgeDelay >= 50*time.Millisecond)
-		late := demand(work)
+		late := newCriteria(estimate)
 		late.TimeLeft = 20 * time.Millisecond
-		directory.Finish(choice, work, ResultNotSent, epoch)
+		directory.Finish(choice, estimate, ResultNotSent, epoch)
 		is.True(choose(t, directory, late, epoch).HedgeDelay >= 150*time.Millisecond) // the quantile
 	}
 }
--- a/internal/endpoints/pace.go
+++ b/internal/endpoints/pace.go
@@ -11,9 +11,9 @@
 	// minPaceHalfLife is the half-life of a slow pace that has been reported once:
 	// servers occasionally slow down for half a second.
 	minPaceHalfLife = 400 * time.Millisecond
-	// paceFactor is the half-life of a slow pace in units of the time for which it has
+	// paceHalfLifeFactor is the half-life of a slow pace in units of the time for which it has
 	// lasted, up to maxSlownessHalfLife: a long slowdown is expected to go on.
-	paceFactor = 4
+	paceHalfLifeFactor = 4
 )
 
 // pace is the processing time that a server reports, in units of the usual one. The zero
@@ -50,7 +50,7 @@
 	if p.slowSince.IsZero() {
 		return minPaceHalfLife
 	}
-	return min(max(paceFactor*p.reportedAt.Sub(p.slowSince), minPaceHalfLife), maxSlownessHalfLife)
+	return min(max(paceHalfLifeFactor*p.reportedAt.Sub(p.slowSince), minPaceHalfLife), maxSlownessHalfLife)
 }
 
 // RecordLoad records the load that the chosen server has reported.
--- a/internal/endpoints/pace_test.go
+++ b/internal/endpoints/pace_test.go
@@ -10,22 +10,22 @@
 )
 
 // finishWithPace ends the reservation with an answer that took the given time and reported the pace.
-func finishWithPace(directory *Directory, choice Choice, work *Estimate, took time.Duration, pace float64, now time.Time) {
+func finishWithPace(directory *Directory, choice Choice, estimate *Estimate, took time.Duration, pace float64, now time.Time) {
 	directory.RecordLoad(choice, upstream.Load{Slots: 4, Pace: pace}, now.Add(took))
-	directory.Finish(choice, work, ResultAnswered, now.Add(took))
+	directory.Finish(choice, estimate, ResultAnswered, now.Add(took))
 }
 
 // One reported pace replaces several observations and does not affect the estimate.
 func TestReportedPaceShowsSlownessAtOnce(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	work := established(20 * time.Millisecond)
-	first := choose(t, directory, demand(work), epoch)
+	estimate := established(20 * time.Millisecond)
+	first := choose(t, directory, newCriteria(estimate), epoch)
 	is.Equal(first.Server.ID, "near")
-	finishWithPace(directory, first, work, 160*time.Millisecond, 8, epoch)
+	finishWithPace(directory, first, estimate, 160*time.Millisecond, 8, epoch)
 	now := epoch.Add(161 * time.Millisecond)
-	is.Equal(choose(t, directory, demand(work), now).Server.ID, "far")
-	is.True(work.Mean() < 21*time.Millisecond)
+	is.Equal(choose(t, directory, newCriteria(estimate), now).Server.ID, "far")
+	is.True(estimate.Mean() < 21*time.Millisecond)
 	is.True(first.Endpoint.learnedSlowness(now) < 1.5) // the pace explains it
 }
 
@@ -57,7 +57,7 @@
 			finishWithPace(directory, choice, established(20*time.Millisecond), 200*time.Millisecond, pace, now)
 			now = now.Add(210 * time.Millisecond)
 		}
-		is.Equal(choose(t, directory, demand(established(20*time.Millisecond)), now).Server.ID, "far")
+		is.Equal(choose(t, directory, newCriteria(established(20*time.Millisecond)), now).Server.ID, "far")
 	}
 }
 
@@ -67,7 +67,7 @@
 	directory := directoryOf(server("near", "near-1"))
 	now := epoch
 	for range 6 {
-		choice := choose(t, directory, demand(established(20*time.Millisecond)), now)
+		choice := choose(t, directory, newCriteria(established(20*time.Millisecond)), now)
 		finishWithPace(directory, choice, established(20*time.Millisecond), 20*time.Millisecond, 8, now)
 		now = now.Add(30 * time.Millisecond)
 	}
--- a/internal/endpoints/reachability.go
+++ b/internal/endpoints/reachability.go
@@ -16,10 +16,10 @@
 	// When requests that were merely late (40 to 90 ms) counted, zones were briefly left
 	// out, which cost 0.006 of the value of the answers.
 	unresponsiveAfter = 250 * time.Millisecond
-	// probeAfter is how long a response shows that a zone is reachable.
+	// probeAfter is the time since its last response after which a zone may be probed.
 	probeAfter = 500 * time.Millisecond
-	// isolationTime is how long no other zone has to respond for this node to be
-	// isolated. It is several times the duration of a probe.
+	// isolationTime is how long all other zones have to be without a response for this
+	// node to be isolated. It is several times the duration of a probe.
 	isolationTime = time.Second
 )
 
--- a/internal/endpoints/reachability_test.go
+++ b/internal/endpoints/reachability_test.go
@@ -38,12 +38,12 @@
 	is.Equal(directory.UnreachableZones(), []string{"near-2"})
 	is.True(directory.ZoneUnreachable(directory.byID["other-d"], epoch))
 	// No request is sent there, not even a hedge after all other servers were tried.
-	request := demand(established(20 * time.Millisecond))
+	request := newCriteria(established(20 * time.Millisecond))
 	for _, id := range []string{"own-a", "own-b", "own-c", "own-d", "far"} {
 		request.Tried = append(request.Tried, directory.byID[id])
 	}
-	_, found := directory.Choose(request, epoch.Add(time.Second))
-	is.Equal(found, NoServer)
+	_, availability := directory.Choose(request, epoch.Add(time.Second))
+	is.Equal(availability, NoServer)
 	directory.MarkReachable("near-2", epoch.Add(time.Second))
 	choose(t, directory, request, epoch.Add(time.Second))
 }
--- a/internal/endpoints/refusals.go
+++ b/internal/endpoints/refusals.go
@@ -13,11 +13,11 @@
 	// overloaded. Over a whole day with many slow servers the share is 0.018
 	// (gzebi-drift-large scale-2: 2,770 of 154,000).
 	overloadShare = 0.06
-	// minRefusals is the least decayed count of refusals for that.
+	// minRefusals is the least decayed count of refusals that counts as overload.
 	minRefusals = 1.5
-	// startTime is how long after its first list a node counts as just started: callers
+	// justStartedTime is how long after its first list a node counts as just started: callers
 	// that waited for it are served or gone by then.
-	startTime = 3 * time.Second
+	justStartedTime = 3 * time.Second
 )
 
 // refusals tracks the share of recent attempts that servers refused. The zero value has
@@ -57,5 +57,5 @@
 func (d *Directory) JustStarted(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return now.Sub(d.firstServerAt) < startTime
+	return now.Sub(d.firstServerAt) < justStartedTime
 }
--- a/internal/endpoints/refusals_test.go
+++ b/internal/endpoints/refusals_test.go
@@ -38,6 +38,6 @@
 	is := is.New(t)
 	directory := directoryOf(someServers(1)...)
 	is.True(directory.JustStarted(epoch))
-	directory.Put(someServers(2)[1], epoch.Add(startTime))
-	is.True(!directory.JustStarted(epoch.Add(startTime)))
+	directory.Put(someServers(2)[1], epoch.Add(justStartedTime))
+	is.True(!directory.JustStarted(epoch.Add(justStartedTime)))
 }
--- a/internal/endpoints/restart_test.go
+++ b/internal/endpoints/restart_test.go
@@ -26,8 +26,8 @@
 	old.begin(epoch)
 	cold := startedAt(200)
 	cold.ColdRemaining = 3 * time.Second
-	ended, again := directory.Put(cold, epoch)
-	is.True(again)
+	ended, restarted := directory.Put(cold, epoch)
+	is.True(restarted)
 	is.Equal(ended, "i-1@100")
 	current := directory.byID["i-1"]
 	is.Equal(current.Incarnation(), "i-1@200")
@@ -78,8 +78,8 @@
 			directory.Put(startedAt(test.known), epoch)
 			late := startedAt(test.received)
 			late.Draining = true
-			_, again := directory.Put(late, epoch)
-			is.Equal(again, test.restarts)
+			_, restarted := directory.Put(late, epoch)
+			is.Equal(restarted, test.restarts)
 			is.Equal(directory.byID["i-1"].Born, test.want)
 			stale := test.received > 0 && test.received < test.known
 			is.Equal(directory.byID["i-1"].Draining, !stale)
@@ -103,7 +103,7 @@
 			server := startedAt(StartTime(rapid.IntRange(1, 9).Draw(t, "born")))
 			switch rapid.IntRange(0, 3).Draw(t, "by") {
 			case 0:
-				if incarnation, again := directory.Put(server, epoch); again {
+				if incarnation, restarted := directory.Put(server, epoch); restarted {
 					recordEnded(incarnation)
 				}
 			case 1:
--- a/internal/endpoints/restored.go
+++ b/internal/endpoints/restored.go
@@ -12,12 +12,12 @@
 	endedAt time.Time
 }
 
-// unconfirmedEntry is an entry of a restored list that shows a server as ready although it is known
-// to be draining or to have ended: the entry may be from before that.
+// unconfirmedEntry is an entry of a restored list that shows a server as ready although it is
+// known to be draining or to have ended: the entry may be from before that.
 type unconfirmedEntry struct {
 	entry Server
-	// until is when the entry takes effect if it still exists: that of a server that has ended
-	// expires before.
+	// until is when the entry takes effect if it still exists: the entry of a server that has
+	// ended expires before.
 	until time.Time
 }
 
@@ -27,9 +27,9 @@
 	d.retired[endpoint.incarnation] = retiredServer{created: endpoint.Created, endedAt: now}
 }
 
-// ReplaceRestored applies the list of a registry that was restored from a copy and returns the
-// incarnations that have ended. Servers that the copy lacks have as much time to register
-// again as after an outage. Entries that the copy has brought back take effect once they
+// ReplaceRestored applies the list of a registry that was restored from a backup and returns
+// the incarnations that have ended. Servers that the backup lacks have as much time to register
+// again as after an outage. Entries that the backup has brought back take effect once they
 // have existed for as long.
 func (d *Directory) ReplaceRestored(servers []Server, now time.Time) []string {
 	ended := d.putAll(d.consistent(servers, now), now)
@@ -62,7 +62,7 @@
 		return false
 	}
 	if known, found := d.byID[server.ID]; found {
-		return known.Draining && !server.bornAfter(known.Server)
+		return known.Draining && !server.startedAfter(known.Server)
 	}
 	_, ended := d.retired[server.Incarnation()]
 	return ended
--- a/internal/endpoints/restored_test.go
+++ b/internal/endpoints/restored_test.go
@@ -14,7 +14,7 @@
 func eligibleIDs(directory *Directory, now time.Time) []string {
 	var ids []string
 	for _, endpoint := range directory.service("s").endpoints {
-		if directory.eligible(endpoint, demand(NewEstimate(20*time.Millisecond)), now) {
+		if directory.eligible(endpoint, newCriteria(NewEstimate(20*time.Millisecond)), now) {
 			ids = append(ids, endpoint.ID)
 		}
 	}
@@ -24,7 +24,7 @@
 
 // Guards against requests to servers that are draining or have ended but are ready again according
 // to a restored list.
-func TestContradictingEntriesOfACopyAreUnconfirmed(t *testing.T) {
+func TestContradictingEntriesOfABackupAreUnconfirmed(t *testing.T) {
 	is := is.New(t)
 	all := someServers(4)
 	directory := directoryOf(all...)
@@ -59,8 +59,8 @@
 	is.Equal(eligibleIDs(directory, epoch.Add(1500*time.Millisecond)), []string{"i-0", "i-1", "i-2"})
 }
 
-// Guards against the removal of servers that are missing because the copy predates their start.
-func TestServersThatACopyLacksAreKeptForAWhile(t *testing.T) {
+// Guards against the removal of servers that are missing because the backup predates their start.
+func TestServersThatABackupLacksAreKeptForAWhile(t *testing.T) {
 	is := is.New(t)
 	all := someServers(8)
 	directory := directoryOf(all...)
--- a/internal/endpoints/restored_zones.go
+++ b/internal/endpoints/restored_zones.go
@@ -13,9 +13,9 @@
 	until     time.Time
 }
 
-// ReplaceEvacuatedRestored applies the evacuated zones of a registry that was restored from a copy.
-// Until operators have had the time to repeat their changes, an evacuation that the copy lacks goes
-// on, and one that has ended does not start again.
+// ReplaceEvacuatedRestored applies the evacuated zones of a registry that was restored from a
+// backup. Until operators have had the time to repeat their changes, an evacuation that the
+// backup lacks goes on, and one that has ended does not start again.
 func (d *Directory) ReplaceEvacuatedRestored(zones []string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/endpoints/restored_zones_test.go
+++ b/internal/endpoints/restored_zones_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against requests to an evacuated zone, and against a readmitted zone without requests,
-// because the registry was restored from a copy that predates the operators' changes.
+// because the registry was restored from a backup that predates the operators' changes.
 func TestEvacuationsAreKeptUntilOperatorsCanRepeatThem(t *testing.T) {
 	is := is.New(t)
 	directory := New(testTopology(), nil)
--- a/internal/endpoints/retries.go
+++ b/internal/endpoints/retries.go
@@ -33,7 +33,7 @@
 
 // GrantsNeeded returns a channel that signals when services lack extra sends that a pool may
 // grant.
-func (d *Directory) GrantsNeeded() <-chan struct{} { return d.grants.notify }
+func (d *Directory) GrantsNeeded() <-chan struct{} { return d.grantRequests.notify }
 
 // requestGrant requests an extra send for the service; the mutex is held.
 func (d *Directory) requestGrant(service string, now time.Time) {
@@ -41,12 +41,12 @@
 		return
 	}
 	count := firstGrant
-	if now.Sub(d.grants.takenAt[service]) < furtherGrantWindow {
+	if now.Sub(d.grantRequests.takenAt[service]) < furtherGrantWindow {
 		count = furtherGrant
 	}
-	d.grants.pending[service] = count
+	d.grantRequests.pending[service] = count
 	select {
-	case d.grants.notify <- struct{}{}:
+	case d.grantRequests.notify <- struct{}{}:
 	default:
 	}
 }
@@ -55,10 +55,10 @@
 func (d *Directory) TakeGrantRequests(now time.Time) retrybudget.SendCounts {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	taken := d.grants.pending
-	d.grants.pending = make(retrybudget.SendCounts)
+	taken := d.grantRequests.pending
+	d.grantRequests.pending = make(retrybudget.SendCounts)
 	for service := range taken {
-		d.grants.takenAt[service] = now
+		d.grantRequests.takenAt[service] = now
 	}
 	return taken
 }
@@ -68,35 +68,35 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for service, count := range granted {
-		d.service(service).extra.Grant(count, requested)
+		d.service(service).retryBudget.Grant(count, requested)
 	}
 }
 
-// takeExtra charges an extra send to the service's retry budget and reports whether the budget allowed
-// it; the mutex is held.
+// takeExtra charges an extra send to the service's retry budget and reports whether the budget
+// allowed it; the mutex is held.
 func (d *Directory) takeExtra(name string, now time.Time) bool {
 	if d.suspended != nil {
 		if suspended := d.suspended(); suspended-d.budgetSuspended >= minSuspension {
 			d.budgetSuspended = suspended
 			for _, service := range d.services {
-				service.extra.ResetEarned()
+				service.retryBudget.ResetEarned()
 			}
 		}
 	}
-	return d.service(name).extra.Take(d.budget, now)
+	return d.service(name).retryBudget.Take(d.budgetLimits, now)
 }
 
 // RefundRetry returns an extra send that did not reach a server to the retry budget.
 func (d *Directory) RefundRetry(name string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(name).extra.Refund(d.budget, now)
+	d.service(name).retryBudget.Refund(d.budgetLimits, now)
 }
 
 // EarnRetries adds the allowance of one arrived request to the service's retry budget.
 func (d *Directory) EarnRetries(name string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.service(name).extra.Earn(d.budget, now)
+	d.service(name).retryBudget.Earn(d.budgetLimits, now)
 	d.versions.Request(name)
 }
--- a/internal/endpoints/server.go
+++ b/internal/endpoints/server.go
@@ -44,8 +44,8 @@
 	return s.ID + "@" + strconv.FormatInt(int64(s.Born), 10)
 }
 
-// bornAfter reports whether both servers report a start time and s started later.
-func (s Server) bornAfter(other Server) bool {
+// startedAfter reports whether both servers report a start time and s started later.
+func (s Server) startedAfter(other Server) bool {
 	return other.Born > 0 && s.Born > other.Born
 }
 
--- a/internal/endpoints/service_health.go
+++ b/internal/endpoints/service_health.go
@@ -21,7 +21,7 @@
 func (d *Directory) ServiceHealth(name string, route *routing.Route, now time.Time) ServiceHealth {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	health := ServiceHealth{FailureRate: 1, RetryBudget: d.service(name).extra.Remaining(d.budget, now)}
+	health := ServiceHealth{FailureRate: 1, RetryBudget: d.service(name).retryBudget.Remaining(d.budgetLimits, now)}
 	for _, endpoint := range d.currentlyAdmitted(name) {
 		if endpoint.serving() && d.allowed(endpoint, route) {
 			health.FailureRate = min(health.FailureRate, endpoint.failures.recent(now))
--- a/internal/endpoints/settling_test.go
+++ b/internal/endpoints/settling_test.go
@@ -39,18 +39,18 @@
 	is := is.New(t)
 	all := someServers(3)
 	directory := directoryOf(all...)
-	work := NewEstimate(20 * time.Millisecond)
-	is.True(withdrawn(directory, "i-0", epoch)) // no outage
+	estimate := NewEstimate(20 * time.Millisecond)
+	is.True(deregistered(directory, "i-0", epoch)) // no outage
 	directory.ReplaceAfterOutage(all[1:], epoch)
-	is.True(!withdrawn(directory, "i-1", epoch))
-	is.True(!withdrawn(directory, "i-2", epoch))
+	is.True(!deregistered(directory, "i-1", epoch))
+	is.True(!deregistered(directory, "i-2", epoch))
 	is.Equal(directory.Count(), 2)
-	choose(t, directory, demand(work), epoch.Add(time.Second))
+	choose(t, directory, newCriteria(estimate), epoch.Add(time.Second))
 	directory.Put(all[1], epoch.Add(time.Second)) // its entry is back
 	is.True(!directory.ListGrowing([]string{"s"}, epoch.Add(time.Second)))
 	settled := epoch.Add(settleTime)
 	for range 3 {
-		is.Equal(choose(t, directory, demand(work), settled).Server.ID, "i-1") // the other one has ended
+		is.Equal(choose(t, directory, newCriteria(estimate), settled).Server.ID, "i-1") // the other one has ended
 	}
 	is.Equal(directory.DropUnlisted(settled), []string{"i-2"})
 }
@@ -61,10 +61,10 @@
 	is := is.New(t)
 	directory := directoryOf(someServers(2)...)
 	directory.WatchResumed(epoch)
-	is.True(!withdrawn(directory, "i-0", epoch))
+	is.True(!deregistered(directory, "i-0", epoch))
 	again := epoch.Add(settleTime / 2)
 	directory.WatchResumed(again)
-	is.True(!withdrawn(directory, "i-0", again))
+	is.True(!deregistered(directory, "i-0", again))
 	is.Equal(directory.DropUnlisted(epoch.Add(settleTime)), []string{"i-0"})
 }
 
@@ -76,7 +76,7 @@
 	leaving := all[0]
 	leaving.Draining = true
 	directory.Put(leaving, epoch)
-	is.True(withdrawn(directory, "i-0", epoch))
+	is.True(deregistered(directory, "i-0", epoch))
 	is.Equal(directory.Count(), 1)
 }
 
@@ -169,8 +169,8 @@
 	is.True(!directory.ListGrowing([]string{"s"}, now.Add(settleTime)))
 }
 
-// withdrawn withdraws the server and reports whether it was removed.
-func withdrawn(directory *Directory, id string, now time.Time) bool {
+// deregistered deregisters the server and reports whether it was removed.
+func deregistered(directory *Directory, id string, now time.Time) bool {
 	removed, known := directory.Deregister(id, now)
 	return known && removed == id
 }
--- a/internal/endpoints/share.go
+++ b/internal/endpoints/share.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// busyShare is the fraction of a server's connections that a single node may use
+	// inFlightShare is the fraction of a server's connections that a single node may use
 	// at a time. Nodes are not equally busy, and servers queue fewer requests than
 	// they accept connections; if it is too much, servers reset connections and
 	// the limit of the endpoint is decreased.
-	busyShare = 0.4
+	inFlightShare = 0.4
 	// localIdleShare and remoteIdleShare are the fractions of a server's connections that
 	// the nodes of its region, and all others, may keep idle.
 	localIdleShare  = 0.45
@@ -47,7 +47,7 @@
 	if maxConnections == 0 {
 		return limit
 	}
-	connections := max(busyShare*float64(maxConnections), 1)
+	connections := max(inFlightShare*float64(maxConnections), 1)
 	if limit == 0 {
 		return connections
 	}
--- a/internal/endpoints/share_test.go
+++ b/internal/endpoints/share_test.go
@@ -73,11 +73,11 @@
 	for _, id := range []string{"a", "b", "c"} {
 		directory.Put(server(id, "far-1"), epoch)
 	}
-	work := NewEstimate(20 * time.Millisecond)
-	first := choose(t, directory, demand(work), epoch)
+	estimate := NewEstimate(20 * time.Millisecond)
+	first := choose(t, directory, newCriteria(estimate), epoch)
 	is.Equal(first.Server.ID, "b")
 	is.Equal(first.ConnectTime, time.Duration(0))
-	second := choose(t, directory, demand(work, first.Endpoint), epoch)
+	second := choose(t, directory, newCriteria(estimate, first.Endpoint), epoch)
 	is.Equal(second.ConnectTime, otherRegionRoundTrip+acceptTime)
 	is.Equal(second.Expected, first.Expected+second.ConnectTime)
 }
@@ -87,32 +87,32 @@
 	is := is.New(t)
 	directory := New(testTopology(), idle{})
 	directory.Put(server("a", "far-1"), epoch)
-	work := NewEstimate(20 * time.Millisecond)
-	choice := choose(t, directory, demand(work), epoch)
+	estimate := NewEstimate(20 * time.Millisecond)
+	choice := choose(t, directory, newCriteria(estimate), epoch)
 	now := epoch.Add(20*time.Millisecond + 2*otherRegionRoundTrip + acceptTime)
-	directory.Finish(choice, work, ResultAnswered, now)
+	directory.Finish(choice, estimate, ResultAnswered, now)
 	is.Equal(choice.Endpoint.currentSlowness(now), 1.0)
-	is.Equal(work.Mean(), 20*time.Millisecond)
+	is.Equal(estimate.Mean(), 20*time.Millisecond)
 }
 
 func TestHedgeLeavesTimeForANewConnection(t *testing.T) {
 	is := is.New(t)
-	work := NewEstimate(20 * time.Millisecond)
+	estimate := NewEstimate(20 * time.Millisecond)
 	servers := []Server{server("near", "near-1"), server("far", "far-1")}
 	late := func(connections Connections) time.Duration {
 		directory := New(testTopology(), connections)
 		for _, server := range servers {
 			directory.Put(server, epoch)
 		}
-		return choose(t, directory, demand(work), epoch).HedgeDelay
+		return choose(t, directory, newCriteria(estimate), epoch).HedgeDelay
 	}
 	is.Equal(late(idle{"near": true, "far": true})-late(idle{"near": true}), otherRegionRoundTrip+acceptTime)
 }
 
-func TestOpenUntilTheServerLeaves(t *testing.T) {
+func TestServingUntilTheServerLeaves(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"), server("b", "near-1"))
-	first := choose(t, directory, demand(NewEstimate(20*time.Millisecond)), epoch)
+	first := choose(t, directory, newCriteria(NewEstimate(20*time.Millisecond)), epoch)
 	is.True(directory.Serving(first.Endpoint))
 	draining := first.Server
 	draining.Draining = true
--- a/internal/endpoints/suspended_test.go
+++ b/internal/endpoints/suspended_test.go
@@ -44,7 +44,7 @@
 			suspended := time.Duration(0)
 			directory.SetSuspensionClock(func() time.Duration { return suspended })
 			directory.SetShares(test.limits, true, NodeCounts{Local: 1, Remote: 1}, epoch)
-			extra := demand(NewEstimate(20 * time.Millisecond))
+			extra := newCriteria(NewEstimate(20 * time.Millisecond))
 			extra.Extra = true
 			test.earn(directory)
 			choose(t, directory, extra, epoch)
--- a/internal/endpoints/versions.go
+++ b/internal/endpoints/versions.go
@@ -24,12 +24,12 @@
 }
 
 // admit returns the versions to which a request may be sent.
-func (d *Directory) admit(demand Criteria, now time.Time) rollout.Admission {
+func (d *Directory) admit(criteria Criteria, now time.Time) rollout.Admission {
 	if d.versions == nil {
 		return rollout.Admission{}
 	}
-	ask := rollout.Attempt{Service: demand.Service, Extra: demand.Extra, Repeatable: demand.Route == nil || demand.Route.Repeatable}
-	return d.versions.Admit(ask, d.withSuspension(now))
+	attempt := rollout.Attempt{Service: criteria.Service, Extra: criteria.Extra, Repeatable: criteria.Route == nil || criteria.Route.Repeatable}
+	return d.versions.Admit(attempt, d.withSuspension(now))
 }
 
 // currentlyAdmitted returns the servers of a service that may get requests according to
@@ -91,16 +91,16 @@
 	var allowed []*Endpoint
 	for _, endpoint := range all {
 		candidate := endpoint.candidate()
-		explained := inUse[endpoint.Version] || admission.IsTarget(candidate)
-		if explained && admission.Allows(candidate) {
+		known := inUse[endpoint.Version] || admission.IsTarget(candidate)
+		if known && admission.Allows(candidate) {
 			allowed = append(allowed, endpoint)
 		}
 	}
 	return allowed
 }
 
-// firstRanked returns the serving server with the lowest rank of the turn, an order that
-// all nodes share.
+// firstRanked returns the serving server with the lowest rank in the admission. The ranks of a
+// turn are the same at all nodes.
 func firstRanked(allowed []*Endpoint, admission rollout.Admission) []*Endpoint {
 	var first []*Endpoint
 	for _, endpoint := range allowed {
--- a/internal/endpoints/versions_test.go
+++ b/internal/endpoints/versions_test.go
@@ -127,8 +127,8 @@
 	}{
 		{"not answered yet", rollout.StateNone, rollout.StageWaiting, 0, false, 0, 0},
 		{"waiting", rollout.StateRunning, rollout.StageWaiting, 0, false, 0, 0},
-		// 0.04 of the requests. The order was made after the process started, which therefore has
-		// 16 of the slack, a quarter of them by now.
+		// 0.04 of the requests. The process started before the order was made, so its
+		// part of the slack is 16, of which a quarter is available by now.
 		{"canary", rollout.StateRunning, rollout.StageCanary, 4 * time.Second, false, 3, 17},
 		{"extra sends in the canary stage", rollout.StateRunning, rollout.StageCanary, 4 * time.Second, true, 0, 0},
 		{"load", rollout.StateRunning, rollout.StageLoad, 10 * time.Second, false, 8, 22},
--- a/internal/endpoints/zones.go
+++ b/internal/endpoints/zones.go
@@ -14,9 +14,9 @@
 }
 
 // eligible reports whether the server may get this request.
-func (d *Directory) eligible(endpoint *Endpoint, demand Criteria, now time.Time) bool {
-	return endpoint.serving() && !endpoint.expired(now) && d.allowed(endpoint, demand.Route) &&
-		!slices.Contains(demand.Tried, endpoint) && (demand.Only == nil || slices.Contains(demand.Only, endpoint))
+func (d *Directory) eligible(endpoint *Endpoint, criteria Criteria, now time.Time) bool {
+	return endpoint.serving() && !endpoint.expired(now) && d.allowed(endpoint, criteria.Route) &&
+		!slices.Contains(criteria.Tried, endpoint) && (criteria.Only == nil || slices.Contains(criteria.Only, endpoint))
 }
 
 // allowed reports whether requests of the route may be sent to the server's zone, and whether
--- a/internal/endpoints/zones_test.go
+++ b/internal/endpoints/zones_test.go
@@ -12,19 +12,19 @@
 	"github.com/driftstage/driftstage/internal/routing"
 )
 
-// demandIn returns the demand of a route that is restricted to the regions.
-func demandIn(regions ...string) Criteria {
-	request := demand(NewEstimate(20 * time.Millisecond))
+// criteriaIn returns the criteria of a request whose route is restricted to the regions.
+func criteriaIn(regions ...string) Criteria {
+	request := newCriteria(NewEstimate(20 * time.Millisecond))
 	request.Route = &routing.Route{Regions: regions}
 	return request
 }
 
 func TestRequestsStayInTheRegionsOfTheirRoute(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		regions []string
-		want    string
-		found   Availability
+		name         string
+		regions      []string
+		want         string
+		availability Availability
 	}{
 		{"no restriction", nil, "near", Chosen},
 		{"the own region", []string{"near"}, "near", Chosen},
@@ -35,10 +35,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			directory := directoryOf(server("far", "far-1"), server("near", "near-1"))
-			choice, found := directory.Choose(demandIn(test.regions...), epoch)
-			is.Equal(found, test.found)
+			choice, availability := directory.Choose(criteriaIn(test.regions...), epoch)
+			is.Equal(availability, test.availability)
 			is.Equal(choice.Server.ID, test.want)
-			is.Equal(directory.HasServer("s", &routing.Route{Regions: test.regions}), test.found == Chosen)
+			is.Equal(directory.HasServer("s", &routing.Route{Regions: test.regions}), test.availability == Chosen)
 		})
 	}
 }
@@ -47,38 +47,38 @@
 func TestServerOfAnUnknownZoneIsInNoRegion(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("lost", "nowhere"))
-	_, found := directory.Choose(demandIn(""), epoch)
-	is.Equal(found, NoServer)
-	_, found = directory.Choose(demandIn(), epoch)
-	is.Equal(found, Chosen)
+	_, availability := directory.Choose(criteriaIn(""), epoch)
+	is.Equal(availability, NoServer)
+	_, availability = directory.Choose(criteriaIn(), epoch)
+	is.Equal(availability, Chosen)
 }
 
 // A second attempt stays in the regions as well.
 func TestHedgeStaysInTheRegionsOfTheRoute(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("far", "far-1"), server("near", "near-1"))
-	first := choose(t, directory, demandIn("near"), epoch)
-	request := demandIn("near")
+	first := choose(t, directory, criteriaIn("near"), epoch)
+	request := criteriaIn("near")
 	request.Tried, request.Extra = []*Endpoint{first.Endpoint}, true
-	_, found := directory.Choose(request, epoch)
-	is.Equal(found, NoServer)
+	_, availability := directory.Choose(request, epoch)
+	is.Equal(availability, NoServer)
 }
 
 func TestEvacuatedZoneGetsNothingNew(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("near", "near-1"), server("far", "far-1"))
-	before := choose(t, directory, demandIn(), epoch)
+	before := choose(t, directory, criteriaIn(), epoch)
 	is.Equal(before.Server.ID, "near")
 	directory.Evacuate("near-1")
 	is.Equal(directory.Evacuated(), []string{"near-1"})
 	is.True(!directory.Serving(before.Endpoint)) // requests not written yet are withheld
-	is.Equal(choose(t, directory, demandIn(), epoch).Server.ID, "far")
-	_, found := directory.Choose(demandIn("near"), epoch)
-	is.Equal(found, NoServer) // no other server is in the route's region
+	is.Equal(choose(t, directory, criteriaIn(), epoch).Server.ID, "far")
+	_, availability := directory.Choose(criteriaIn("near"), epoch)
+	is.Equal(availability, NoServer) // no other server is in the route's region
 	is.True(!directory.HasServer("s", &routing.Route{Regions: []string{"near"}}))
 	directory.EndEvacuation("near-1", epoch)
 	is.True(directory.Serving(before.Endpoint))
-	is.Equal(choose(t, directory, demandIn(), epoch).Server.ID, "near")
+	is.Equal(choose(t, directory, criteriaIn(), epoch).Server.ID, "near")
 }
 
 // Servers of a readmitted zone, and only those, count as cold if their service has a rate for
@@ -124,11 +124,11 @@
 			case 4:
 				directory.EndEvacuation(zone, now)
 			default:
-				request := demandIn(rapid.SliceOfN(rapid.SampledFrom(regions), 0, 2).Draw(t, "regions")...)
+				request := criteriaIn(rapid.SliceOfN(rapid.SampledFrom(regions), 0, 2).Draw(t, "regions")...)
 				request.Tried, request.Extra = tried, len(tried) > 0
-				choice, found := directory.Choose(request, now)
+				choice, availability := directory.Choose(request, now)
 				tried = nil
-				if found != Chosen {
+				if availability != Chosen {
 					continue
 				}
 				endpoint := choice.Endpoint
