--- a/internal/dispatch/attempts.go
+++ b/internal/dispatch/attempts.go
@@ -22,14 +22,14 @@
 // attemptRecord holds the values that a trace logs of an attempt, and nothing else: it stays
 // in memory until the trace is written.
 type attemptRecord struct {
-	service             string
-	number              int
-	reason              exchange.Reason
-	server, zone        string
-	inFlight            int
-	expected, lateAfter time.Duration
-	budget              float64
-	sentAt              time.Time
+	service              string
+	number               int
+	reason               exchange.Reason
+	server, zone         string
+	inFlight             int
+	expected, hedgeDelay time.Duration
+	budget               float64
+	sentAt               time.Time
 	// canceledAt and endedAt are zero until the attempt is canceled or ends.
 	canceledAt, endedAt time.Time
 	result              upstream.Kind
@@ -46,16 +46,16 @@
 		return
 	}
 	started.record = attemptRecord{
-		service:   r.plan.Services[send.ID.Shard],
-		number:    send.ID.Number,
-		reason:    send.Reason,
-		server:    send.Choice.Server.ID,
-		zone:      send.Choice.Server.Zone,
-		inFlight:  send.Choice.InFlight,
-		expected:  send.Choice.Expected,
-		lateAfter: send.Choice.HedgeDelay,
-		budget:    send.Choice.BudgetLeft,
-		sentAt:    time.Now(),
+		service:    r.plan.Services[send.ID.Shard],
+		number:     send.ID.Number,
+		reason:     send.Reason,
+		server:     send.Choice.Server.ID,
+		zone:       send.Choice.Server.Zone,
+		inFlight:   send.Choice.InFlight,
+		expected:   send.Choice.Expected,
+		hedgeDelay: send.Choice.HedgeDelay,
+		budget:     send.Choice.BudgetLeft,
+		sentAt:     time.Now(),
 	}
 }
 
@@ -142,7 +142,7 @@
 		slog.String("zone", a.zone),
 		slog.Int("under_way", a.inFlight),
 		slog.Float64("expected_ms", trace.Milliseconds(a.expected)),
-		slog.Float64("late_after_ms", trace.Milliseconds(a.lateAfter)),
+		slog.Float64("late_after_ms", trace.Milliseconds(a.hedgeDelay)),
 		slog.Float64("budget", a.budget),
 	}})
 	if !a.canceledAt.IsZero() {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	// initialServiceShare is the service time assumed for a route without observations, as a
+	// initialProcessingShare is the processing time assumed for a route without observations, as a
 	// share of its target.
-	initialServiceShare = 0.12
+	initialProcessingShare = 0.12
 	// answerMargin is subtracted from the target for the transfer of the answer to the
 	// caller and for the setup of a new connection before the request arrived.
 	answerMargin = 9 * time.Millisecond
@@ -35,8 +35,8 @@
 	negligibleDelay = 60 * time.Millisecond
 	// deadlineMargin is subtracted from the caller's deadline.
 	deadlineMargin = 15 * time.Millisecond
-	// minSuspension is the shortest suspension of the machine that withholds attempts
-	// not yet sent; their requests are then evaluated again.
+	// minSuspension is the shortest suspension of the machine after which attempts not yet sent
+	// are withheld; their requests are then evaluated again.
 	minSuspension = 20 * time.Millisecond
 )
 
@@ -77,8 +77,8 @@
 	Delay() time.Duration
 }
 
-// SetQuarantine sets the quarantine manager, which learns during which requests servers terminate. It has
-// to be called before the dispatcher is used.
+// SetQuarantine sets the quarantine manager, which records during which requests servers
+// crash. It has to be called before the dispatcher is used.
 func (d *Dispatcher) SetQuarantine(manager *quarantine.Manager) { d.quarantine = manager }
 
 // New returns a dispatcher over the directory and the client. A nil recorder
@@ -152,7 +152,7 @@
 		Target:          target(route),
 		Deadline:        deadline(request),
 		HoldUntil:       holdTimeFor(request),
-		ArrivedLate:     late(request),
+		ArrivedLate:     arrivedLate(request),
 		Jitter:          rand.Float64(),
 	}
 	plan.YieldUntil = time.Duration(yieldShare * float64(plan.Deadline))
@@ -192,9 +192,9 @@
 // others: the rest is several times the response time under load.
 const yieldShare = 0.6
 
-// late reports whether the route's target had passed for the caller before the request
+// arrivedLate reports whether the route's target had passed for the caller before the request
 // arrived, judging by its remaining timeout.
-func late(request Request) bool {
+func arrivedLate(request Request) bool {
 	return request.CallerTimeout > 0 && request.Route.Timeout-request.CallerTimeout > request.Route.Target
 }
 
@@ -238,13 +238,13 @@
 	return d.turns[route]
 }
 
-// estimate returns the estimated service time of the route's requests.
+// estimate returns the estimated processing time of the route's requests.
 func (d *Dispatcher) estimate(route *routing.Route) *endpoints.Estimate {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	estimate, found := d.estimates[route.Name]
 	if !found {
-		estimate = endpoints.NewEstimate(time.Duration(initialServiceShare * float64(route.Target)))
+		estimate = endpoints.NewEstimate(time.Duration(initialProcessingShare * float64(route.Target)))
 		d.estimates[route.Name] = estimate
 	}
 	return estimate
--- a/internal/dispatch/quarantine.go
+++ b/internal/dispatch/quarantine.go
@@ -11,7 +11,7 @@
 )
 
 // minSilence is how long an abandoned attempt must have been in flight to count as lost:
-// a server that terminates may not reply at all.
+// a server that crashes may not reply at all.
 const minSilence = time.Second
 
 // reportAttemptEnd reports the end of an attempt to the quarantine manager: whether its server is alive, and
@@ -51,7 +51,7 @@
 // admit asks the quarantine manager whether the request may be sent. It returns an outcome if the
 // request is refused, and otherwise nil.
 func (r *run) admit(ctx context.Context) *exchange.Outcome {
-	r.admission = r.dispatcher.quarantine.Admit(ctx, r.request.Identity, r.plan.HoldUntil, r.usable)
+	r.admission = r.dispatcher.quarantine.Admit(ctx, r.request.Identity, r.plan.HoldUntil, r.anyReachable)
 	switch {
 	case r.admission.NoServer:
 		return r.refuse(exchange.CauseNoServers)
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// usable reports whether at least one of the services has a server that may be reachable.
-func (r *run) usable(services []string) bool {
+// anyReachable reports whether at least one of the services has a server that may be reachable.
+func (r *run) anyReachable(services []string) bool {
 	return slices.ContainsFunc(services, func(service string) bool {
 		return r.dispatcher.directory.HasReachableServer(service, r.request.Route, time.Now())
 	})
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -41,7 +41,7 @@
 	// hold is why the request is held before anything is sent. A cause is recorded when
 	// it changes, not at each check.
 	hold exchange.Hold
-	// admission permits the sends of a request that may terminate servers.
+	// admission permits the sends of a request that may crash servers.
 	admission quarantine.Admission
 	// suspendedBefore is the total time for which the machine had been suspended when the run
 	// began.
@@ -92,9 +92,9 @@
 // Choose implements exchange.Servers.
 func (r *run) Choose(service string, tried, only []*endpoints.Endpoint, extra bool) (endpoints.Choice, endpoints.Availability) {
 	now := time.Now()
-	demand := r.demand(service, now)
-	demand.Tried, demand.Only, demand.Extra = tried, only, extra
-	choice, availability := r.dispatcher.directory.Choose(demand, now)
+	criteria := r.criteria(service, now)
+	criteria.Tried, criteria.Only, criteria.Extra = tried, only, extra
+	choice, availability := r.dispatcher.directory.Choose(criteria, now)
 	if last, deferred := r.deferred[service]; availability != endpoints.Chosen && (!deferred || last != availability) {
 		r.noteDeferred(service, availability)
 		r.recordDeferred(service, extra, availability)
@@ -117,7 +117,7 @@
 	r.deferred[service] = availability
 }
 
-func (r *run) demand(service string, now time.Time) endpoints.Criteria {
+func (r *run) criteria(service string, now time.Time) endpoints.Criteria {
 	return endpoints.Criteria{
 		Service:         service,
 		Route:           r.request.Route,
