--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -2,8 +2,8 @@
 // and determines how much of it to refuse.
 //
 // The measure is the scheduling delay: how long a runnable goroutine waits for a
-// processor. Every step of a request waits for that long, whatever the machine's
-// share of a core is.
+// processor. Every step of a request waits for that long, whatever the
+// machine's share of a core is.
 package overload
 
 import (
@@ -22,8 +22,8 @@
 	// decayWeight is the weight of a measurement below the current delay: the delay
 	// rises at once and falls over several measurements.
 	decayWeight = 0.4
-	// busyGCPercent is the garbage collection percentage of an overloaded node.
-	busyGCPercent = 150
+	// overloadGCPercent is the garbage collection percentage of an overloaded node.
+	overloadGCPercent = 150
 )
 
 // Meter measures the scheduling delay of goroutines on this node. The zero value has
@@ -35,10 +35,10 @@
 	// delay is the smoothed delay in nanoseconds.
 	delay atomic.Int64
 	base  time.Time
-	// busySince is when lasting overload began, in nanoseconds since base; 0 for none.
-	busySince atomic.Int64
-	gcPercent int
-	detector  Detector
+	// overloadedSince is when lasting overload began, in nanoseconds since base; 0 for none.
+	overloadedSince atomic.Int64
+	gcPercent       int
+	detector        Detector
 }
 
 // NewMeter returns a meter that does not run yet. gcPercent is the garbage collection
@@ -68,29 +68,29 @@
 	runtime.Gosched()
 	m.startedAt.Store(0)
 	m.observe(m.now() - start)
-	m.updateBusy()
+	m.updateOverloaded()
 }
 
-// updateBusy updates whether the node is overloaded, and logs changes.
-func (m *Meter) updateBusy() {
+// updateOverloaded updates whether the node is overloaded, and logs changes.
+func (m *Meter) updateOverloaded() {
 	now := time.Now()
-	busy, wasBusy := m.detector.Observe(m.Delay(), now), m.busySince.Load() > 0
+	overloaded, wasOverloaded := m.detector.Observe(m.Delay(), now), m.overloadedSince.Load() > 0
 	switch {
-	case busy == wasBusy:
+	case overloaded == wasOverloaded:
 		return
-	case busy:
-		m.busySince.Store(int64(max(now.Sub(m.base), 1)))
-		debug.SetGCPercent(busyGCPercent)
+	case overloaded:
+		m.overloadedSince.Store(int64(max(now.Sub(m.base), 1)))
+		debug.SetGCPercent(overloadGCPercent)
 	default:
-		m.busySince.Store(0)
+		m.overloadedSince.Store(0)
 		debug.SetGCPercent(m.gcPercent)
 	}
-	klog.InfoS("overload", "busy", busy, "delay_ms", m.Delay().Milliseconds())
+	klog.InfoS("overload", "busy", overloaded, "delay_ms", m.Delay().Milliseconds())
 }
 
 // BusyFor returns how long the node has been overloaded; zero if it is not.
 func (m *Meter) BusyFor() time.Duration {
-	if start := m.busySince.Load(); start > 0 {
+	if start := m.overloadedSince.Load(); start > 0 {
 		return m.now() - time.Duration(start)
 	}
 	return 0
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestRefused(t *testing.T) {
+func TestRefusalRatio(t *testing.T) {
 	for _, test := range []struct {
 		delay       time.Duration
 		clientRetry bool
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestRefusedGrowsWithTheDelay(t *testing.T) {
+func TestRefusalRatioGrowsWithTheDelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "delay"))
 		more := first + time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "more"))
@@ -55,7 +55,7 @@
 	is.True(meter.Delay() < time.Millisecond)
 }
 
-func TestMeasurementUnderWayCounts(t *testing.T) {
+func TestRunningMeasurementCounts(t *testing.T) {
 	is := is.New(t)
 	meter := NewMeter(100)
 	meter.base = time.Now().Add(-time.Second)
@@ -63,7 +63,7 @@
 	is.True(meter.Delay() >= 900*time.Millisecond)
 }
 
-func TestSwitch(t *testing.T) {
+func TestDetector(t *testing.T) {
 	const ms = time.Millisecond
 	type step struct {
 		delay, duration time.Duration
@@ -73,18 +73,18 @@
 		name  string
 		steps []step
 	}{
-		{"short delays are no overload", []step{{busyDelay, busyAfter / 2, false}, {0, ms, false}, {busyDelay, busyAfter / 2, false}}},
-		{"a lasting delay is overload", []step{{busyDelay, busyAfter, true}}},
-		{"overload without recovery ends after maxBusy, and begins again only after cooldown", []step{{time.Second, busyAfter, true}, {time.Second, maxBusy - ms, true}, {time.Second, ms, false}, {time.Second, cooldown - ms, false}, {time.Second, 2 * ms, false}, {time.Second, busyAfter, true}}},
-		{"overload ends after calmAfter without delay", []step{{time.Second, busyAfter, true}, {calmDelay, calmAfter / 2, true}, {2 * calmDelay, ms, true}, {0, calmAfter / 2, true}, {0, calmAfter, false}}},
+		{"short delays are no overload", []step{{overloadDelay, overloadAfter / 2, false}, {0, ms, false}, {overloadDelay, overloadAfter / 2, false}}},
+		{"a lasting delay is overload", []step{{overloadDelay, overloadAfter, true}}},
+		{"overload without recovery ends after maxOverload, and begins again only after cooldown", []step{{time.Second, overloadAfter, true}, {time.Second, maxOverload - ms, true}, {time.Second, ms, false}, {time.Second, cooldown - ms, false}, {time.Second, 2 * ms, false}, {time.Second, overloadAfter, true}}},
+		{"overload ends after recoveryTime without delay", []step{{time.Second, overloadAfter, true}, {recoveryDelay, recoveryTime / 2, true}, {2 * recoveryDelay, ms, true}, {0, recoveryTime / 2, true}, {0, recoveryTime, false}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var toggle Detector
+			var detector Detector
 			now := time.Unix(1, 0)
 			for _, step := range test.steps {
-				toggle.Observe(step.delay, now)
+				detector.Observe(step.delay, now)
 				now = now.Add(step.duration)
-				is.New(t).Equal(toggle.Observe(step.delay, now), step.want)
+				is.New(t).Equal(detector.Observe(step.delay, now), step.want)
 			}
 		})
 	}
@@ -95,13 +95,13 @@
 func keepBusy(t *testing.T, goroutines int) {
 	before := runtime.GOMAXPROCS(1)
 	stop := make(chan struct{})
-	var working sync.WaitGroup
+	var workers sync.WaitGroup
 	for range goroutines {
-		working.Go(func() { workUntil(stop) })
+		workers.Go(func() { workUntil(stop) })
 	}
 	t.Cleanup(func() {
 		close(stop)
-		working.Wait()
+		workers.Wait()
 		runtime.GOMAXPROCS(before)
 	})
 }
@@ -119,9 +119,9 @@
 	}
 }
 
-// busyFloor is less than the delay caused by 50 goroutines of a millisecond each. Other
+// minBusyDelay is less than the delay caused by 50 goroutines of a millisecond each. Other
 // load on the test machine only adds to that delay.
-const busyFloor = 20 * time.Millisecond
+const minBusyDelay = 20 * time.Millisecond
 
 func TestMeterDetectsBusyProcessor(t *testing.T) {
 	keepBusy(t, 50)
@@ -130,9 +130,9 @@
 	meter := NewMeter(100)
 	go meter.Run(ctx)
 	longest := time.Duration(0)
-	for end := time.Now().Add(10 * time.Second); longest <= busyFloor && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); longest <= minBusyDelay && time.Now().Before(end); {
 		runtime.Gosched()
 		longest = max(longest, meter.Delay())
 	}
-	is.New(t).True(longest > busyFloor)
+	is.New(t).True(longest > minBusyDelay)
 }
