--- a/internal/retrybudget/pool.go
+++ b/internal/retrybudget/pool.go
@@ -8,9 +8,9 @@
 // SendCounts are counts of extra sends by service, as requested from a pool or granted by it.
 type SendCounts map[string]int
 
-// Pool grants extra sends to the nodes that share it. It grants at most the capacity for
-// each service in any window that is longer by GrantTTL than that of the limits, because
-// grants may be used up to GrantTTL later. The zero value grants nothing. It is safe for
+// Pool grants extra sends to the nodes that share it. For each service, it grants at most
+// the capacity in any period of the window plus GrantTTL, because grants may be used up to
+// GrantTTL later. The zero value grants nothing. It is safe for
 // concurrent use.
 //
 // A pool starts without its capacity: the pool that it replaces may just have granted all
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -2,11 +2,12 @@
 // attempt) of each service.
 //
 // Within any window, a node makes at most capacity + ratio x requests of the window
-// extra sends. With a capacity of slack / nodes, the same bound holds for all nodes
-// together. A token bucket refilled by requests bounds them as well, but its capacity
-// is available only once and then again only as fast as requests refill it: during
-// the failures for which the slack is meant, a node with two requests per second to a
-// service had one extra send for every five requests.
+// extra sends. The slack is the number of extra sends that all nodes together may make in
+// a window in addition to ratio x requests; a capacity of slack / nodes ensures that. A
+// token bucket refilled by requests bounds them as well, but once its capacity is spent, it is
+// available again only as fast as requests refill it: during the failures for which the
+// slack is meant, a node with two requests per second to a service had one extra send for
+// every five requests.
 //
 // With more nodes than slack, the share of a node is less than one send, while the
 // shares that it could use are idle at other nodes. The slack is then kept in pools
@@ -87,9 +88,9 @@
 const GrantTTL = 2 * time.Second
 
 // Grant adds sends that a pool granted. They expire GrantTTL after they were requested.
-func (b *Budget) Grant(count int, asked time.Time) {
-	until := asked.Add(GrantTTL)
-	if asked.After(b.grantedUntil) {
+func (b *Budget) Grant(count int, requested time.Time) {
+	until := requested.Add(GrantTTL)
+	if requested.After(b.grantedUntil) {
 		b.granted = 0
 	} else if b.grantedUntil.Before(until) {
 		// A later grant does not extend earlier ones.
