--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -42,8 +42,8 @@
 	return true
 }
 
-// queues orders the two classes: interactive attempts go first, but while both
-// wait, batch gets one of batchShare starts.
+// queues orders the two classes: interactive attempts go first, but while attempts of
+// both classes wait, one of batchShare starts is a batch attempt.
 type queues struct {
 	interactive queue
 	batch       queue
--- a/internal/admission/server_test.go
+++ b/internal/admission/server_test.go
@@ -140,19 +140,19 @@
 }
 
 func (sim *simulation) step() {
-	switch rapid.SampledFrom([]string{"offer", "offer", "offer", "withdraw", "judge", "judge", "end", "end", "drain", "pause"}).Draw(sim.t, "event") {
+	switch rapid.SampledFrom([]string{"offer", "offer", "offer", "cancel", "outcome", "outcome", "release", "release", "drain", "pause"}).Draw(sim.t, "event") {
 	case "offer":
 		sim.offer()
-	case "withdraw":
+	case "cancel":
 		// Includes running attempts, which keep their slots.
 		id := ID(rapid.Uint64Range(1, uint64(sim.lastID)+1).Draw(sim.t, "attempt"))
 		sim.apply(sim.server.Cancel(sim.now, id))
-	case "judge":
+	case "outcome":
 		if id, ok := pick(sim, sim.running); ok {
 			outcome := Outcome(rapid.IntRange(int(Succeeded), int(Canceled)).Draw(sim.t, "outcome"))
 			sim.apply(sim.server.RecordOutcome(sim.now, id, outcome))
 		}
-	case "end":
+	case "release":
 		if id, ok := pick(sim, sim.running); ok {
 			delete(sim.running, id)
 			sim.apply(sim.server.Release(sim.now, id))
