--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestChooseFollowsTheWeights(t *testing.T) {
+func TestPickServiceFollowsTheWeights(t *testing.T) {
 	is := is.New(t)
 	route := Route{Split: []WeightedService{{"a", 70}, {"b", 25}, {"c", 5}}}
 	counts := make(map[string]int)
