--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/driftstage/driftstage/internal/boottime"
 )
 
-// noop is an observer and a registry that do nothing.
+// noop is an observer and a record store that do nothing.
 type noop struct{}
 
 func (noop) AttemptsLost(string, int)                               {}
--- a/internal/quarantine/cluster_test.go
+++ b/internal/quarantine/cluster_test.go
@@ -48,8 +48,8 @@
 	*Manager
 	cluster *cluster
 	name    string
-	// cut is set while the store cannot be reached, alone while other nodes cannot be reached.
-	cut, alone bool
+	// cutFromStore is set while the store cannot be reached, cutFromNodes while other nodes cannot.
+	cutFromStore, cutFromNodes bool
 	// suspended is how long the machine has been suspended.
 	suspended time.Duration
 }
@@ -117,7 +117,7 @@
 	defer c.mutex.Unlock()
 	known, found := c.records[record.Digest]
 	switch {
-	case c.down || n.cut:
+	case c.down || n.cutFromStore:
 		return record, errDown
 	case !found && record.Revision > 0:
 		return Record{Digest: record.Digest}, ErrConflict
@@ -137,7 +137,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, receiver := range c.nodes {
-		if receiver != n && !receiver.alone && !n.alone {
+		if receiver != n && !receiver.cutFromNodes && !n.cutFromNodes {
 			notice := notice
 			notice.Record = notice.Record.clone()
 			time.AfterFunc(feedLatency, func() { receiver.ReceiveNotice(notice) })
@@ -151,7 +151,7 @@
 	c := n.cluster
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.down || n.cut {
+	if c.down || n.cutFromStore {
 		return errDown
 	}
 	if _, found := c.records[digest]; found {
@@ -165,7 +165,7 @@
 // notifyNodes delivers a change to all nodes that can reach the store; the mutex is held.
 func (c *cluster) notifyNodes(change catalog.Change[Record]) {
 	for _, receiver := range c.nodes {
-		if !receiver.cut {
+		if !receiver.cutFromStore {
 			time.AfterFunc(feedLatency, func() {
 				change := change
 				change.Value = change.Value.clone()
--- a/internal/quarantine/decide.go
+++ b/internal/quarantine/decide.go
@@ -36,22 +36,21 @@
 	Until   time.Duration
 }
 
-// Decide returns the decision on a request. The request is refused or tried as a whole: a
-// platform may count everything that is still sent for it, even to shards whose servers it
-// does not crash.
+// Decide returns the decision on a request. The request is refused or tried as a whole: sends
+// to shards whose servers it does not crash may count as sends of a crashing request, too.
 func (r *recordTable) Decide(digest Digest, variant Variant, now boottime.Instant) Decision {
 	e := r.entries[digest]
 	if e == nil || !e.record.covers(variant) {
 		return Decision{}
 	}
 	decision := Decision{Action: Try, Changed: e.changed}
-	term, pause := e.releaseAt(r.term).Sub(now), e.trialDelay(variant, now)
+	termLeft, delay := e.releaseAt(r.term).Sub(now), e.trialDelay(variant, now)
 	blocker := e.record.blockingTrial(variant, now)
 	switch {
-	case e.record.quarantines(variant) && term > 0:
-		decision.Action, decision.RetryAfter = Refuse, term
-	case pause > 0:
-		decision.Action, decision.Until = Await, pause
+	case e.record.quarantines(variant) && termLeft > 0:
+		decision.Action, decision.RetryAfter = Refuse, termLeft
+	case delay > 0:
+		decision.Action, decision.Until = Await, delay
 	case !blocker.isZero():
 		decision.Action, decision.Until = Await, blocker.seenAt.Add(trialLease).Sub(now)
 	}
@@ -74,8 +73,8 @@
 	return e.crashedLocally && e.trialDelay(variant, now) == 0
 }
 
-// BeginTrial adds a trial of this node, which the store has permitted or could not be asked
-// about. It reports false if another trial excludes it.
+// BeginTrial adds a trial of this node to the record; the node then requests the permission by
+// writing the record to the store. It reports false if another trial excludes this one.
 func (r *recordTable) BeginTrial(digest Digest, trial Trial, now boottime.Instant) bool {
 	e := r.entries[digest]
 	if e == nil || !e.record.blockingTrial(trial.Variant, now).isZero() {
@@ -89,7 +88,7 @@
 }
 
 // RenewTrial renews the lease of this node's trial. It returns the record to be written; false if
-// the record no longer holds the trial.
+// the record no longer lists the trial.
 func (r *recordTable) RenewTrial(digest Digest, trial Trial, now boottime.Instant) (Record, bool) {
 	e := r.entries[digest]
 	if e == nil {
--- a/internal/quarantine/entry.go
+++ b/internal/quarantine/entry.go
@@ -39,7 +39,7 @@
 }
 
 // trialDelay returns how long no trial of the variant may start because another one has just crashed
-// a server. If the record is mixed, only failed trials of the variant itself count.
+// a server. Once some variant was answered, only failed trials of the variant itself count.
 func (e *entry) trialDelay(variant Variant, now boottime.Instant) time.Duration {
 	failed := e.record.FailedTrials()
 	if e.record.SomeAnswered {
@@ -51,7 +51,7 @@
 	return max(e.lastFailure.Add(trialPause).Sub(now), 0)
 }
 
-// replaceRecord replaces the record by a version from elsewhere. New trials and renewals count as seen now.
+// replaceRecord replaces the record by the version in the store. New trials and renewals count as seen now.
 func (e *entry) replaceRecord(record Record, now boottime.Instant) {
 	record = record.clone()
 	for index := range record.Trials {
--- a/internal/quarantine/loss_tracker.go
+++ b/internal/quarantine/loss_tracker.go
@@ -24,9 +24,9 @@
 	// entry of a silent server is removed after three heartbeats, a few seconds, and requests
 	// may be given up before that.
 	lossRetention = 20 * time.Second
-	// confirmDelay is how long after a loss a server is checked, unless it has answered
+	// checkDelay is how long after a loss a server is checked, unless it has answered
 	// another request: a node sends a few requests per second to each server.
-	confirmDelay = 200 * time.Millisecond
+	checkDelay = 200 * time.Millisecond
 	// maxLossesPerServer and maxServersWithLosses bound the memory to 2 MB: when a zone fails,
 	// there are a few losses per server.
 	maxLossesPerServer   = 16
@@ -43,7 +43,7 @@
 	lossesByDigest map[Digest]int
 }
 
-// serverLosses are the unexplained losses at one server.
+// serverLosses are the losses at one server whose cause is not known yet.
 type serverLosses struct {
 	losses []Loss
 	// crashedAt is when the server was found to have crashed; zero before.
@@ -134,7 +134,7 @@
 			s.crashedAt = time.Time{}
 		}
 		l.dropIfEmpty(server, s)
-		if count := len(s.losses); count > 0 && !s.checked && now.Sub(s.losses[count-1].At) >= confirmDelay {
+		if count := len(s.losses); count > 0 && !s.checked && now.Sub(s.losses[count-1].At) >= checkDelay {
 			s.checked = true
 			unconfirmed = append(unconfirmed, s.losses[count-1])
 		}
@@ -148,7 +148,7 @@
 	return s != nil && slices.Contains(s.losses, loss)
 }
 
-// Empty reports whether no server has unexplained losses or a recent crash.
+// Empty reports whether no server has losses of unknown cause or a recent crash.
 func (l *lossTracker) Empty() bool { return len(l.servers) == 0 }
 
 // dropIfEmpty drops the entry of a server without losses or a recent crash.
--- a/internal/quarantine/loss_tracker_test.go
+++ b/internal/quarantine/loss_tracker_test.go
@@ -55,11 +55,11 @@
 	is := is.New(t)
 	var tracker lossTracker
 	tracker.Add(loss("a", 1, 0))
-	is.Equal(len(tracker.TakeUnconfirmed(start.Add(confirmDelay-1))), 0)
-	is.Equal(tracker.TakeUnconfirmed(start.Add(confirmDelay)), []Loss{loss("a", 1, 0)})
+	is.Equal(len(tracker.TakeUnconfirmed(start.Add(checkDelay-1))), 0)
+	is.Equal(tracker.TakeUnconfirmed(start.Add(checkDelay)), []Loss{loss("a", 1, 0)})
 	is.Equal(len(tracker.TakeUnconfirmed(start.Add(time.Second))), 0)
 	tracker.Add(loss("a", 2, time.Second))
-	is.Equal(tracker.TakeUnconfirmed(start.Add(time.Second+confirmDelay)), []Loss{loss("a", 2, time.Second)})
+	is.Equal(tracker.TakeUnconfirmed(start.Add(time.Second+checkDelay)), []Loss{loss("a", 2, time.Second)})
 }
 
 func TestLossTrackerIsBoundedAndExpires(t *testing.T) {
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// confirmInterval is how often servers with unexplained losses are checked.
-	confirmInterval = 50 * time.Millisecond
-	// confirmTimeout bounds the check whether a server is alive; a new connection to
+	// checkInterval is how often the manager looks for servers to check and for records to write.
+	checkInterval = 50 * time.Millisecond
+	// checkTimeout bounds the check whether a server is alive; a new connection to
 	// another region takes 55 ms.
-	confirmTimeout = 500 * time.Millisecond
-	// maxConfirming bounds the concurrent checks; the others wait for the next interval.
-	maxConfirming = 16
+	checkTimeout = 500 * time.Millisecond
+	// maxConcurrentChecks bounds the concurrent checks; the others wait for the next interval.
+	maxConcurrentChecks = 16
 	// maxLoggedDigests bounds the requests listed in a log line.
 	maxLoggedDigests = 8
 	// expiryInterval is how often outdated records are dropped.
@@ -37,11 +37,11 @@
 	// maxAwait bounds how long a request waits for the trial of another one: until the
 	// lease of a node that has died is over.
 	maxAwait = trialLease + 100*time.Millisecond
-	// storeBackoff is how long after a failed write trials start without asking the store: their
-	// requests would wait for the timeout.
+	// storeBackoff is how long after a failed write trials start without asking the store first:
+	// otherwise their requests would wait for the timeout.
 	storeBackoff = 3 * time.Second
 	// broadcastDelay is how long a write may take before other nodes are notified as well: the
-	// store usually answers within 30 ms, and only after seconds is it clear that it does not.
+	// store usually answers within 30 ms, and it takes seconds to be sure that it does not.
 	broadcastDelay = 100 * time.Millisecond
 )
 
@@ -78,8 +78,8 @@
 type Options struct {
 	// Node is the name of this node.
 	Node string
-	// Term is how long a request that crashes servers is refused. It doubles each time the trial
-	// after it crashes another server. With zero no request is refused: losses are only reported.
+	// Term is how long a quarantined request is refused. It doubles each time a trial after the
+	// term crashes another server. If it is zero, no request is refused: losses are only reported.
 	Term  time.Duration
 	Store RecordStore
 	// Broadcast sends a notice to other nodes without waiting for them; nil if that is not possible.
@@ -95,9 +95,9 @@
 // nodes, quarantines them. It is safe for concurrent use. A nil manager admits every request.
 type Manager struct {
 	Options
-	// confirming is a semaphore for concurrent checks of servers.
-	confirming chan struct{}
-	writes     *rate.Limiter
+	// checks is a semaphore that bounds the concurrent checks of servers.
+	checks chan struct{}
+	writes *rate.Limiter
 	// context is canceled when Run returns.
 	context context.Context
 	cancel  context.CancelFunc
@@ -116,11 +116,11 @@
 // NewManager returns a manager. It checks servers and writes records only while Run runs.
 func NewManager(options Options) *Manager {
 	manager := &Manager{
-		Options:    options,
-		confirming: make(chan struct{}, maxConfirming),
-		writes:     rate.NewLimiter(writesPerSecond, writeBurst),
-		records:    newRecordTable(options.Term),
-		trials:     make(map[trialKey]*trial),
+		Options: options,
+		checks:  make(chan struct{}, maxConcurrentChecks),
+		writes:  rate.NewLimiter(writesPerSecond, writeBurst),
+		records: newRecordTable(options.Term),
+		trials:  make(map[trialKey]*trial),
 	}
 	manager.context, manager.cancel = context.WithCancel(context.Background())
 	return manager
@@ -129,7 +129,7 @@
 // Run checks servers that lost attempts, and writes and expires records, until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	defer m.cancel()
-	ticker := time.NewTicker(confirmInterval)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	expireAt := m.Now().Add(expiryInterval)
 	for {
@@ -137,7 +137,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			m.confirm(now)
+			m.checkServers(now)
 			m.publish()
 			if m.Now() >= expireAt {
 				expireAt = m.Now().Add(expiryInterval)
@@ -233,15 +233,15 @@
 	return digests
 }
 
-// confirm checks the servers that have not answered anything since an attempt was lost there.
-func (m *Manager) confirm(now time.Time) {
+// checkServers checks the servers that have not answered anything since an attempt was lost there.
+func (m *Manager) checkServers(now time.Time) {
 	var unconfirmed []Loss
 	m.locked(func(boottime.Instant) { unconfirmed = m.losses.TakeUnconfirmed(now) })
 	for _, loss := range unconfirmed {
 		select {
-		case m.confirming <- struct{}{}:
+		case m.checks <- struct{}{}:
 			m.spawn(func(ctx context.Context) {
-				defer func() { <-m.confirming }()
+				defer func() { <-m.checks }()
 				m.checkServer(ctx, loss)
 			})
 		default:
@@ -252,7 +252,7 @@
 
 // checkServer checks whether the server of a loss still accepts connections.
 func (m *Manager) checkServer(ctx context.Context, loss Loss) {
-	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	if m.ConnectionRefused(ctx, loss.Address) {
 		m.ServerCrashed(loss.Server)
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -68,7 +68,7 @@
 	SuspectedServices []SuspectedService `json:"suspicions"`
 	// SuspectedVariants are the variants under which servers crashed; the first maxVariants are kept.
 	SuspectedVariants []SuspectedVariant `json:"suspects"`
-	// SomeAnswered is set once another variant was answered: from then on only the listed variants
+	// SomeAnswered is set once some variant was answered: from then on only the listed variants
 	// are suspected.
 	SomeAnswered bool `json:"mixed,omitempty"`
 	// Trials are the active ones, and those of nodes that died before ending them.
@@ -122,7 +122,7 @@
 // IsSuspected reports whether the variant is listed: servers crashed under it.
 func (r Record) IsSuspected(variant Variant) bool { return r.findSuspect(variant) != nil }
 
-// covers reports whether the variant is suspected.
+// covers reports whether the variant is suspected: it is listed, or no variant was answered yet.
 func (r Record) covers(variant Variant) bool { return !r.SomeAnswered || r.IsSuspected(variant) }
 
 // failedTrials returns the number of trials of the variant that crashed a server.
@@ -142,17 +142,15 @@
 	return &r.SuspectedVariants[index]
 }
 
-// triedSeparately reports whether the variant is tried independently of others: either only its
-// own trials count for it, or it is likely the one that crashes servers and others must not wait
-// for it.
-func (r Record) triedSeparately(variant Variant) bool {
-	return r.SomeAnswered || r.failedTrials(variant) > 0
-}
+// triedAlone reports whether trials of the variant and of others do not exclude each other: either
+// only its own trials count for it, or it is likely the one that crashes servers and others must
+// not wait for it.
+func (r Record) triedAlone(v Variant) bool { return r.SomeAnswered || r.failedTrials(v) > 0 }
 
 // blockingTrial returns the active trial that excludes one of the variant; the zero value if there is none.
 func (r Record) blockingTrial(variant Variant, now boottime.Instant) Trial {
 	for _, t := range r.Trials {
-		together := !r.triedSeparately(t.Variant) && !r.triedSeparately(variant)
+		together := !r.triedAlone(t.Variant) && !r.triedAlone(variant)
 		if t.active(now) && (together || t.Variant == variant) {
 			return t
 		}
--- a/internal/quarantine/record_table.go
+++ b/internal/quarantine/record_table.go
@@ -20,8 +20,8 @@
 	// publishDelay is how long a suspicion stays local: a request that was lost when its
 	// server crashed is usually answered by the next server within that time.
 	publishDelay = 100 * time.Millisecond
-	// urgentPublishDelay replaces publishDelay once so many servers have crashed that the
-	// request must not reach more: its client may retry within publishDelay.
+	// urgentPublishDelay replaces publishDelay once minCrashedServers have crashed: the request
+	// must not reach more servers, and its client may retry within publishDelay.
 	urgentPublishDelay = 10 * time.Millisecond
 	// publishRetryDelay is the delay after a failed write.
 	publishRetryDelay = time.Second
@@ -75,8 +75,8 @@
 		e = r.put(Record{Digest: loss.Digest})
 	}
 	e.crashedLocally = true
-	named := e.record.addVariant(loss.Variant, 0)
-	if !e.record.addServer(loss.Service, loss.Server) && !named {
+	variantAdded := e.record.addVariant(loss.Variant, 0)
+	if !e.record.addServer(loss.Service, loss.Server) && !variantAdded {
 		return false
 	}
 	e.lastChange = now
@@ -129,7 +129,7 @@
 	}
 }
 
-// changed notifies those who wait for the record, and drops it if nothing is suspected any more.
+// changed notifies the requests that wait for the record, and drops it if nothing is suspected any more.
 func (r *recordTable) changed(e *entry, now boottime.Instant) {
 	e.lastChange = now
 	e.notify()
@@ -243,9 +243,9 @@
 		}
 	}
 	for digest, e := range r.entries {
-		age, memory := now.Sub(e.lastChange), e.retention(r.term)
-		mine := e.writtenAt > 0 || e.record.Revision == 0
-		if age < memory || !mine && age < 2*memory+rand.N(memory) {
+		age, retention := now.Sub(e.lastChange), e.retention(r.term)
+		ownRecord := e.writtenAt > 0 || e.record.Revision == 0
+		if age < retention || !ownRecord && age < 2*retention+rand.N(retention) {
 			continue
 		}
 		r.remove(digest)
--- a/internal/quarantine/record_table_test.go
+++ b/internal/quarantine/record_table_test.go
@@ -150,7 +150,7 @@
 	table := suspected("a")
 	is.Equal(len(table.Due(at(publishDelay-1))), 0)
 	is.Equal(len(table.Due(at(publishDelay))), 1)
-	// Findings of another node are applied; those of this node only stay due.
+	// Findings of another node are applied; those that only this node has stay due.
 	table.ApplyStored(stored(5, "b"), at(0))
 	record, _ := table.Record(bad)
 	is.Equal(record.ServiceNames(), []string{"a", "b"})
--- a/internal/quarantine/restored.go
+++ b/internal/quarantine/restored.go
@@ -14,8 +14,8 @@
 	rewriteJitter = 4 * time.Second
 )
 
-// StoreRestored notes that the store was restored from a backup: its permissions for trials from
-// before are void.
+// StoreRestored notes that the store was restored from a backup: permissions for trials that it
+// granted before that are void.
 func (r *recordTable) StoreRestored() {
 	for _, e := range r.entries {
 		if len(e.record.Trials) > 0 {
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -25,10 +25,10 @@
 	TrialFailed
 )
 
-var trialNames = [...]string{"unknown", "answered", "failed"}
+var trialResultNames = [...]string{"unknown", "answered", "failed"}
 
 // String returns the name used in logs and metrics.
-func (t TrialResult) String() string { return trialNames[t] }
+func (t TrialResult) String() string { return trialResultNames[t] }
 
 // resolveTimeout bounds how long the result of a trial is waited for: the entry of a silent
 // server is removed after three heartbeats.
@@ -257,10 +257,10 @@
 
 // resolve ends a trial as soon as its result is known.
 func (m *Manager) resolve(ctx context.Context, digest Digest, t Trial) {
-	began, pause := m.Now(), resolveBackoff
+	began, backoff := m.Now(), resolveBackoff
 	for {
-		loss, open := m.pendingLoss(digest, t)
-		if !open || m.Now().Sub(began) > resolveTimeout {
+		loss, pending := m.pendingLoss(digest, t)
+		if !pending || m.Now().Sub(began) > resolveTimeout {
 			m.locked(func(boottime.Instant) {
 				if current := m.trials[trialKey{digest, t.Variant}]; current != nil && current.Trial == t {
 					m.finish(digest, current, TrialUnknown)
@@ -272,9 +272,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause = min(2*pause, confirmTimeout)
+		backoff = min(2*backoff, checkTimeout)
 	}
 }
 
