--- a/internal/peers/configuration.go
+++ b/internal/peers/configuration.go
@@ -13,8 +13,8 @@
 
 const configurationPath = "/v1/configuration"
 
-// maxCompared is how many other nodes are asked for a newer configuration until one answers.
-const maxCompared = 3
+// maxConfigurationPeers bounds the nodes that are asked for a newer configuration until one answers.
+const maxConfigurationPeers = 3
 
 // ConfigurationServer serves the current configuration to other nodes if it is newer than theirs.
 type ConfigurationServer struct {
@@ -47,7 +47,7 @@
 // FetchConfiguration requests a configuration of a later version from the nodes at the addresses
 // (IP:port), in random order until one answers; nil if that node has none.
 func FetchConfiguration(addresses []string, after uint64) (*routing.Table, error) {
-	return askAny(addresses, maxCompared, func(address string) (*routing.Table, error) { return askConfiguration(address, after) })
+	return askAny(addresses, maxConfigurationPeers, func(address string) (*routing.Table, error) { return askConfiguration(address, after) })
 }
 
 func askConfiguration(address string, after uint64) (*routing.Table, error) {
--- a/internal/peers/handover.go
+++ b/internal/peers/handover.go
@@ -67,7 +67,7 @@
 	mutex sync.Mutex
 	// holders are nodes that were served the snapshot, the most recent last.
 	holders []Requester
-	// busyUntil is when the accepted requests are served at snapshotRate.
+	// busyUntil is when all accepted requests will have been served at snapshotRate.
 	busyUntil time.Time
 	// body is the latest encoded snapshot, encoded at encodedAt.
 	body      []byte
@@ -94,7 +94,7 @@
 	}
 }
 
-// respond returns the encoded snapshot; nil if there is none or other nodes are to serve it.
+// respond returns the encoded snapshot; nil if there is none or the requester is referred to other nodes.
 func (s *snapshotServer) respond(requester Requester, now time.Time) ([]byte, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/peers/publisher.go
+++ b/internal/peers/publisher.go
@@ -15,7 +15,7 @@
 
 // errStale means that this node has had no answer from the store for too long to be
 // followed.
-var errStale = errors.New("this node has no recent data from the store")
+var errStale = errors.New("this node has no recent answer of the store")
 
 // Publisher serves the changes of one kind of objects, as read from the store, to other
 // nodes. The zero value has read nothing. It is safe for concurrent use.
@@ -71,18 +71,18 @@
 	after catalog.Revision
 	// wait is how long the request waits for changes.
 	wait time.Duration
-	// freshTimeout is how long the request waits for data that is recent enough.
-	freshTimeout time.Duration
+	// catchUpWait is how long the request waits for data that is recent enough, if there is none yet.
+	catchUpWait time.Duration
 	// maxAge is the maximum age of the data that the follower accepts.
 	maxAge time.Duration
-	// whole requests the whole state if the changes are no longer available.
-	whole bool
+	// full requests the full state if the changes are no longer available.
+	full bool
 	// era is the latest era known to the follower; data of older eras is rejected.
 	era catalog.Era
 }
 
 // answer returns the changes after a revision as soon as there are any, none after the wait, or an
-// error if the data has become too old and no newer data arrives within the freshTimeout.
+// error if the data has become too old and no newer data arrives within catchUpWait.
 func (p *Publisher[T]) answer(ctx context.Context, q watchQuery) (catalog.Changes[T], error) {
 	begun := time.Now()
 	for {
@@ -90,7 +90,7 @@
 		until := begun.Add(q.wait)
 		switch {
 		case errors.Is(err, errStale):
-			until = begun.Add(q.freshTimeout)
+			until = begun.Add(q.catchUpWait)
 		case err != nil || changes.Full || len(changes.Changes) > 0:
 			return changes, err
 		}
@@ -122,8 +122,8 @@
 		return catalog.Changes[T]{}, channel(&p.answered), errStale
 	}
 	changes, err := p.log.Since(q.after)
-	if errors.Is(err, catalog.ErrHistoryGone) && q.whole && p.state != nil {
-		changes, err = p.whole(), nil
+	if errors.Is(err, catalog.ErrHistoryGone) && q.full && p.state != nil {
+		changes, err = p.fullState(), nil
 	}
 	changes.Age = now.Sub(p.answeredAt)
 	changes.FreshAge = now.Sub(p.freshAt)
@@ -146,11 +146,11 @@
 	}
 }
 
-// whole returns the whole state at the latest published revision.
-func (p *Publisher[T]) whole() catalog.Changes[T] {
-	whole := catalog.Changes[T]{Revision: p.log.Last(), Full: true}
+// fullState returns all objects at the latest published revision.
+func (p *Publisher[T]) fullState() catalog.Changes[T] {
+	full := catalog.Changes[T]{Revision: p.log.Last(), Full: true}
 	for _, value := range p.state() {
-		whole.Changes = append(whole.Changes, catalog.Change[T]{Value: value})
+		full.Changes = append(full.Changes, catalog.Change[T]{Value: value})
 	}
-	return whole
+	return full
 }
--- a/internal/peers/recovery_probe.go
+++ b/internal/peers/recovery_probe.go
@@ -65,7 +65,7 @@
 	return true
 }
 
-// Run probes other nodes while the store is lost, until ctx is done.
+// Run probes other nodes while the store does not answer this one, until ctx is done.
 func (p *RecoveryProber) Run(ctx context.Context) {
 	if p.ask == nil {
 		p.ask = askConnected
--- a/internal/peers/recovery_probe_test.go
+++ b/internal/peers/recovery_probe_test.go
@@ -15,24 +15,24 @@
 	"github.com/driftstage/driftstage/internal/members"
 )
 
-// searchEnvironment simulates the peers and the store state that a search observes.
-type searchEnvironment struct {
-	mutex     sync.Mutex
-	lost      bool
-	silent    bool
-	connected bool
-	probes    int
-	signals   int
-	selector  *Selector
+// probeEnvironment simulates the peers and the store state that a prober observes.
+type probeEnvironment struct {
+	mutex        sync.Mutex
+	disconnected bool
+	silent       bool
+	connected    bool
+	probes       int
+	signals      int
+	selector     *Selector
 }
 
-func (s *searchEnvironment) set(change func()) {
+func (s *probeEnvironment) set(change func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	change()
 }
 
-func (s *searchEnvironment) ask(string) (bool, error) {
+func (s *probeEnvironment) ask(string) (bool, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.probes++
@@ -42,38 +42,38 @@
 	return s.connected, nil
 }
 
-// runSearch runs a test with a search among twenty nodes.
-func runSearch(t *testing.T, test func(is *is.I, env *searchEnvironment)) {
+// runProber runs a test with a prober on one of twenty nodes.
+func runProber(t *testing.T, test func(is *is.I, env *probeEnvironment)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		all := nodes("near", 20)
-		env := &searchEnvironment{selector: NewSelector(all[0], inRegion)}
+		env := &probeEnvironment{selector: NewSelector(all[0], inRegion)}
 		env.selector.SetMembers(all)
-		search := RecoveryProber{
+		prober := RecoveryProber{
 			Selector: env.selector,
-			Disconnected: func(time.Time) (lost bool) {
-				env.set(func() { lost = env.lost })
-				return lost
+			Disconnected: func(time.Time) (disconnected bool) {
+				env.set(func() { disconnected = env.disconnected })
+				return disconnected
 			},
 			OnRecovery: func(time.Time) { env.set(func() { env.signals++ }) },
 			ask:        env.ask,
 		}
-		go search.Run(ctx)
+		go prober.Run(ctx)
 		test(is.New(t), env)
 	})
 }
 
 func TestNoProbesWhileConnected(t *testing.T) {
-	runSearch(t, func(is *is.I, env *searchEnvironment) {
+	runProber(t, func(is *is.I, env *probeEnvironment) {
 		time.Sleep(time.Minute)
 		env.set(func() { is.Equal(env.probes, 0) })
 	})
 }
 
 func TestResponseAfterUnansweredProbesIsSignal(t *testing.T) {
-	runSearch(t, func(is *is.I, env *searchEnvironment) {
-		env.set(func() { env.lost, env.silent = true, true })
+	runProber(t, func(is *is.I, env *probeEnvironment) {
+		env.set(func() { env.disconnected, env.silent = true, true })
 		env.selector.Failed("near-node-1", time.Now())
 		time.Sleep(12 * time.Second)
 		env.set(func() {
@@ -84,15 +84,15 @@
 		env.set(func() { is.Equal(env.signals, 1) })
 		is.Equal(len(env.selector.avoided), 0) // the avoidance was cleared
 		time.Sleep(time.Minute)
-		env.set(func() { is.Equal(env.signals, 1) }) // further answers are no signal
+		env.set(func() { is.Equal(env.signals, 1) }) // further responses are no signal
 	})
 }
 
 // While the store is down for all nodes, the others answer that they are not connected either.
 // That must not cause more calls to the store.
 func TestUnconnectedPeersAreNoSignal(t *testing.T) {
-	runSearch(t, func(is *is.I, env *searchEnvironment) {
-		env.set(func() { env.lost = true })
+	runProber(t, func(is *is.I, env *probeEnvironment) {
+		env.set(func() { env.disconnected = true })
 		time.Sleep(time.Minute)
 		env.set(func() {
 			is.Equal(env.signals, 0)
@@ -102,8 +102,8 @@
 }
 
 func TestConnectedPeerIsSignal(t *testing.T) {
-	runSearch(t, func(is *is.I, env *searchEnvironment) {
-		env.set(func() { env.lost = true })
+	runProber(t, func(is *is.I, env *probeEnvironment) {
+		env.set(func() { env.disconnected = true })
 		time.Sleep(10 * time.Second)
 		env.set(func() { env.connected = true })
 		time.Sleep(probeBackoff + probeInterval)
@@ -114,8 +114,8 @@
 // Nodes that were cut off together reach each other from time to time. These responses must not
 // suppress the signal of a node that is connected to the store.
 func TestResponsesOfCutOffPeersDoNotSuppressSignal(t *testing.T) {
-	runSearch(t, func(is *is.I, env *searchEnvironment) {
-		env.set(func() { env.lost, env.silent = true, true })
+	runProber(t, func(is *is.I, env *probeEnvironment) {
+		env.set(func() { env.disconnected, env.silent = true, true })
 		for range 6 {
 			time.Sleep(minUnanswered * probeInterval)
 			env.set(func() { env.silent = false })
@@ -134,15 +134,15 @@
 // A store that rejects only this node must not be called much more often because other nodes
 // are connected to it.
 func TestIneffectiveSignalsBackOff(t *testing.T) {
-	runSearch(t, func(is *is.I, env *searchEnvironment) {
-		env.set(func() { env.lost, env.connected = true, true })
+	runProber(t, func(is *is.I, env *probeEnvironment) {
+		env.set(func() { env.disconnected, env.connected = true, true })
 		time.Sleep(4 * time.Minute)
 		env.set(func() {
 			is.True(env.signals <= 12) // after 2, 4, 8, 16 s, then every 30 s
-			env.lost = false
+			env.disconnected = false
 		})
 		time.Sleep(time.Second)
-		env.set(func() { env.lost, env.signals = true, 0 })
+		env.set(func() { env.disconnected, env.signals = true, 0 })
 		time.Sleep(probeInterval + time.Millisecond)
 		env.set(func() { is.Equal(env.signals, 1) }) // immediately in another outage
 	})
@@ -150,16 +150,16 @@
 
 func TestPeersOfOtherZonesAreProbed(t *testing.T) {
 	is := is.New(t)
-	own := members.Member{Name: "own", Zone: "near-1"}
-	s := NewSelector(own, inRegion)
+	self := members.Member{Name: "own", Zone: "near-1"}
+	s := NewSelector(self, inRegion)
 	_, found := s.RandomRemote()
 	is.True(!found)
 	same := nodes("near-1", 5)
-	s.SetMembers(append(same, own))
+	s.SetMembers(append(same, self))
 	member, found := s.RandomRemote()
 	is.True(found)
 	is.Equal(member.Zone, "near-1") // there is no other zone
-	s.SetMembers(append(append(nodes("far", 1), same...), own))
+	s.SetMembers(append(append(nodes("far", 1), same...), self))
 	for range 20 {
 		member, _ = s.RandomRemote()
 		is.Equal(member.Zone, "far")
@@ -172,7 +172,7 @@
 	var mutex sync.Mutex
 	connected := false
 	relay := NewRelay("kind", PlainCodec[endpoints.Server]{}, NewSelector(members.Member{}, inRegion))
-	contact := StoreStatusServer{UpToDate: func() bool {
+	status := StoreStatusServer{UpToDate: func() bool {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return connected
@@ -180,7 +180,7 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, relay, contact)
+	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, relay, status)
 	go func() { _ = server.Serve(listener) }()
 	got, err := askConnected(listener.Addr().String())
 	is.NoErr(err)
--- a/internal/peers/recovery_test.go
+++ b/internal/peers/recovery_test.go
@@ -224,7 +224,7 @@
 		<-ctx.Done()
 		return catalog.Changes[catalog.Revision]{}, errNoAnswer
 	}
-	query := watchQuery{after: request.After, wait: request.Wait, freshTimeout: request.CatchUpWait, maxAge: maxDataAge, whole: true}
+	query := watchQuery{after: request.After, wait: request.Wait, catchUpWait: request.CatchUpWait, maxAge: maxDataAge, full: true}
 	return other.kinds[s.kind.index].publisher.answer(ctx, query)
 }
 
@@ -272,8 +272,8 @@
 		follower.UseBackoff(&n.backoff)
 		go follower.Run(ctx)
 	}
-	search := RecoveryProber{Selector: n.selector, Disconnected: n.backoff.Disconnected, OnRecovery: n.backoff.RetryNow, ask: n.askConnected}
-	go search.Run(ctx)
+	prober := RecoveryProber{Selector: n.selector, Disconnected: n.backoff.Disconnected, OnRecovery: n.backoff.RetryNow, ask: n.askConnected}
+	go prober.Run(ctx)
 }
 
 func (n *recoveryNode) askConnected(address string) (bool, error) {
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -47,7 +47,7 @@
 	headerRevision = "Driftstage-Revision"
 	headerAge      = "Driftstage-Age"
 	headerFreshAge = "Driftstage-Fresh-Age"
-	headerWhole    = "Driftstage-Whole"
+	headerFull     = "Driftstage-Whole"
 )
 
 // cachedBody is the cached body of a response; all followers request the same one.
@@ -68,7 +68,7 @@
 	eras *catalog.EraTracker
 
 	mutex sync.Mutex
-	// client calls the node followed last.
+	// client sends requests to the node that was followed last.
 	client *fasthttp.HostClient
 	// followed is the node that answered last; empty for the store.
 	followed string
@@ -84,14 +84,12 @@
 // UseEraTracker makes the relay exchange the store's era with other nodes, so that they notice a restored store.
 func (r *Relay[T]) UseEraTracker(eras *catalog.EraTracker) { r.eras = eras }
 
-// ServeState makes the relay send the whole state to followers whose revision is older than
+// ServeState makes the relay send the full state to followers whose revision is older than
 // the changes that this node keeps. The state must include everything that was published.
 func (r *Relay[T]) ServeState(state func() []T) { r.publisher.state = state }
 
 // SetSuspensionClock makes the published data age while the machine of this node is suspended.
-func (r *Relay[T]) SetSuspensionClock(suspended func() time.Duration) {
-	r.publisher.suspended = suspended
-}
+func (r *Relay[T]) SetSuspensionClock(clock func() time.Duration) { r.publisher.suspended = clock }
 
 // Publish implements catalog.Relay.
 func (r *Relay[T]) Publish(after catalog.Revision, changes catalog.Changes[T], fresh bool) {
@@ -167,7 +165,7 @@
 	ctx.Response.Header.Set(headerAge, changes.Age.String())
 	ctx.Response.Header.Set(headerFreshAge, changes.FreshAge.String())
 	if changes.Full {
-		ctx.Response.Header.Set(headerWhole, strconv.FormatBool(true))
+		ctx.Response.Header.Set(headerFull, strconv.FormatBool(true))
 	}
 	writeBody(ctx, body)
 }
@@ -259,6 +257,6 @@
 	if err != nil {
 		return catalog.Changes[T]{}, errors.Wrap(err, headerFreshAge)
 	}
-	whole := string(header.Peek(headerWhole)) == strconv.FormatBool(true)
-	return catalog.Changes[T]{Revision: catalog.Revision(revision), Age: age, FreshAge: freshAge, Full: whole}, nil
+	full := string(header.Peek(headerFull)) == strconv.FormatBool(true)
+	return catalog.Changes[T]{Revision: catalog.Revision(revision), Age: age, FreshAge: freshAge, Full: full}, nil
 }
--- a/internal/peers/relay_test.go
+++ b/internal/peers/relay_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// A node that has lost the store returns an error as soon as its data is too old, not
+// A node that the store does not answer returns an error as soon as its data is too old, not
 // at the end of the wait.
 func TestPublisherRejectsStaleData(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -181,9 +181,9 @@
 
 func (s source[T]) address() string { return s.member.Address }
 
-// A follower whose revision is older than the changes kept by the reader gets the whole state
+// A follower whose revision is older than the changes kept by the reader gets the full state
 // if it requests it.
-func TestWholeStateIsServed(t *testing.T) {
+func TestFullStateIsServed(t *testing.T) {
 	is := is.New(t)
 	reader, source, selector := linked(t, PlainCodec[endpoints.Server]{})
 	state := []endpoints.Server{{ID: "a", Service: "s", Slots: 3}, {ID: "b", Service: "s"}}
@@ -205,7 +205,7 @@
 	is.True(!got.Full) // the changes suffice
 	is.Equal(got.Changes, []catalog.Change[endpoints.Server]{put("a")})
 	_, err = reader.publisher.answer(ctx, watchQuery{after: 2, wait: time.Second, maxAge: time.Hour})
-	is.True(errors.Is(err, catalog.ErrHistoryGone)) // the whole state was not requested
+	is.True(errors.Is(err, catalog.ErrHistoryGone)) // the full state was not requested
 	state = nil
 	reader.Publish(8, changesAt(9), true) // drops the earlier changes
 	got, err = source.Watch(ctx, catalog.WatchRequest{After: 2, Wait: time.Second})
--- a/internal/peers/reports_test.go
+++ b/internal/peers/reports_test.go
@@ -14,12 +14,12 @@
 )
 
 // serveReports starts a server that receives reports and returns its address.
-func serveReports(t *testing.T, take func(rollout.Report) ([]rollout.OrderReply, error)) string {
+func serveReports(t *testing.T, handle func(rollout.Report) ([]rollout.OrderReply, error)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = listener.Close() })
-	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, ReportServer{Handle: take})
+	server := NewServer(Requester{}, func() (Snapshot, bool) { return Snapshot{}, false }, ReportServer{Handle: handle})
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String()
 }
@@ -53,9 +53,9 @@
 		t.Run(fmt.Sprint(orders), func(t *testing.T) {
 			is := is.New(t)
 			sent := reportOf(orders)
-			var taken rollout.Report
+			var received rollout.Report
 			address := serveReports(t, func(report rollout.Report) ([]rollout.OrderReply, error) {
-				taken = report
+				received = report
 				var replies []rollout.OrderReply
 				for _, order := range report.Orders {
 					replies = append(replies, rollout.OrderReply{Service: order.Service, Target: order.Target, Created: order.Created, Halt: order.Halted})
@@ -65,7 +65,7 @@
 			var client Client
 			replies, err := sendReport(t, &client, address, sent)
 			is.NoErr(err)
-			is.Equal(taken, sent)
+			is.Equal(received, sent)
 			is.Equal(len(replies), orders)
 			for index, reply := range replies {
 				is.Equal(reply.Key(), sent.Orders[index].Key())
--- a/internal/peers/restored_test.go
+++ b/internal/peers/restored_test.go
@@ -123,11 +123,11 @@
 	selector *Selector
 	backoff  catalog.Backoff
 	eras     catalog.EraTracker
-	kinds    map[string]*restoreKind
+	kinds    map[string]*mirror
 }
 
-// restoreKind is a node's state of one kind. It is the feed, relay and sink of the follower of that kind.
-type restoreKind struct {
+// mirror is a node's copy of the objects of one kind. It is the feed, relay and sink of their follower.
+type mirror struct {
 	node      *restoreNode
 	name      string
 	publisher Publisher[storeObject]
@@ -159,12 +159,12 @@
 		all = append(all, members.Member{Name: nodeName(number), Address: nodeName(number), Zone: fmt.Sprint("near-", number%2)})
 	}
 	for number := range count {
-		node := &restoreNode{number: number, cluster: cluster, selector: NewSelector(all[number], inRegion), kinds: make(map[string]*restoreKind)}
+		node := &restoreNode{number: number, cluster: cluster, selector: NewSelector(all[number], inRegion), kinds: make(map[string]*mirror)}
 		node.selector.SetMembers(all)
 		node.backoff.SetCallers(node.selector.StoreCallers(count))
 		node.eras.OnRestore(func(catalog.Era) { node.backoff.StoreRestored() })
 		for _, name := range []string{kindTables, kindServers} {
-			kind := &restoreKind{node: node, name: name, objects: make(map[string]string)}
+			kind := &mirror{node: node, name: name, objects: make(map[string]string)}
 			kind.publisher.state = kind.list
 			node.kinds[name] = kind
 		}
@@ -192,7 +192,7 @@
 
 // call makes one call to the store. It fails if the store is down or cannot be reached, or answers in an
 // older era than the node has seen.
-func (k *restoreKind) call(ctx context.Context, answer func(store *fakeStore) error) error {
+func (k *mirror) call(ctx context.Context, answer func(store *fakeStore) error) error {
 	store := k.node.cluster.store
 	store.mutex.Lock()
 	store.calls++
@@ -214,7 +214,7 @@
 	return answer(store)
 }
 
-func (k *restoreKind) List(ctx context.Context, _ string) (page catalog.Page[storeObject], err error) {
+func (k *mirror) List(ctx context.Context, _ string) (page catalog.Page[storeObject], err error) {
 	err = k.call(ctx, func(store *fakeStore) error {
 		page.Revision = catalog.NewRevision(store.era, store.number)
 		for name, value := range store.kinds[k.name] {
@@ -225,7 +225,7 @@
 	return page, err
 }
 
-func (k *restoreKind) Watch(ctx context.Context, request catalog.WatchRequest) (changes catalog.Changes[storeObject], err error) {
+func (k *mirror) Watch(ctx context.Context, request catalog.WatchRequest) (changes catalog.Changes[storeObject], err error) {
 	expired := time.After(request.Wait)
 	for {
 		var changed chan struct{}
@@ -265,7 +265,7 @@
 	return changes
 }
 
-func (k *restoreKind) list() []storeObject {
+func (k *mirror) list() []storeObject {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	var all []storeObject
@@ -275,7 +275,7 @@
 	return all
 }
 
-func (k *restoreKind) Replace(items []storeObject, _ bool) {
+func (k *mirror) Replace(items []storeObject, _ bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	clear(k.objects)
@@ -284,14 +284,14 @@
 	}
 }
 
-func (k *restoreKind) put(item storeObject) {
+func (k *mirror) put(item storeObject) {
 	k.objects[item.name] = item.value
 	k.latest = max(k.latest, item.value)
 }
 
-func (k *restoreKind) Resumed() {}
+func (k *mirror) Resumed() {}
 
-func (k *restoreKind) Apply(change catalog.Change[storeObject]) {
+func (k *mirror) Apply(change catalog.Change[storeObject]) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if change.Removed {
@@ -302,22 +302,20 @@
 }
 
 // state returns the current objects and the greatest value ever seen.
-func (k *restoreKind) state() (known map[string]string, latest string) {
+func (k *mirror) state() (known map[string]string, latest string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return maps.Clone(k.objects), k.latest
 }
 
-func (k *restoreKind) Publish(after catalog.Revision, changes catalog.Changes[storeObject], fresh bool) {
+func (k *mirror) Publish(after catalog.Revision, changes catalog.Changes[storeObject], fresh bool) {
 	k.publisher.Publish(after, changes, fresh)
 }
-func (k *restoreKind) StoreFailed() { k.node.selector.StoreFailed(time.Now()) }
-func (k *restoreKind) HasFollowers() bool {
-	return k.publisher.HasFollowers() || k.node.selector.IsReader()
-}
-func (k *restoreKind) IsReader() bool { return !k.node.selector.Follows(time.Now()) }
+func (k *mirror) StoreFailed()       { k.node.selector.StoreFailed(time.Now()) }
+func (k *mirror) HasFollowers() bool { return k.publisher.HasFollowers() || k.node.selector.IsReader() }
+func (k *mirror) IsReader() bool     { return !k.node.selector.Follows(time.Now()) }
 
-func (k *restoreKind) Source() catalog.Watcher[storeObject] {
+func (k *mirror) Source() catalog.Watcher[storeObject] {
 	member, found := k.node.selector.Next(k.lastFollowed(), time.Now())
 	if !found {
 		k.setFollowed("")
@@ -327,13 +325,13 @@
 }
 
 // lastFollowed returns the node that answered last.
-func (k *restoreKind) lastFollowed() string {
+func (k *mirror) lastFollowed() string {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.followed
 }
 
-func (k *restoreKind) setFollowed(name string) {
+func (k *mirror) setFollowed(name string) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.followed = name
@@ -341,7 +339,7 @@
 
 // restoreSource is a source without network connections.
 type restoreSource struct {
-	kind   *restoreKind
+	kind   *mirror
 	member members.Member
 }
 
@@ -361,7 +359,7 @@
 		<-ctx.Done()
 		return catalog.Changes[storeObject]{}, errNoAnswer
 	}
-	query := watchQuery{after: request.After, wait: request.Wait, freshTimeout: request.CatchUpWait, maxAge: maxDataAge, whole: true, era: node.eras.Latest()}
+	query := watchQuery{after: request.After, wait: request.Wait, catchUpWait: request.CatchUpWait, maxAge: maxDataAge, full: true, era: node.eras.Latest()}
 	other.eras.Observe(query.era)
 	return other.kinds[s.kind.name].publisher.answer(ctx, query)
 }
@@ -415,7 +413,7 @@
 	pause  time.Duration
 }
 
-var restoreSteps = []string{"version", "server", "server", "server gone", "copy", "copy", "restored", "restored", "forget", "cut", "heal"}
+var restoreSteps = []string{"version", "server", "server", "server removed", "backup", "backup", "restore", "restore", "drop history", "partition", "heal"}
 
 func drawSteps(t *rapid.T) []restoreStep {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) restoreStep {
@@ -438,19 +436,19 @@
 			c.store.write(kindTables, storeObject{name: "main", value: versionText(version)})
 		case "server":
 			c.store.write(kindServers, storeObject{name: name, value: fmt.Sprint(step.pause)})
-		case "server gone":
+		case "server removed":
 			c.store.write(kindServers, storeObject{name: name, removed: true})
-		case "copy":
+		case "backup":
 			backups = append(backups, c.store.backup())
-		case "restored":
+		case "restore":
 			c.store.setDown(true)
 			time.Sleep(step.pause)
 			c.store.restore(backups[max(len(backups)-1-step.number%3, 0)])
 			backups = []storeBackup{c.store.backup()}
 			c.store.setDown(false)
-		case "forget":
+		case "drop history":
 			c.store.dropHistory()
-		case "cut":
+		case "partition":
 			c.network.set(func(node int) bool { return node%2 == step.number%2 }, nil)
 		case "heal":
 			c.network.set(nil, nil)
--- a/internal/peers/selector_test.go
+++ b/internal/peers/selector_test.go
@@ -28,14 +28,14 @@
 // picks returns the node that each of the members follows; empty for the store.
 func picks(all []members.Member, prepare func(s *Selector), now time.Time) map[string]string {
 	picked := make(map[string]string)
-	for _, own := range all {
-		s := NewSelector(own, inRegion)
+	for _, self := range all {
+		s := NewSelector(self, inRegion)
 		s.SetMembers(all)
 		if prepare != nil {
 			prepare(s)
 		}
 		followed, _ := s.Pick(now)
-		picked[own.Name] = followed.Name
+		picked[self.Name] = followed.Name
 	}
 	return picked
 }
@@ -75,9 +75,9 @@
 
 func TestOtherRegionsAreNotFollowed(t *testing.T) {
 	is := is.New(t)
-	own := nodes("near", 10)
-	s := NewSelector(own[0], inRegion)
-	s.SetMembers(append(nodes("far", 30), own...))
+	near := nodes("near", 10)
+	s := NewSelector(near[0], inRegion)
+	s.SetMembers(append(nodes("far", 30), near...))
 	if followed, found := s.Pick(testTime); found {
 		is.Equal(followed.Zone, "near")
 	}
@@ -125,9 +125,9 @@
 
 func TestAnyNodeIsFollowedWhileTheStoreFails(t *testing.T) {
 	is := is.New(t)
-	own := nodes("near", 1)[0]
-	s := NewSelector(own, inRegion)
-	s.SetMembers(append(nodes("far", 1), own))
+	self := nodes("near", 1)[0]
+	s := NewSelector(self, inRegion)
+	s.SetMembers(append(nodes("far", 1), self))
 	_, found := s.Pick(testTime)
 	is.True(!found)
 	s.StoreFailed(testTime)
@@ -161,8 +161,8 @@
 			live = append(live, members.Member{Name: fmt.Sprint("node-", index), Zone: "z", Address: "127.0.0.1:1"})
 		}
 		followers := make(map[string]int)
-		for _, own := range live {
-			selector := NewSelector(own, func(string) bool { return true })
+		for _, self := range live {
+			selector := NewSelector(self, func(string) bool { return true })
 			selector.SetMembers(live)
 			selector.StoreFailed(now)
 			picked, found := selector.Pick(now)
@@ -176,19 +176,19 @@
 }
 
 // IsReader is true for exactly those nodes that the others follow.
-func TestReadsIsTrueForReadersOnly(t *testing.T) {
+func TestOnlyFollowedNodesAreReaders(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{minRelayNodes - 1, minRelayNodes, 200, 985} {
 		all := nodes("near", count)
 		followed, readers := make(map[string]bool), make(map[string]bool)
-		for _, own := range all {
-			selector := NewSelector(own, inRegion)
+		for _, self := range all {
+			selector := NewSelector(self, inRegion)
 			selector.SetMembers(all)
 			if picked, found := selector.Pick(testTime); found {
 				followed[picked.Name] = true
 			}
 			if selector.IsReader() {
-				readers[own.Name] = true
+				readers[self.Name] = true
 			}
 		}
 		is.Equal(readers, followed)
--- a/internal/peers/source.go
+++ b/internal/peers/source.go
@@ -40,9 +40,9 @@
 	query := url.Values{}
 	query.Set(paramAfter, strconv.FormatUint(uint64(request.After), 10))
 	query.Set(paramWait, request.Wait.String())
-	query.Set(paramFreshTimeout, request.CatchUpWait.String())
+	query.Set(paramCatchUpWait, request.CatchUpWait.String())
 	query.Set(paramAge, maxDataAge.String())
-	query.Set(paramWhole, strconv.FormatBool(true))
+	query.Set(paramFull, strconv.FormatBool(true))
 	query.Set(paramEra, strconv.FormatUint(uint64(s.relay.eras.Latest()), 10))
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/peers/watch_query.go
+++ b/internal/peers/watch_query.go
@@ -15,10 +15,10 @@
 	paramAfter = "after"
 	paramWait  = "wait"
 	paramAge   = "age"
-	paramWhole = "whole"
+	paramFull  = "whole"
 	paramEra   = "era"
 
-	paramFreshTimeout = "patience"
+	paramCatchUpWait = "patience"
 )
 
 func parseWatchQuery(args *fasthttp.Args) (watchQuery, error) {
@@ -34,9 +34,9 @@
 	if err != nil {
 		return watchQuery{}, err
 	}
-	var freshTimeout time.Duration
-	if args.Has(paramFreshTimeout) {
-		if freshTimeout, err = parseDuration(args, paramFreshTimeout); err != nil {
+	var catchUpWait time.Duration
+	if args.Has(paramCatchUpWait) {
+		if catchUpWait, err = parseDuration(args, paramCatchUpWait); err != nil {
 			return watchQuery{}, err
 		}
 	}
@@ -45,8 +45,8 @@
 		return watchQuery{}, errors.Wrap(err, paramEra)
 	}
 	return watchQuery{
-		after: catalog.Revision(after), wait: min(wait, maxWait), freshTimeout: min(freshTimeout, maxWait), maxAge: maxAge,
-		whole: args.GetBool(paramWhole), era: era,
+		after: catalog.Revision(after), wait: min(wait, maxWait), catchUpWait: min(catchUpWait, maxWait), maxAge: maxAge,
+		full: args.GetBool(paramFull), era: era,
 	}, nil
 }
 
@@ -62,7 +62,7 @@
 	}
 	era, err := strconv.ParseUint(string(text), 10, 32)
 	if err == nil && catalog.Era(era) > catalog.MaxEra {
-		err = errors.Newf("%d is out of range", era)
+		err = errors.Newf("%d is out of bounds", era)
 	}
 	return catalog.Era(era), err
 }
