--- a/internal/rollout/admission.go
+++ b/internal/rollout/admission.go
@@ -54,8 +54,8 @@
 	// completedRevision is the revision at which the order was completed: later servers of
 	// other versions are ordinary replacements. Zero before that.
 	completedRevision catalog.Revision
-	// counted is set if the attempt was counted as exposure, trial if it may go elsewhere as
-	// well.
+	// counted is set if the attempt was counted as exposure, trial if it may go to other
+	// versions as well.
 	counted, trial bool
 	// fallback is set if other versions may be used when no allowed server can be reached.
 	fallback bool
@@ -88,9 +88,11 @@
 	return k.Target != "" && candidate.Version == k.Target && (candidate.Created == 0 || candidate.Created > k.Created)
 }
 
-// AllowsAll reports whether servers that are all of one version need no check of their own.
-func (a Admission) AllowsAll(version Version, same bool) bool {
-	return same && a.order.Target != version && !slices.ContainsFunc(a.withdrawn, func(order Key) bool { return order.Target == version })
+// AllowsAll reports whether the candidates need not be checked one by one: sameVersion is set if
+// all of them have the given version, which must not be the target of the order or of a
+// withdrawn one.
+func (a Admission) AllowsAll(version Version, sameVersion bool) bool {
+	return sameVersion && a.order.Target != version && !slices.ContainsFunc(a.withdrawn, func(order Key) bool { return order.Target == version })
 }
 
 // NewerThanOrders reports whether the candidate is newer than the orders are known to be: it may
@@ -151,30 +153,30 @@
 	return admission
 }
 
-// Admit returns where an attempt may go. An attempt at the target is taken off the exposure;
-// Refund takes that back.
-func (t *Tracker) Admit(ask Attempt, now time.Time) Admission {
+// Admit returns where an attempt may go. An attempt at the target is counted against the bounds
+// of the exposure; Refund takes that back.
+func (t *Tracker) Admit(attempt Attempt, now time.Time) Admission {
 	if t == nil {
 		return Admission{}
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	admission := t.defaultAdmission(ask.Service, now)
-	tracked := t.orders[ask.Service]
+	admission := t.defaultAdmission(attempt.Service, now)
+	tracked := t.orders[attempt.Service]
 	if tracked == nil || tracked.order.Current().State > StateRunning {
 		return admission
 	}
 	elapsed := tracked.elapsed(now)
-	tracked.repeatable = tracked.repeatable || ask.Repeatable
+	tracked.repeatable = tracked.repeatable || attempt.Repeatable
 	switch stage := t.stage(tracked, now); {
 	case stage == StageWaiting:
-	case ask.Extra:
+	case attempt.Extra:
 		// The old version covers for late and failed answers of the new one.
 		admission.rule = ruleOthers
 	case stage == StageWhole:
 		admission.counted = true
 		tracked.exposure.Add()
-	case !ask.Repeatable && !tracked.allowsUnrepeatable(stage):
+	case !attempt.Repeatable && !tracked.allowsUnrepeatable(stage):
 		// A request that cannot be repeated is lost if the version fails it.
 	case tracked.exposure.Take(stage, tracked.plan, elapsed):
 		admission.rule, admission.counted, admission.trial = ruleTarget, true, true
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -34,7 +34,7 @@
 )
 
 // errResumed means that the process was frozen and cannot tell how old a report is.
-var errResumed = errors.New("the node has just resumed and cannot tell the age of reports")
+var errResumed = errors.New("the node was not running a moment ago")
 
 // Observer is notified of what happens to orders. Its methods do not block.
 type Observer interface {
--- a/internal/rollout/agent_bench_test.go
+++ b/internal/rollout/agent_bench_test.go
@@ -64,7 +64,7 @@
 }
 
 // busiestDecider returns the node that decides the most orders, and their services.
-func busiestDecider(live []members.Member, orders int) (own members.Member, services []string) {
+func busiestDecider(live []members.Member, orders int) (self members.Member, services []string) {
 	election := newElection(live[0])
 	election.set(live)
 	decided := make(map[members.Member][]string)
@@ -73,10 +73,10 @@
 		member := election.decider(service, time.Now())
 		decided[member] = append(decided[member], service)
 		if len(decided[member]) > len(services) {
-			own, services = member, decided[member]
+			self, services = member, decided[member]
 		}
 	}
-	return own, services
+	return self, services
 }
 
 func benchmarkMembers(nodes int) []members.Member {
@@ -89,10 +89,10 @@
 }
 
 // benchmarkAgent returns the agent of a node that knows the orders.
-func benchmarkAgent(own members.Member, live []members.Member, orders int, transport Transport) *Agent {
+func benchmarkAgent(self members.Member, live []members.Member, orders int, transport Transport) *Agent {
 	tracker := NewTracker(deciderBounds)
 	agent := NewAgent(Options{
-		Self: own, Bounds: deciderBounds, Tracker: tracker, StatusStore: conflictStore{}, Transport: transport,
+		Self: self, Bounds: deciderBounds, Tracker: tracker, StatusStore: conflictStore{}, Transport: transport,
 		Fleet: func(Order) Fleet { return Fleet{New: benchmarkServers, Others: 3} }, Observer: nopObserver{},
 	})
 	for order := range orders {
@@ -136,9 +136,9 @@
 func BenchmarkDecider(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, nodes, orders int) {
 		live := benchmarkMembers(nodes)
-		own, services := busiestDecider(live, orders)
+		self, services := busiestDecider(live, orders)
 		before := heapKilobytes()
-		agent := benchmarkAgent(own, live, orders, new(countingTransport))
+		agent := benchmarkAgent(self, live, orders, new(countingTransport))
 		bytes, reports := 0, 0
 		sequence := uint64(0)
 		var second [][][]byte
--- a/internal/rollout/agent_test.go
+++ b/internal/rollout/agent_test.go
@@ -492,12 +492,12 @@
 func TestReportersSkipNodeThatCannotWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		own, other := members.Member{Name: "own", Address: "own"}, members.Member{Name: "other", Address: "other"}
+		self, other := members.Member{Name: "own", Address: "own"}, members.Member{Name: "other", Address: "other"}
 		tracker := NewTracker(deciderBounds)
-		agent := NewAgent(Options{Self: own, Tracker: tracker, StatusStore: hangingStore{}, Observer: nopObserver{}})
-		agent.SetMembers([]members.Member{own, other})
+		agent := NewAgent(Options{Self: self, Tracker: tracker, StatusStore: hangingStore{}, Observer: nopObserver{}})
+		agent.SetMembers([]members.Member{self, other})
 		order := orderAt(StateRunning, StageCanary, 0)
-		for number := 0; agent.election.decider(order.Service, time.Now()) != own; number++ {
+		for number := 0; agent.election.decider(order.Service, time.Now()) != self; number++ {
 			order.Service = fmt.Sprint("service-", number)
 		}
 		service := order.Service
@@ -509,9 +509,9 @@
 		is.NoErr(err)
 		is.Equal(replies, []OrderReply{{Service: service, Target: "v2", Created: 10, CannotWrite: true}})
 		reporter := NewAgent(Options{Self: other, Tracker: tracker})
-		reporter.SetMembers([]members.Member{own, other})
-		is.Equal(reporter.election.decider(service, time.Now()), own)
-		is.Equal(reporter.applyReplies(own, replies), []Key{order.Key()})
+		reporter.SetMembers([]members.Member{self, other})
+		is.Equal(reporter.election.decider(service, time.Now()), self)
+		is.Equal(reporter.applyReplies(self, replies), []Key{order.Key()})
 		is.Equal(reporter.election.decider(service, time.Now()), other)
 	})
 }
@@ -561,9 +561,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(deciderBounds)
-		own := members.Member{Name: "own", Address: "own"}
+		self := members.Member{Name: "own", Address: "own"}
 		agent := NewAgent(Options{
-			Self: own, Bounds: deciderBounds, Tracker: tracker, StatusStore: conflictStore{},
+			Self: self, Bounds: deciderBounds, Tracker: tracker, StatusStore: conflictStore{},
 			Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 		})
 		order := orderAt(StateRunning, StageCanary, 0)
@@ -629,14 +629,14 @@
 func TestOrdersOfSameDeciderShareReport(t *testing.T) {
 	is := is.New(t)
 	const count = 20
-	own, other := members.Member{Name: "own", Address: "own"}, members.Member{Name: "other", Address: "other"}
+	self, other := members.Member{Name: "own", Address: "own"}, members.Member{Name: "other", Address: "other"}
 	tracker := NewTracker(deciderBounds)
 	transport := recordingTransport{sent: make(chan Report, count)}
 	agent := NewAgent(Options{
-		Self: own, Bounds: deciderBounds, Tracker: tracker, Transport: transport, StatusStore: conflictStore{},
+		Self: self, Bounds: deciderBounds, Tracker: tracker, Transport: transport, StatusStore: conflictStore{},
 		Fleet: func(Order) Fleet { return Fleet{} }, Observer: nopObserver{},
 	})
-	agent.SetMembers([]members.Member{own, other})
+	agent.SetMembers([]members.Member{self, other})
 	now, elsewhere := time.Now(), 0
 	for number := range count {
 		order := orderAt(StateRunning, StageCanary, 0)
@@ -701,19 +701,19 @@
 	for service := range 20 {
 		name := fmt.Sprint("service-", service)
 		var first, second string
-		for _, own := range live {
-			election := newElection(own)
+		for _, self := range live {
+			election := newElection(self)
 			election.set(live)
 			chosen := election.decider(name, now).Name
 			is.True(first == "" || chosen == first)
 			first = chosen
-			if own.Name == first {
+			if self.Name == first {
 				continue
 			}
 			election.failed(first, now)
 			next := election.decider(name, now).Name
 			is.True(next != first)
-			if next != own.Name {
+			if next != self.Name {
 				is.True(second == "" || next == second)
 				second = next
 			}
@@ -728,17 +728,17 @@
 func TestNodesWithoutAddressDoNotDecide(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	own := members.Member{Name: "own"}
-	election := newElection(own)
-	is.Equal(election.decider("s", now), own)
+	self := members.Member{Name: "own"}
+	election := newElection(self)
+	is.Equal(election.decider("s", now), self)
 	other := members.Member{Name: "other", Address: "a"}
-	election.set([]members.Member{own, other, {Name: "third"}})
+	election.set([]members.Member{self, other, {Name: "third"}})
 	is.Equal(election.live, 3)
 	for service := range 10 {
 		is.Equal(election.decider(fmt.Sprint(service), now), other)
 	}
 	election.failed("other", now)
-	is.Equal(election.decider("s", now), own)
+	is.Equal(election.decider("s", now), self)
 }
 
 // If several nodes cannot write, it is the store that is unavailable: the first node keeps
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -153,7 +153,7 @@
 func TestDeciderCompletesOnceOldServersAreIdle(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		oldUnderWay int
+		oldInFlight int
 		after       time.Duration
 	}{
 		{"idle", 0, minWholeTime},
@@ -162,7 +162,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			var decider Decider
-			pool := fakePool{finding: Good, reporters: 3, adopted: 3, servers: 2, oldInFlight: test.oldUnderWay}
+			pool := fakePool{finding: Good, reporters: 3, adopted: 3, servers: 2, oldInFlight: test.oldInFlight}
 			at := func(passed time.Duration) Action {
 				view := View{Order: orderAt(StateRunning, StageWhole, 14*time.Second), Bounds: deciderBounds, Elapsed: 14*time.Second + passed, Live: 3}
 				return decider.decide(view, pool, epoch.Add(passed))
--- a/internal/rollout/election.go
+++ b/internal/rollout/election.go
@@ -26,7 +26,7 @@
 // election ranks the live nodes for each service in the same way on all nodes (rendezvous
 // hashing): the first one that replies decides.
 type election struct {
-	own     members.Member
+	self    members.Member
 	members []members.Member
 	// live is the number of live nodes, including those without address.
 	live int
@@ -37,9 +37,9 @@
 	avoided, skipped map[string]time.Time
 }
 
-func newElection(own members.Member) election {
+func newElection(self members.Member) election {
 	e := election{
-		own:     own,
+		self:    self,
 		avoided: make(map[string]time.Time),
 		skipped: make(map[string]time.Time),
 	}
@@ -47,13 +47,13 @@
 	return e
 }
 
-// set replaces the live members, which may include the own node.
+// set replaces the live members, which may include this node.
 func (e *election) set(live []members.Member) {
-	e.members, e.live = []members.Member{e.own}, 1
-	listed := map[string]bool{e.own.Name: true}
+	e.members, e.live = []members.Member{e.self}, 1
+	listed := map[string]bool{e.self.Name: true}
 	for _, member := range live {
 		listed[member.Name] = true
-		if member.Name == e.own.Name {
+		if member.Name == e.self.Name {
 			continue
 		}
 		e.live++
@@ -70,7 +70,7 @@
 // decider returns the node that decides for a service.
 func (e *election) decider(service string, now time.Time) members.Member {
 	ranked := e.rank(service)
-	fallback, skipped := e.own, 0
+	fallback, skipped := e.self, 0
 	for _, member := range ranked {
 		switch {
 		case now.Before(e.avoided[member.Name]):
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -28,7 +28,7 @@
 }
 
 // Fractions of the bounds that may be used up to the end of a stage. The rest covers rounding
-// by the processes, and differences between their counts and those of the users. Processes that
+// by the processes, and differences between their counts and those of the clients. Processes that
 // underestimate their number by a fifth use a quarter too much of the slack. Rounding needs
 // slack: bounds without any may be exceeded by an attempt or two.
 const (
--- a/internal/rollout/pool_test.go
+++ b/internal/rollout/pool_test.go
@@ -35,7 +35,7 @@
 		{"restarted", []sent{{"n", 1, 7, second}, {"n", 2, 1, first}}, Counts{Answers: 25, Failed: 1, Timed: 24}, Counts{Answers: 6, Failed: 1, Timed: 5}},
 		{"two processes of a node", []sent{{"n", 1, 1, first}, {"n", 2, 1, first}, {"n", 1, 2, second}, {"n", 2, 2, first}}, Counts{Answers: 25, Failed: 1, Timed: 24}, Counts{Answers: 6, Failed: 1, Timed: 5}},
 		{"two nodes", []sent{{"n", 1, 1, first}, {"m", 1, 1, first}}, Counts{Answers: 20, Timed: 20}, Counts{Answers: 4, Timed: 4}},
-		{"counts anew", []sent{{"n", 1, 1, second}, {"n", 1, 2, first}}, Counts{Answers: 25, Failed: 1, Timed: 24}, Counts{Answers: 6, Failed: 1, Timed: 5}},
+		{"counts restarted", []sent{{"n", 1, 1, second}, {"n", 1, 2, first}}, Counts{Answers: 25, Failed: 1, Timed: 24}, Counts{Answers: 6, Failed: 1, Timed: 5}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/rollout/restored.go
+++ b/internal/rollout/restored.go
@@ -6,7 +6,7 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// StoreRestored records that the store was restored from a copy: permissions of earlier eras are
+// StoreRestored records that the store was restored from a backup: permissions of earlier eras are
 // void.
 func (t *Tracker) StoreRestored(era catalog.Era, now time.Time) {
 	if t == nil {
@@ -22,8 +22,8 @@
 	t.syncedAt = time.Time{}
 }
 
-// settling reports whether operators may still have to write orders again that listed servers
-// belong to.
+// settling reports whether operators may still have to write orders again to which listed
+// servers belong.
 func (t *Tracker) settling(now time.Time) bool { return now.Before(t.settledAt) && t.atRestore > 0 }
 
 // knownRevision returns the revision up to which all orders are known: a server that registered
@@ -52,7 +52,7 @@
 	}
 }
 
-// continues reports whether the order continues one of an earlier era, as the copy holds it or
+// continues reports whether the order continues one of an earlier era, as the backup has it or
 // as its operators have written it again.
 func (o Order) continues(known Order) bool {
 	return known.Revision.EarlierEraThan(o.Revision) && o.Service == known.Service && o.Target == known.Target
@@ -75,7 +75,7 @@
 	}
 }
 
-// wasRemoved reports whether a copy has brought back an order that was removed.
+// wasRemoved reports whether a backup has brought back an order that was removed.
 func (t *Tracker) wasRemoved(order Order) bool {
 	ended, found := t.lastRemoved[order.Service]
 	return found && ended.Target == order.Target && ended.Created.EarlierEraThan(order.Created) && ended.Created.Number() == order.Created.Number()
--- a/internal/rollout/restored_test.go
+++ b/internal/rollout/restored_test.go
@@ -66,7 +66,7 @@
 		replacement := Candidate{ID: "i-later", Version: "v1", Created: catalog.NewRevision(1, 40)}
 		allowed := tracker.DefaultAdmission("s", now).Allows(replacement)
 		tracker.ReplaceRestored([]Order{at(2, 20, StageLoad)}, now)
-		tracker.Put(at(2, 21, StageLoad), now) // another node continues from the copy
+		tracker.Put(at(2, 21, StageLoad), now) // another node continues from the backup
 		tracker.Reached(catalog.NewRevision(2, 21), now)
 		is.Equal(exposesStarted(tracker, now), state == StateCompleted)
 		is.Equal(tracker.DefaultAdmission("s", now).Allows(replacement), allowed)
@@ -83,7 +83,7 @@
 	}
 }
 
-// Guards against requests to the servers of a withdrawn order that the copy has brought back.
+// Guards against requests to the servers of a withdrawn order that the backup has brought back.
 func TestRestoredOrderStaysWithdrawn(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -101,9 +101,9 @@
 	is.Equal(len(orders), 1) // a new order
 }
 
-// An order that the copy lacks continues when its operators write it again. Its servers are
+// An order that the backup lacks continues when its operators write it again. Its servers are
 // older than that, but still belong to it. The order ends if it is not written again.
-func TestOrderMissingInCopy(t *testing.T) {
+func TestOrderMissingInBackup(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	tracker, _ := restoredTracker(now, StateRunning)
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -50,7 +50,7 @@
 	// versions between troubleBegin and troubleEnd.
 	server fault
 	both   fault
-	// paused is the share of all answers that take two usual times longer.
+	// paused is the share of all answers that take twice the usual time longer.
 	paused float64
 }
 
--- a/internal/rollout/tracked.go
+++ b/internal/rollout/tracked.go
@@ -49,7 +49,7 @@
 
 // adopt adopts a state of the order, which has run for the given time. An order that has ended
 // stays ended, and its decision has to be written again where the store has lost it: the store
-// may have been restored from a copy, or a write that was in flight then may have taken effect
+// may have been restored from a backup, or a write that was in flight then may have taken effect
 // since.
 func (o *trackedOrder) adopt(order Order, ranFor time.Duration, now time.Time) {
 	o.decisionLost = o.order.Ended() && !order.Ended()
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -126,14 +126,14 @@
 	since := t.dropWithdrawn(order)
 	// A process that is younger than the order may have replaced one that has used its part of
 	// the slack.
-	older := t.firstSynced > 0 && order.Created > t.firstSynced
+	olderThanOrder := t.firstSynced > 0 && order.Created > t.firstSynced
 	added := &trackedOrder{
 		order:       order,
 		since:       since,
 		plan:        NewPlan(order.Duration),
 		baseElapsed: order.Current().Elapsed,
 		baseTime:    now,
-		exposure:    Exposure{limits: NewLimits(t.bounds, t.position, t.processes, older)},
+		exposure:    Exposure{limits: NewLimits(t.bounds, t.position, t.processes, olderThanOrder)},
 		routes:      make(map[string]*RouteCounts),
 	}
 	added.recordCompletion(order)
