--- a/cmd/driftctl/rollouts_test.go
+++ b/cmd/driftctl/rollouts_test.go
@@ -64,7 +64,7 @@
 		status int
 		says   string
 	}{
-		{"completed", []string{stateServer(t, testRollout(rollout.StateCompleted, rollout.StageWhole, 3))}, 0, ""},
+		{"completed", []string{stateServer(t, testRollout(rollout.StateCompleted, rollout.StageFull, 3))}, 0, ""},
 		{"rolled back", []string{stateServer(t, testRollout(rollout.StateRolledBack, rollout.StageLoad, 3))}, exitInvalid, "search: v2 was rolled back"},
 		{"none", []string{stateServer(t, nil)}, exitNotFound, "no node knows a roll-out"},
 		{"one node is gone", []string{gone, stateServer(t, testRollout(rollout.StateRunning, rollout.StageLoad, 3))}, 0, gone},
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -232,7 +232,7 @@
 	case n.poolChanged <- struct{}{}:
 	default:
 	}
-	n.directory.SetShares(budget, shares.pooled, endpoints.NodeCounts{
+	n.directory.SetNodeLimits(budget, shares.pooled, endpoints.NodeCounts{
 		Local:  count.Region + spareNodes/2,
 		Remote: count.All - count.Region + spareNodes/2,
 		Known:  count.Settled,
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -17,17 +17,17 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// busyMeter measures the load of the node.
-type busyMeter interface {
-	// BusyFor returns for how long the node has been overloaded; zero if it is not.
-	BusyFor() time.Duration
+// loadMeter measures the load of the node.
+type loadMeter interface {
+	// OverloadedFor returns for how long the node has been overloaded; zero if it is not.
+	OverloadedFor() time.Duration
 }
 
 // state is the node's view of the configuration, the servers, the evacuations and the rollouts.
 type state struct {
 	directory *endpoints.Directory
 	client    *upstream.Client
-	loadMeter busyMeter
+	loadMeter loadMeter
 	eras      *catalog.EraTracker
 	// tracker is nil if the deployment has no rollouts.
 	tracker *rollout.Tracker
@@ -88,7 +88,7 @@
 		return "the servers are not known yet"
 	case !s.tracker.HasSynced():
 		return "the orders of versions are not known yet"
-	case s.loadMeter.BusyFor() > 0:
+	case s.loadMeter.OverloadedFor() > 0:
 		return "the node is overloaded"
 	case s.directory.Isolated(time.Now()):
 		return "no other zone is in reach"
@@ -102,7 +102,7 @@
 const shedDelay = 2500 * time.Millisecond
 
 // shedsConnections reports whether callers should reconnect, to another node.
-func (s *state) shedsConnections() bool { return s.loadMeter.BusyFor() > shedDelay }
+func (s *state) shedsConnections() bool { return s.loadMeter.OverloadedFor() > shedDelay }
 
 // version returns the version of the configuration in force; 0 for none.
 func (s *state) version() uint64 {
--- a/internal/edge/state_test.go
+++ b/internal/edge/state_test.go
@@ -17,7 +17,7 @@
 // fakeMeter is a meter that reports a fixed duration of overload.
 type fakeMeter time.Duration
 
-func (b fakeMeter) BusyFor() time.Duration { return time.Duration(b) }
+func (m fakeMeter) OverloadedFor() time.Duration { return time.Duration(m) }
 
 func TestOverloadedNodeIsNotReady(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/endpoints/choose.go
+++ b/internal/endpoints/choose.go
@@ -86,7 +86,7 @@
 	defer d.mutex.Unlock()
 	admission := d.admit(criteria, now)
 	best, availability := d.best(criteria, admission, now)
-	if availability != Chosen && admission.Trial() {
+	if availability != Chosen && admission.IsTrial() {
 		admission = d.versions.Decline(admission)
 		best, availability = d.best(criteria, admission, now)
 	}
@@ -263,7 +263,7 @@
 	// The part of the time that the reported pace explains is neither processing time nor
 	// learned slowness.
 	elapsed = time.Duration(float64(elapsed) / endpoint.pace.current(now))
-	if result == ResultAnswered && !choice.Admission.Trial() {
+	if result == ResultAnswered && !choice.Admission.IsTrial() {
 		estimate.observe(elapsed, endpoint.learnedSlowness(now) >= slowRatio)
 	}
 	ratio := float64(elapsed) / float64(max(estimate.Mean(), time.Millisecond))
--- a/internal/endpoints/cold_test.go
+++ b/internal/endpoints/cold_test.go
@@ -34,7 +34,7 @@
 	topology.Node = name
 	directory := New(topology, nil)
 	directory.Configure(coldService(t, rate), epoch)
-	directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: count, Known: true}, epoch)
+	directory.SetNodeLimits(retrybudget.Limits{}, false, NodeCounts{Local: count, Known: true}, epoch)
 	for _, server := range servers {
 		directory.Put(server, epoch)
 	}
@@ -112,7 +112,7 @@
 func TestNodeWithoutCountAvoidsColdServers(t *testing.T) {
 	is := is.New(t)
 	directory := newNode(t, "a", 1, 12, coldServer("cold"))
-	directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: 1}, epoch)
+	directory.SetNodeLimits(retrybudget.Limits{}, false, NodeCounts{Local: 1}, epoch)
 	_, availability := directory.Choose(newCriteria(NewEstimate(20*time.Millisecond)), epoch)
 	is.Equal(availability, Cold)
 }
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -23,7 +23,7 @@
 type Directory struct {
 	topology Topology
 	// connections may be nil; then no request is assumed to need a new connection.
-	connections Connections
+	connections ConnectionPool
 	// versions restricts the versions of a service to which requests may be sent; nil for
 	// no restriction.
 	versions *rollout.Tracker
@@ -80,7 +80,7 @@
 }
 
 // New returns an empty directory without retry budget. connections may be nil.
-func New(topology Topology, connections Connections) *Directory {
+func New(topology Topology, connections ConnectionPool) *Directory {
 	return &Directory{
 		topology:    topology,
 		connections: connections,
@@ -255,9 +255,9 @@
 	}
 }
 
-// SetShares sets the limits of the retry budget of each service, whether a pool grants extra
+// SetNodeLimits sets the limits of the retry budget of each service, whether a pool grants extra
 // sends beyond it, and the numbers of nodes that share the connections of a server.
-func (d *Directory) SetShares(limits retrybudget.Limits, pooled bool, nodes NodeCounts, now time.Time) {
+func (d *Directory) SetNodeLimits(limits retrybudget.Limits, pooled bool, nodes NodeCounts, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.budgetLimits, d.pooled = limits, pooled
--- a/internal/endpoints/directory_test.go
+++ b/internal/endpoints/directory_test.go
@@ -26,7 +26,7 @@
 
 func directoryOf(servers ...Server) *Directory {
 	directory := New(testTopology(), nil)
-	directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
+	directory.SetNodeLimits(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 	for _, server := range servers {
 		directory.Put(server, epoch)
 	}
@@ -190,7 +190,7 @@
 	table, err := routing.NewTable(1, routing.Limits{}, []routing.Service{{Name: "s", MaximumConnections: 10}}, nil)
 	is.NoErr(err)
 	directory.Configure(table, epoch)
-	directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: 2, Remote: 6}, epoch)
+	directory.SetNodeLimits(retrybudget.Limits{}, false, NodeCounts{Local: 2, Remote: 6}, epoch)
 	is.Equal(directory.IdleLimit(server("only", "near-1")), 2)
 	is.Equal(directory.IdleLimit(server("beside", "near-2")), 2) // another zone of the region
 	is.Equal(directory.IdleLimit(server("other", "far-1")), 0)   // less than one each
@@ -230,7 +230,7 @@
 		only := server("only", "near-1")
 		only.Slots = test.slots
 		directory := directoryOf(only)
-		directory.SetShares(retrybudget.Limits{}, false, NodeCounts{Local: test.near, Remote: 1}, epoch)
+		directory.SetNodeLimits(retrybudget.Limits{}, false, NodeCounts{Local: test.near, Remote: 1}, epoch)
 		estimate := NewEstimate(20 * time.Millisecond)
 		for range test.want {
 			choose(t, directory, newCriteria(estimate), epoch)
@@ -270,7 +270,7 @@
 func TestRetryBudgetOfAService(t *testing.T) {
 	is := is.New(t)
 	directory := directoryOf(server("a", "near-1"))
-	directory.SetShares(retrybudget.Limits{Ratio: 0.5, Capacity: 1, Started: epoch.Add(time.Hour)}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
+	directory.SetNodeLimits(retrybudget.Limits{Ratio: 0.5, Capacity: 1, Started: epoch.Add(time.Hour)}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 	estimate := NewEstimate(20 * time.Millisecond)
 	extra := newCriteria(estimate)
 	extra.Extra = true
--- a/internal/endpoints/pace.go
+++ b/internal/endpoints/pace.go
@@ -37,7 +37,7 @@
 }
 
 // current returns the pace expected now, 1 for the usual one. A report decays, as
-// servers slow down and recover many times a second.
+// servers slow down and recover many times per second.
 func (p *pace) current(now time.Time) float64 {
 	if p.reported <= 1 {
 		return 1
--- a/internal/endpoints/share.go
+++ b/internal/endpoints/share.go
@@ -22,8 +22,8 @@
 // NoLimit is the idle limit of servers whose connections are unlimited.
 const NoLimit = -1
 
-// Connections is the pool of this node's connections to servers.
-type Connections interface {
+// ConnectionPool is the pool of this node's connections to servers.
+type ConnectionPool interface {
 	// HasIdle reports whether a request to the server needs no new connection.
 	HasIdle(incarnation string) bool
 }
--- a/internal/endpoints/share_test.go
+++ b/internal/endpoints/share_test.go
@@ -26,7 +26,7 @@
 	table, err := routing.NewTable(1, routing.Limits{}, []routing.Service{{Name: "s", MaximumConnections: connections}}, nil)
 	is.New(t).NoErr(err)
 	directory.Configure(table, epoch)
-	directory.SetShares(retrybudget.Limits{}, false, nodes, epoch)
+	directory.SetNodeLimits(retrybudget.Limits{}, false, nodes, epoch)
 	for _, server := range servers {
 		directory.Put(server, epoch)
 	}
@@ -69,7 +69,7 @@
 func TestServersWithAnIdleConnectionComeFirst(t *testing.T) {
 	is := is.New(t)
 	directory := New(testTopology(), idle{"b": true})
-	directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
+	directory.SetNodeLimits(retrybudget.Limits{Ratio: 1, Capacity: 10}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 	for _, id := range []string{"a", "b", "c"} {
 		directory.Put(server(id, "far-1"), epoch)
 	}
@@ -99,7 +99,7 @@
 	is := is.New(t)
 	estimate := NewEstimate(20 * time.Millisecond)
 	servers := []Server{server("near", "near-1"), server("far", "far-1")}
-	late := func(connections Connections) time.Duration {
+	late := func(connections ConnectionPool) time.Duration {
 		directory := New(testTopology(), connections)
 		for _, server := range servers {
 			directory.Put(server, epoch)
--- a/internal/endpoints/suspended_test.go
+++ b/internal/endpoints/suspended_test.go
@@ -43,7 +43,7 @@
 			directory := directoryOf(server("a", "near-1"))
 			suspended := time.Duration(0)
 			directory.SetSuspensionClock(func() time.Duration { return suspended })
-			directory.SetShares(test.limits, true, NodeCounts{Local: 1, Remote: 1}, epoch)
+			directory.SetNodeLimits(test.limits, true, NodeCounts{Local: 1, Remote: 1}, epoch)
 			extra := newCriteria(NewEstimate(20 * time.Millisecond))
 			extra.Extra = true
 			test.earn(directory)
--- a/internal/endpoints/versions_test.go
+++ b/internal/endpoints/versions_test.go
@@ -40,7 +40,7 @@
 		estimate:  NewEstimate(10 * time.Millisecond),
 	}
 	fixture.directory.SetRolloutTracker(fixture.tracker)
-	fixture.directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 1000}, false, NodeCounts{Local: 1, Remote: 1, Known: true}, fixture.now)
+	fixture.directory.SetNodeLimits(retrybudget.Limits{Ratio: 1, Capacity: 1000}, false, NodeCounts{Local: 1, Remote: 1, Known: true}, fixture.now)
 	for index := range 2 {
 		fixture.put(fmt.Sprintf("old-%d", index), oldVersion, oldCreated)
 	}
@@ -134,11 +134,11 @@
 		{"load", rollout.StateRunning, rollout.StageLoad, 10 * time.Second, false, 8, 22},
 		{"shift", rollout.StateRunning, rollout.StageShift, 14 * time.Second, false, 12, 26},
 		{"extra sends in the shift stage", rollout.StateRunning, rollout.StageShift, 14 * time.Second, true, 0, 0},
-		{"whole", rollout.StateRunning, rollout.StageWhole, 16 * time.Second, false, count, count},
+		{"whole", rollout.StateRunning, rollout.StageFull, 16 * time.Second, false, count, count},
 		// The old servers stay until the order is completed.
-		{"extra sends in the whole stage", rollout.StateRunning, rollout.StageWhole, 16 * time.Second, true, 0, 0},
-		{"extra sends when completed", rollout.StateCompleted, rollout.StageWhole, 17 * time.Second, true, count, count},
-		{"completed", rollout.StateCompleted, rollout.StageWhole, 17 * time.Second, false, count, count},
+		{"extra sends in the whole stage", rollout.StateRunning, rollout.StageFull, 16 * time.Second, true, 0, 0},
+		{"extra sends when completed", rollout.StateCompleted, rollout.StageFull, 17 * time.Second, true, count, count},
+		{"completed", rollout.StateCompleted, rollout.StageFull, 17 * time.Second, false, count, count},
 		{"rolled back", rollout.StateRolledBack, rollout.StageLoad, 10 * time.Second, false, 0, 0},
 	}
 	for _, test := range tests {
@@ -201,7 +201,7 @@
 
 func TestHaltedVersionGetsNothing(t *testing.T) {
 	is := is.New(t)
-	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageWhole, 0)
+	fixture := newRolloutFixture(rollout.StateRunning, rollout.StageFull, 0)
 	route := &routing.Route{Name: "route", Repeatable: true}
 	choice, _ := fixture.directory.Choose(Criteria{Service: "s", Route: route, Estimate: fixture.estimate, TimeLeft: time.Second}, fixture.now)
 	is.Equal(choice.Server.Version, newVersion)
--- a/internal/endpoints/zones_test.go
+++ b/internal/endpoints/zones_test.go
@@ -102,7 +102,7 @@
 	regions := []string{"near", "far", "elsewhere"}
 	rapid.Check(t, func(t *rapid.T) {
 		directory := New(testTopology(), nil)
-		directory.SetShares(retrybudget.Limits{Ratio: 1, Capacity: 100}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
+		directory.SetNodeLimits(retrybudget.Limits{Ratio: 1, Capacity: 100}, false, NodeCounts{Local: 1, Remote: 1}, epoch)
 		now := epoch
 		var tried []*Endpoint
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
--- a/internal/exchange/admit.go
+++ b/internal/exchange/admit.go
@@ -25,7 +25,7 @@
 		c.holdForServers(HoldGrowing, now, batch)
 		return false
 	case c.plan.Gather && len(c.shards)-len(c.unlisted()) < c.plan.LeastShards:
-		c.holdForServers(HoldUnlisted, now, batch)
+		c.holdForServers(HoldListIncomplete, now, batch)
 		return false
 	case c.wasHeld && !c.released(now, batch):
 		return false
@@ -60,7 +60,7 @@
 	if now >= c.releaseAt {
 		return true
 	}
-	batch.Hold, batch.Wake = HoldSpread, c.releaseAt
+	batch.Hold, batch.Wake = HoldJitter, c.releaseAt
 	return false
 }
 
--- a/internal/exchange/admit_test.go
+++ b/internal/exchange/admit_test.go
@@ -57,11 +57,11 @@
 	plan := gatherPlan("a", "b")
 	plan.Jitter = 0.5
 	core := New(plan, servers)
-	is.Equal(core.Start(0).Hold, HoldUnlisted)
+	is.Equal(core.Start(0).Hold, HoldListIncomplete)
 	servers.servers["b"], servers.listGrowing = 1, true
 	is.Equal(core.Tick(20*ms).Hold, HoldGrowing)
 	servers.listGrowing = false
-	is.Equal(core.Tick(40*ms).Hold, HoldSpread) // until 60 ms
+	is.Equal(core.Tick(40*ms).Hold, HoldJitter) // until 60 ms
 	batch := core.Tick(60 * ms)
 	is.Equal(batch.Hold, HoldNone)
 	is.Equal(len(batch.Sends), 2)
--- a/internal/exchange/decide.go
+++ b/internal/exchange/decide.go
@@ -13,7 +13,7 @@
 	total := len(c.shards)
 	switch {
 	case c.stopped() && c.inFlight() == 0:
-		return c.fail(CauseServersEnded)
+		return c.fail(CauseServersCrashed)
 	case answered+lost == total && answered >= c.plan.LeastShards:
 		return c.answer(CauseComplete)
 	case total-lost < c.plan.LeastShards:
--- a/internal/exchange/guard_test.go
+++ b/internal/exchange/guard_test.go
@@ -30,7 +30,7 @@
 	is.Equal(len(batch.Sends), 1)
 	outcome := core.Reply(batch.Sends[0].ID, lost, 20*ms).Outcome
 	is.Equal(outcome.Status, StatusFailed)
-	is.Equal(outcome.Cause, CauseServersEnded)
+	is.Equal(outcome.Cause, CauseServersCrashed)
 	is.Equal(core.Sends(), 4+2+1)
 }
 
@@ -68,7 +68,7 @@
 	failed.Start(0)
 	outcome := failed.Reply(AttemptID{0, 0}, lost, ms).Outcome
 	is.Equal(outcome.Status, StatusFailed)
-	is.Equal(outcome.Cause, CauseServersEnded)
+	is.Equal(outcome.Cause, CauseServersCrashed)
 	is.Equal(failed.Sends(), 1)
 }
 
--- a/internal/exchange/types.go
+++ b/internal/exchange/types.go
@@ -129,12 +129,12 @@
 	HoldNone Hold = iota
 	// HoldGrowing means that the list of its shards' servers is short and growing.
 	HoldGrowing
-	// HoldUnlisted means that too few shards have a server in a list that may be
+	// HoldListIncomplete means that too few shards have a server in a list that may be
 	// incomplete.
-	HoldUnlisted
-	// HoldSpread is the jitter after a hold, for requests that were held for the same
+	HoldListIncomplete
+	// HoldJitter is the jitter after a hold, for requests that were held for the same
 	// servers.
-	HoldSpread
+	HoldJitter
 	// HoldYield gives requests that can still meet their target precedence over late
 	// ones on a node that has just started.
 	HoldYield
@@ -197,9 +197,9 @@
 	// CauseQuarantined means that the request is known to crash servers, or is
 	// suspected of it and has to wait for a trial.
 	CauseQuarantined Cause = "quarantined"
-	// CauseServersEnded means that no more attempts are made because the request may have
+	// CauseServersCrashed means that no more attempts are made because the request may have
 	// crashed the servers that ran it.
-	CauseServersEnded Cause = "servers_ended"
+	CauseServersCrashed Cause = "servers_ended"
 	// CauseNodeOverloaded means that this node lacks processor time.
 	CauseNodeOverloaded Cause = "node_overloaded"
 )
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -88,8 +88,8 @@
 	klog.InfoS("overload", "busy", overloaded, "delay_ms", m.Delay().Milliseconds())
 }
 
-// BusyFor returns how long the node has been overloaded; zero if it is not.
-func (m *Meter) BusyFor() time.Duration {
+// OverloadedFor returns how long the node has been overloaded; zero if it is not.
+func (m *Meter) OverloadedFor() time.Duration {
 	if start := m.overloadedSince.Load(); start > 0 {
 		return m.now() - time.Duration(start)
 	}
--- a/internal/peers/recovery_test.go
+++ b/internal/peers/recovery_test.go
@@ -194,7 +194,7 @@
 func (k *recoveryKind) HasFollowers() bool { return k.publisher.HasFollowers() }
 
 func (k *recoveryKind) Source() catalog.Watcher[catalog.Revision] {
-	member, found := k.node.selector.Next(k.lastFollowed(), time.Now())
+	member, found := k.node.selector.NextSource(k.lastFollowed(), time.Now())
 	if !found {
 		k.setFollowed("")
 		return nil
--- a/internal/peers/relay.go
+++ b/internal/peers/relay.go
@@ -108,7 +108,7 @@
 
 // Source implements catalog.Relay.
 func (r *Relay[T]) Source() catalog.Watcher[T] {
-	member, found := r.selector.Next(r.lastFollowed(), time.Now())
+	member, found := r.selector.NextSource(r.lastFollowed(), time.Now())
 	if !found {
 		r.setFollowed("")
 		return nil
--- a/internal/peers/restored_test.go
+++ b/internal/peers/restored_test.go
@@ -316,7 +316,7 @@
 func (k *mirror) IsReader() bool     { return !k.node.selector.Follows(time.Now()) }
 
 func (k *mirror) Source() catalog.Watcher[storeObject] {
-	member, found := k.node.selector.Next(k.lastFollowed(), time.Now())
+	member, found := k.node.selector.NextSource(k.lastFollowed(), time.Now())
 	if !found {
 		k.setFollowed("")
 		return nil
--- a/internal/peers/selector.go
+++ b/internal/peers/selector.go
@@ -92,9 +92,9 @@
 	return s.relay(now)
 }
 
-// Next returns the node to follow next: while the store fails, the one followed last if it is not avoided;
+// NextSource returns the node to follow next: while the store fails, the one followed last if it is not avoided;
 // otherwise the one returned by Pick.
-func (s *Selector) Next(followed string, now time.Time) (members.Member, bool) {
+func (s *Selector) NextSource(followed string, now time.Time) (members.Member, bool) {
 	if member, found := s.Resume(followed, now); found {
 		return member, true
 	}
--- a/internal/quarantine/loss_tracker.go
+++ b/internal/quarantine/loss_tracker.go
@@ -124,9 +124,9 @@
 	return losses
 }
 
-// TakeUnconfirmed returns one loss of each server that has to be checked, and drops losses that
+// TakeUnchecked returns one loss of each server that has to be checked, and drops losses that
 // are too old. A server is checked once for its latest loss.
-func (l *lossTracker) TakeUnconfirmed(now time.Time) []Loss {
+func (l *lossTracker) TakeUnchecked(now time.Time) []Loss {
 	var unconfirmed []Loss
 	for server, s := range l.servers {
 		l.drop(s, func(loss Loss) bool { return now.Sub(loss.At) > lossRetention })
--- a/internal/quarantine/loss_tracker_test.go
+++ b/internal/quarantine/loss_tracker_test.go
@@ -55,11 +55,11 @@
 	is := is.New(t)
 	var tracker lossTracker
 	tracker.Add(loss("a", 1, 0))
-	is.Equal(len(tracker.TakeUnconfirmed(start.Add(checkDelay-1))), 0)
-	is.Equal(tracker.TakeUnconfirmed(start.Add(checkDelay)), []Loss{loss("a", 1, 0)})
-	is.Equal(len(tracker.TakeUnconfirmed(start.Add(time.Second))), 0)
+	is.Equal(len(tracker.TakeUnchecked(start.Add(checkDelay-1))), 0)
+	is.Equal(tracker.TakeUnchecked(start.Add(checkDelay)), []Loss{loss("a", 1, 0)})
+	is.Equal(len(tracker.TakeUnchecked(start.Add(time.Second))), 0)
 	tracker.Add(loss("a", 2, time.Second))
-	is.Equal(tracker.TakeUnconfirmed(start.Add(time.Second+checkDelay)), []Loss{loss("a", 2, time.Second)})
+	is.Equal(tracker.TakeUnchecked(start.Add(time.Second+checkDelay)), []Loss{loss("a", 2, time.Second)})
 }
 
 func TestLossTrackerIsBoundedAndExpires(t *testing.T) {
@@ -72,7 +72,7 @@
 	}
 	is.Equal(len(tracker.servers), maxServersWithLosses)
 	is.Equal(len(tracker.ServerCrashed("0", start)), maxLossesPerServer)
-	tracker.TakeUnconfirmed(start.Add(lossRetention + 1))
+	tracker.TakeUnchecked(start.Add(lossRetention + 1))
 	is.True(tracker.Empty())
 	is.Equal(len(tracker.lossesByDigest), 0)
 }
--- a/internal/quarantine/manager.go
+++ b/internal/quarantine/manager.go
@@ -236,7 +236,7 @@
 // checkServers checks the servers that have not answered anything since an attempt was lost there.
 func (m *Manager) checkServers(now time.Time) {
 	var unconfirmed []Loss
-	m.locked(func(boottime.Instant) { unconfirmed = m.losses.TakeUnconfirmed(now) })
+	m.locked(func(boottime.Instant) { unconfirmed = m.losses.TakeUnchecked(now) })
 	for _, loss := range unconfirmed {
 		select {
 		case m.checks <- struct{}{}:
--- a/internal/rollout/admission.go
+++ b/internal/rollout/admission.go
@@ -104,8 +104,8 @@
 // IsTarget reports whether the candidate belongs to the order.
 func (a Admission) IsTarget(candidate Candidate) bool { return a.isTarget(candidate) }
 
-// Trial reports whether the attempt is for the order's target and can also go elsewhere.
-func (a Admission) Trial() bool { return a.trial }
+// IsTrial reports whether the attempt is for the order's target and can also go elsewhere.
+func (a Admission) IsTrial() bool { return a.trial }
 
 // AllowsFallback reports whether the attempt may go to any server when no allowed one can be
 // reached: old servers stop when an order is completed, which a node may not know yet.
@@ -146,7 +146,7 @@
 		admission.rule = ruleOthers
 	default:
 		admission.rule, admission.fallback = ruleOthers, !tracked.halted
-		if t.stage(tracked, now) == StageWhole {
+		if t.stage(tracked, now) == StageFull {
 			admission.rule = ruleTarget
 		}
 	}
@@ -173,7 +173,7 @@
 	case attempt.Extra:
 		// The old version covers for late and failed answers of the new one.
 		admission.rule = ruleOthers
-	case stage == StageWhole:
+	case stage == StageFull:
 		admission.counted = true
 		tracked.exposure.Add()
 	case !attempt.Repeatable && !tracked.allowsUnrepeatable(stage):
--- a/internal/rollout/admission_test.go
+++ b/internal/rollout/admission_test.go
@@ -71,9 +71,9 @@
 	ended := runningOrder(30, StageLoad)
 	ended.Status.State = StateRolledBack
 	tracker.Put(ended, now)
-	tracker.Put(runningOrder(25, StageWhole), now) // older
+	tracker.Put(runningOrder(25, StageFull), now) // older
 	is.True(!exposes(tracker, now))
-	tracker.Replace([]Order{runningOrder(25, StageWhole)}, now) // an old list
+	tracker.Replace([]Order{runningOrder(25, StageFull)}, now) // an old list
 	is.True(!exposes(tracker, now))
 }
 
@@ -89,7 +89,7 @@
 
 func TestStatusOfEarlierOrderIsIgnored(t *testing.T) {
 	is := is.New(t)
-	order := runningOrder(20, StageWhole)
+	order := runningOrder(20, StageFull)
 	order.Status.State = StateCompleted
 	order.Target = "v3"
 	is.Equal(order.Current(), Status{Target: "v3"})
--- a/internal/rollout/agent.go
+++ b/internal/rollout/agent.go
@@ -16,7 +16,7 @@
 	tickInterval = 250 * time.Millisecond
 	// activeReportInterval is the least time between reports while answers of a target arrive.
 	// It grows by reportIntervalPerNode with each live node, up to maxActiveReportInterval,
-	// because the deciding node has to read all reports. idleReportInterval is the time between
+	// because the decider has to read all reports. idleReportInterval is the time between
 	// reports that only tell which status is in effect.
 	activeReportInterval    = 200 * time.Millisecond
 	reportIntervalPerNode   = time.Millisecond
@@ -61,7 +61,7 @@
 }
 
 // Agent carries out orders together with the agents of the other nodes: it reports to the
-// deciding nodes, decides where this node is the deciding one, and writes the statuses. It does
+// deciders, decides where this node is the decider, and writes the statuses. It does
 // nothing while no order is being carried out. It is safe for concurrent use.
 type Agent struct {
 	Options
--- a/internal/rollout/agent_reports.go
+++ b/internal/rollout/agent_reports.go
@@ -9,7 +9,7 @@
 	"github.com/driftstage/driftstage/internal/members"
 )
 
-// report sends a report to the deciding node of the orders, if one is due.
+// report sends a report to the decider of the orders, if one is due.
 func (a *Agent) report(ctx context.Context, member members.Member, orders []OrderReport, unreported bool, now time.Time) {
 	to := a.recipients[member.Name]
 	if to == nil {
@@ -73,7 +73,7 @@
 	return keys
 }
 
-// logDecider logs a change of the deciding node.
+// logDecider logs a change of the decider.
 func (a *Agent) logDecider(run *orderRun, service, member string) {
 	if run.reportedTo != member {
 		klog.InfoS("rollout decider followed", "service", service, "member", member, "before", run.reportedTo)
--- a/internal/rollout/agent_rewrite.go
+++ b/internal/rollout/agent_rewrite.go
@@ -10,7 +10,7 @@
 )
 
 // rewriteDelay, and a random part of rewriteJitter, is how long the other nodes leave a
-// decision that a restored store has lost to the deciding node, which may have started since
+// decision that a restored store has lost to the decider, which may have started since
 // and not know of it.
 const (
 	rewriteDelay  = 2 * time.Second
--- a/internal/rollout/agent_test.go
+++ b/internal/rollout/agent_test.go
@@ -136,11 +136,11 @@
 
 // serve gives all nodes answers for the given time: 20 per second each, half from the old
 // version and half from the new one, which fail if bad is set; all from the new version in
-// StageWhole.
+// StageFull.
 func (c *agentCluster) serve(span time.Duration, bad bool) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		ofOld, ofNew := 2, 1
-		if c.status().Stage == StageWhole {
+		if c.status().Stage == StageFull {
 			ofOld, ofNew = 0, 2
 		}
 		for _, node := range c.nodes {
@@ -293,10 +293,10 @@
 }
 
 // A version that turns bad once it has all the traffic.
-func TestVersionThatTurnsBadInStageWholeIsRolledBack(t *testing.T) {
+func TestVersionThatTurnsBadInStageFullIsRolledBack(t *testing.T) {
 	runInCluster(t, func(c *agentCluster) {
 		c.placeOrder()
-		c.serveUntil(StageWhole)
+		c.serveUntil(StageFull)
 		c.serve(2*time.Second, true)
 		c.is.Equal(c.status().State, StateRolledBack)
 	})
@@ -377,15 +377,15 @@
 func TestLateWriteDoesNotUndoRollback(t *testing.T) {
 	runInCluster(t, func(c *agentCluster) {
 		c.placeOrder()
-		c.serveUntil(StageWhole)
+		c.serveUntil(StageFull)
 		decider := c.decider()
 		known, found := decider.tracker.Progress(Key{Service: "s", Target: "v2", Created: 10}, time.Now())
 		c.is.True(found)
 		other := c.nodes[0]
-		rolledBack := Status{State: StateRolledBack, Target: "v2", Stage: StageWhole, Elapsed: known.Elapsed}
+		rolledBack := Status{State: StateRolledBack, Target: "v2", Stage: StageFull, Elapsed: known.Elapsed}
 		_, err := other.WriteStatus(c.ctx, known.Order, rolledBack)
 		c.is.NoErr(err)
-		order, err := decider.WriteStatus(c.ctx, known.Order, Status{State: StateCompleted, Target: "v2", Stage: StageWhole})
+		order, err := decider.WriteStatus(c.ctx, known.Order, Status{State: StateCompleted, Target: "v2", Stage: StageFull})
 		c.is.True(errors.Is(err, ErrConflict))
 		c.is.Equal(order.Status, rolledBack)
 		c.serve(5*time.Second, false)
@@ -524,7 +524,7 @@
 	return order, ctx.Err()
 }
 
-// A reporter that was told that a version is bad tells the next deciding node.
+// A reporter that was told that a version is bad tells the next decider.
 func TestHaltIsForwarded(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(deciderBounds)
@@ -625,7 +625,7 @@
 	return nil, errors.New("kept")
 }
 
-// Orders with the same deciding node share a report.
+// Orders with the same decider share a report.
 func TestOrdersOfSameDeciderShareReport(t *testing.T) {
 	is := is.New(t)
 	const count = 20
@@ -689,7 +689,7 @@
 	is.Equal(orders, []Order{next})
 }
 
-// All nodes agree on the deciding node, and on the next one if that fails.
+// All nodes agree on the decider, and on the next one if that fails.
 func TestNodesAgreeOnDecider(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -14,9 +14,9 @@
 	// maxTickGap is the time between two ticks above which the process counts as frozen:
 	// another node may have decided since. Ticks are tickInterval apart.
 	maxTickGap = time.Second
-	// minWholeTime is how long all nodes must send everything to the new version before the old
+	// minFullTime is how long all nodes must send everything to the new version before the old
 	// servers may stop: attempts whose server was chosen earlier have been sent by then.
-	minWholeTime = 400 * time.Millisecond
+	minFullTime = 400 * time.Millisecond
 	// maxDrainWait bounds the wait for requests in flight at old servers.
 	maxDrainWait = 2 * time.Second
 	// maxAdoptionWait bounds the wait for nodes that report but have not adopted the latest
@@ -33,7 +33,7 @@
 	Others int
 }
 
-// View is what the deciding node knows about an order besides the reports.
+// View is what the decider knows about an order besides the reports.
 type View struct {
 	Order  Order
 	Bounds Bounds
@@ -46,7 +46,7 @@
 	Live int
 }
 
-// Action is what the deciding node does next. The zero value does nothing.
+// Action is what the decider does next. The zero value does nothing.
 type Action struct {
 	// Status is to be written on condition of the order's revision. Nothing is written if its
 	// state is StateNone.
@@ -144,7 +144,7 @@
 	if tick.current.State == StateNone {
 		return tick.write(StateRunning, StageWaiting)
 	}
-	if tick.current.Stage == StageWhole {
+	if tick.current.Stage == StageFull {
 		return d.completeWhenDrained(tick)
 	}
 	if tick.inUse() {
@@ -161,7 +161,7 @@
 	return tick.nextStage()
 }
 
-// nextStage returns the step to the next stage, up to StageWhole, if it is due.
+// nextStage returns the step to the next stage, up to StageFull, if it is due.
 func (t tickState) nextStage() Action {
 	switch {
 	case t.current.Stage == StageWaiting:
@@ -170,8 +170,8 @@
 		}
 	case !t.hasQuorum():
 	case t.current.Stage == StageShift:
-		if t.elapsed >= t.plan.Whole && t.stageAge() >= minShiftTime && t.adoptedByQuorum() && t.mayAdvance() {
-			return t.write(StateRunning, StageWhole)
+		if t.elapsed >= t.plan.Full && t.stageAge() >= minShiftTime && t.adoptedByQuorum() && t.mayAdvance() {
+			return t.write(StateRunning, StageFull)
 		}
 	case t.elapsed >= t.plan.Shift:
 		if t.mayAdvance() {
@@ -197,14 +197,14 @@
 	if !d.adoptedAt.IsZero() {
 		adoptedFor = tick.now.Sub(d.adoptedAt)
 	}
-	drained := adoptedFor >= minWholeTime && tick.pool.OldInFlight() == 0
+	drained := adoptedFor >= minFullTime && tick.pool.OldInFlight() == 0
 	switch {
 	case drained, adoptedFor >= maxDrainWait:
 	case tick.stageAge() >= maxAdoptionWait && tick.adoptedByQuorum():
 	default:
 		return Action{}
 	}
-	return tick.write(StateCompleted, StageWhole)
+	return tick.write(StateCompleted, StageFull)
 }
 
 // updateAdoption records since when all reporting nodes have adopted the latest status.
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -77,23 +77,23 @@
 		{"shift, servers gone", running(StageLoad, 9*time.Second), with(func(p *fakePool) { p.finding, p.servers = Good, 0 }), Fleet{}, plan.Shift, StateNone, 0, false},
 		{"not found good in time", running(StageLoad, 9*time.Second), busy, Fleet{}, plan.GiveUp, StateRolledBack, StageLoad, false},
 		{"given up, but few report", running(StageLoad, 9*time.Second), few, Fleet{}, 18 * time.Second, StateRolledBack, StageLoad, false},
-		{"shift goes on", running(StageShift, 13*time.Second), good, Fleet{}, plan.Whole - 1, StateNone, 0, false},
-		{"late shift goes on", running(StageShift, plan.Whole), good, Fleet{}, plan.Whole + minShiftTime - 1, StateNone, 0, false},
-		{"shift unknown to most", running(StageShift, 13*time.Second), notAdopted, Fleet{}, plan.Whole + time.Second, StateNone, 0, false},
-		{"whole", running(StageShift, plan.Shift), good, Fleet{}, plan.Whole, StateRunning, StageWhole, false},
-		{"whole, undecided", running(StageShift, plan.Shift), busy, Fleet{}, plan.Whole, StateNone, 0, false},
-		{"whole, but few report", running(StageShift, plan.Shift), few, Fleet{}, plan.Whole, StateNone, 0, false},
+		{"shift goes on", running(StageShift, 13*time.Second), good, Fleet{}, plan.Full - 1, StateNone, 0, false},
+		{"late shift goes on", running(StageShift, plan.Full), good, Fleet{}, plan.Full + minShiftTime - 1, StateNone, 0, false},
+		{"shift unknown to most", running(StageShift, 13*time.Second), notAdopted, Fleet{}, plan.Full + time.Second, StateNone, 0, false},
+		{"whole", running(StageShift, plan.Shift), good, Fleet{}, plan.Full, StateRunning, StageFull, false},
+		{"whole, undecided", running(StageShift, plan.Shift), busy, Fleet{}, plan.Full, StateNone, 0, false},
+		{"whole, but few report", running(StageShift, plan.Shift), few, Fleet{}, plan.Full, StateNone, 0, false},
 		{"not found good in the shift", running(StageShift, plan.Shift), busy, Fleet{}, plan.GiveUp, StateRolledBack, StageShift, false},
-		{"not completed at once", running(StageWhole, 14*time.Second), good, Fleet{}, 14 * time.Second, StateNone, 0, false},
-		{"unknown to one for long", running(StageWhole, 14*time.Second), with(func(p *fakePool) { p.adopted = 2 }), Fleet{}, 17 * time.Second, StateCompleted, StageWhole, false},
-		{"unknown to most for long", running(StageWhole, 14*time.Second), notAdopted, Fleet{}, 18 * time.Second, StateNone, 0, false},
+		{"not completed at once", running(StageFull, 14*time.Second), good, Fleet{}, 14 * time.Second, StateNone, 0, false},
+		{"unknown to one for long", running(StageFull, 14*time.Second), with(func(p *fakePool) { p.adopted = 2 }), Fleet{}, 17 * time.Second, StateCompleted, StageFull, false},
+		{"unknown to most for long", running(StageFull, 14*time.Second), notAdopted, Fleet{}, 18 * time.Second, StateNone, 0, false},
 		{"bad at once", orderAt(StateNone, 0, 0), bad, Fleet{}, 0, StateRolledBack, StageWaiting, true},
 		{"bad in canary", running(StageCanary, 0), bad, Fleet{}, 3 * time.Second, StateRolledBack, StageCanary, true},
 		{"bad in load", running(StageLoad, 9*time.Second), bad, Fleet{}, 10 * time.Second, StateRolledBack, StageLoad, true},
 		{"bad in shift", running(StageShift, 13*time.Second), bad, Fleet{}, 13 * time.Second, StateRolledBack, StageShift, true},
-		{"bad in whole", running(StageWhole, 14*time.Second), bad, Fleet{}, 18 * time.Second, StateRolledBack, StageWhole, true},
+		{"bad in whole", running(StageFull, 14*time.Second), bad, Fleet{}, 18 * time.Second, StateRolledBack, StageFull, true},
 		{"bad, but few report", running(StageLoad, 9*time.Second), with(func(p *fakePool) { p.finding, p.reporters = Bad, 1 }), Fleet{}, 10 * time.Second, StateRolledBack, StageLoad, true},
-		{"completed already", orderAt(StateCompleted, StageWhole, 15*time.Second), bad, Fleet{}, 18 * time.Second, StateNone, 0, false},
+		{"completed already", orderAt(StateCompleted, StageFull, 15*time.Second), bad, Fleet{}, 18 * time.Second, StateNone, 0, false},
 		{"rolled back already", orderAt(StateRolledBack, StageLoad, 15*time.Second), good, Fleet{}, 18 * time.Second, StateNone, 0, false},
 		{"in use, new servers may come", running(StageWaiting, 0), none, Fleet{Earlier: 3}, 5 * time.Second, StateNone, 0, false},
 		{"in use", running(StageWaiting, 0), none, Fleet{Earlier: 3}, plan.Shift, StateCompleted, StageWaiting, false},
@@ -142,7 +142,7 @@
 func TestDeciderIgnoresTheStatusOfAnotherVersion(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
-	order := orderAt(StateCompleted, StageWhole, 9*time.Second)
+	order := orderAt(StateCompleted, StageFull, 9*time.Second)
 	order.Status.Target = "v1"
 	action := decider.decide(View{Order: order, Bounds: deciderBounds, Live: 1}, fakePool{}, epoch)
 	is.Equal(action.Status, Status{State: StateRunning, Target: "v2"})
@@ -156,7 +156,7 @@
 		oldInFlight int
 		after       time.Duration
 	}{
-		{"idle", 0, minWholeTime},
+		{"idle", 0, minFullTime},
 		{"one hangs", 1, maxDrainWait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -164,7 +164,7 @@
 			var decider Decider
 			pool := fakePool{finding: Good, reporters: 3, adopted: 3, servers: 2, oldInFlight: test.oldInFlight}
 			at := func(passed time.Duration) Action {
-				view := View{Order: orderAt(StateRunning, StageWhole, 14*time.Second), Bounds: deciderBounds, Elapsed: 14*time.Second + passed, Live: 3}
+				view := View{Order: orderAt(StateRunning, StageFull, 14*time.Second), Bounds: deciderBounds, Elapsed: 14*time.Second + passed, Live: 3}
 				return decider.decide(view, pool, epoch.Add(passed))
 			}
 			is.Equal(at(0).Status.State, StateNone)
@@ -178,12 +178,12 @@
 func TestDeciderWaitsForLastAdoption(t *testing.T) {
 	is := is.New(t)
 	var decider Decider
-	view := View{Order: orderAt(StateRunning, StageWhole, 14*time.Second), Bounds: deciderBounds, Elapsed: 15 * time.Second, Live: 3}
+	view := View{Order: orderAt(StateRunning, StageFull, 14*time.Second), Bounds: deciderBounds, Elapsed: 15 * time.Second, Live: 3}
 	pool := fakePool{finding: Good, reporters: 3, adopted: 2, servers: 2}
 	is.Equal(decider.decide(view, pool, epoch).Status.State, StateNone)
 	pool.adopted = 3
-	is.Equal(decider.decide(view, pool, epoch.Add(minWholeTime)).Status.State, StateNone)
-	is.Equal(decider.decide(view, pool, epoch.Add(2*minWholeTime)).Status.State, StateCompleted)
+	is.Equal(decider.decide(view, pool, epoch.Add(minFullTime)).Status.State, StateNone)
+	is.Equal(decider.decide(view, pool, epoch.Add(2*minFullTime)).Status.State, StateCompleted)
 }
 
 // A version that was found good and is undecided now may be about to turn out bad: the last
@@ -195,8 +195,8 @@
 		elapsed time.Duration
 		state   State
 	}{
-		{StageWhole, plan.GiveUp - 1, StateNone},
-		{StageWhole, plan.GiveUp, StateCompleted},
+		{StageFull, plan.GiveUp - 1, StateNone},
+		{StageFull, plan.GiveUp, StateCompleted},
 	} {
 		t.Run(test.stage.String()+" "+test.elapsed.String(), func(t *testing.T) {
 			is := is.New(t)
--- a/internal/rollout/describe.go
+++ b/internal/rollout/describe.go
@@ -14,7 +14,7 @@
 	ElapsedSeconds  float64
 	DurationSeconds float64
 	// Requests counts the requests of the service since the process learned of the order, Sent
-	// those that it sent to the target, Allowed how many the stage allows by now; StageWhole
+	// those that it sent to the target, Allowed how many the stage allows by now; StageFull
 	// has no bound.
 	Requests, Sent, Allowed uint32
 	// Old and New are the answers of the other versions and of the target.
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -127,7 +127,7 @@
 		fraction := loadAvailable(progress(elapsed, plan.Load, plan.Shift))
 		return interpolate(canaryShare, loadShare, fraction), interpolate(canarySlack, loadSlack, fraction)
 	case StageShift:
-		fraction := progress(elapsed, plan.Shift, plan.Whole)
+		fraction := progress(elapsed, plan.Shift, plan.Full)
 		return interpolate(loadShare, shiftShare, fraction), interpolate(loadSlack, shiftSlack, fraction)
 	}
 	return 0, 0
@@ -135,7 +135,7 @@
 
 // share returns the share of its requests that the process may send to the target.
 func (e *Exposure) share(stage Stage, plan Plan, elapsed time.Duration) float64 {
-	if stage == StageWhole {
+	if stage == StageFull {
 		return 1
 	}
 	share, _ := usable(stage, plan, elapsed)
--- a/internal/rollout/exposure_test.go
+++ b/internal/rollout/exposure_test.go
@@ -74,7 +74,7 @@
 	}{
 		{StageCanary, 0}, {StageCanary, time.Second}, {StageCanary, plan.Load - 1},
 		{StageLoad, plan.Load + time.Second}, {StageLoad, plan.Shift - 1},
-		{StageShift, plan.Shift + time.Second}, {StageShift, plan.Whole},
+		{StageShift, plan.Shift + time.Second}, {StageShift, plan.Full},
 	} {
 		allowed := exposure.allowed(moment.stage, plan, moment.at)
 		is.True(allowed > before)
--- a/internal/rollout/messages.go
+++ b/internal/rollout/messages.go
@@ -67,7 +67,7 @@
 	// the order, Sent the attempts at the target among them.
 	Requests uint32 `json:"requests,omitempty"`
 	Sent     uint32 `json:"sent,omitempty"`
-	// Halted is set if the node was told that the target is bad, so that the next deciding node
+	// Halted is set if the node was told that the target is bad, so that the next decider
 	// need not find out again.
 	Halted bool          `json:"halted,omitempty"`
 	Routes []RouteCounts `json:"routes,omitempty"`
@@ -76,7 +76,7 @@
 // Key returns the key of the order.
 func (o OrderReport) Key() Key { return Key{Service: o.Service, Target: o.Target, Created: o.Created} }
 
-// Report is what a process sends to the deciding node. Reports are cumulative.
+// Report is what a process sends to the decider. Reports are cumulative.
 type Report struct {
 	Node string `json:"node"`
 	// Process distinguishes the processes of a node; Sequence increases with each report.
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -3,7 +3,7 @@
 //
 // Operators write an Order. All nodes of the query tier follow the orders; each sends a small,
 // bounded share of its requests to the new version (Exposure), counts the results next to those
-// of the old version (Tracker, RouteCounts) and reports them to the deciding node (Agent,
+// of the old version (Tracker, RouteCounts) and reports them to the decider (Agent,
 // Report). The decider (Decider) pools the reports (Pool), evaluates them (Verdict) and writes
 // the next Status on condition that nobody else has written meanwhile. All nodes act on the
 // status. See docs/design/rollouts.md.
@@ -112,8 +112,8 @@
 	StageLoad
 	// StageShift sends what the bounds allow, spread over all new servers.
 	StageShift
-	// StageWhole sends all requests.
-	StageWhole
+	// StageFull sends all requests.
+	StageFull
 )
 
 var stageNames = [...]string{"waiting", "canary", "load", "shift", "whole"}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -9,7 +9,7 @@
 	// store that is unavailable.
 	loadFraction  = 0.4
 	shiftFraction = 0.62
-	wholeFraction = 0.78
+	fullFraction  = 0.78
 	// minShiftTime is the least time between the last two of these steps.
 	minShiftTime = 600 * time.Millisecond
 	// loadTurns is how often the load stage switches to another server.
@@ -27,8 +27,8 @@
 // Plan holds the times of an order's steps, counted from the order.
 type Plan struct {
 	// Load is when exposure concentrates on one server at a time; Shift when all servers get
-	// the rest of it; Whole when all traffic moves if the version is good.
-	Load, Shift, Whole time.Duration
+	// the rest of it; Full when all traffic moves if the version is good.
+	Load, Shift, Full time.Duration
 	// GiveUp is when a version that is not found good is rolled back.
 	GiveUp time.Duration
 	// Deadline is the end of the order's time.
@@ -41,7 +41,7 @@
 	return Plan{
 		Load:     at(loadFraction),
 		Shift:    at(shiftFraction),
-		Whole:    at(wholeFraction),
+		Full:     at(fullFraction),
 		GiveUp:   at(giveUpFraction),
 		Deadline: duration,
 	}
--- a/internal/rollout/restored_test.go
+++ b/internal/rollout/restored_test.go
@@ -35,7 +35,7 @@
 func restoredTracker(now time.Time, state State) (*Tracker, Order) {
 	tracker := NewTracker(testBounds)
 	tracker.Reached(catalog.NewRevision(1, 5), now)
-	order := at(1, 30, StageWhole)
+	order := at(1, 30, StageFull)
 	order.Status.State = state
 	tracker.Put(order, now)
 	tracker.Reached(catalog.NewRevision(1, 30), now)
@@ -89,7 +89,7 @@
 	now := time.Now()
 	tracker, _ := restoredTracker(now, StateRunning)
 	tracker.Remove("s")
-	tracker.ReplaceRestored([]Order{at(2, 20, StageWhole)}, now)
+	tracker.ReplaceRestored([]Order{at(2, 20, StageFull)}, now)
 	tracker.Reached(catalog.NewRevision(2, 20), now)
 	orders, _ := tracker.Orders()
 	is.Equal(len(orders), 0)
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -166,7 +166,7 @@
 	stage, take := o.stage(now), false
 	switch stage {
 	case StageWaiting:
-	case StageWhole:
+	case StageFull:
 		take = true
 		process.Add()
 	default:
@@ -255,12 +255,12 @@
 		return o.pool.MayAdvance(Order{Target: "v", Status: Status{State: StateRunning, Target: "v", Stage: o.status}}, o.plan, o.bounds, at)
 	}
 	switch {
-	case o.pool.Evaluate().Finding == Bad, o.status < StageWhole && now >= o.plan.GiveUp:
+	case o.pool.Evaluate().Finding == Bad, o.status < StageFull && now >= o.plan.GiveUp:
 		o.ended, o.endedAt = StateRolledBack, now
-	case o.status == StageWhole && now-o.statusAt >= time.Second:
+	case o.status == StageFull && now-o.statusAt >= time.Second:
 		o.ended, o.endedAt = StateCompleted, now
-	case o.status == StageShift && now >= o.plan.Whole && now-o.statusAt >= minShiftTime && mayAdvance():
-		advance(StageWhole)
+	case o.status == StageShift && now >= o.plan.Full && now-o.statusAt >= minShiftTime && mayAdvance():
+		advance(StageFull)
 	case o.status == StageLoad && now >= o.plan.Shift && mayAdvance():
 		advance(StageShift)
 		o.shifted = true
--- a/internal/rollout/tracker.go
+++ b/internal/rollout/tracker.go
@@ -15,7 +15,7 @@
 	// after 0.9 s more.
 	maxStoreAge = 4 * time.Second
 	// maxUnreportedAge is how long results of a node's own attempts may be unreported while it
-	// sends to a target: a report is due twice a second or more often and may fail over from
+	// sends to a target: a report is due twice per second or more often and may fail over from
 	// one unresponsive node to the next.
 	maxUnreportedAge = 2 * time.Second
 )
--- a/internal/rollout/tracker_test.go
+++ b/internal/rollout/tracker_test.go
@@ -52,7 +52,7 @@
 				next.Status = Status{
 					State:  rapid.SampledFrom([]State{StateRunning, StateRunning, StateRolledBack}).Draw(t, "state"),
 					Target: next.Target,
-					Stage:  rapid.SampledFrom([]Stage{StageCanary, StageLoad, StageShift, StageWhole}).Draw(t, "stage"),
+					Stage:  rapid.SampledFrom([]Stage{StageCanary, StageLoad, StageShift, StageFull}).Draw(t, "stage"),
 				}
 				history = append(history, next)
 				put(next)
@@ -181,7 +181,7 @@
 func TestLaterResultsStayUnreported(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(testBounds)
-	order := runningOrder(20, StageWhole)
+	order := runningOrder(20, StageFull)
 	tracker.Reached(20, epoch)
 	tracker.Put(order, epoch)
 	at := func(milliseconds int) time.Time { return epoch.Add(time.Duration(milliseconds) * time.Millisecond) }
--- a/internal/swim/simulator_test.go
+++ b/internal/swim/simulator_test.go
@@ -238,7 +238,7 @@
 	simulation.now = end
 }
 
-// runUntil returns the time until a condition holds, checked ten times a second, or false if it
+// runUntil returns the time until a condition holds, checked ten times per second, or false if it
 // does not hold within the bound.
 func (simulation *simulator) runUntil(bound time.Duration, holds func() bool) (time.Duration, bool) {
 	begin := simulation.now
