--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -15,8 +15,8 @@
 // checkAnswer checks the invariants of every answer.
 func (s *simulation) checkAnswer() {
 	s.checkOneVersion()
-	s.checkCoverage()
-	s.checkNotRun()
+	s.checkCoverageIsTrue()
+	s.checkNotRunIsTrue()
 	for id, attempt := range s.sent {
 		answered := false
 		for _, reply := range s.delivered {
@@ -38,9 +38,9 @@
 	}
 }
 
-// checkCoverage checks that every answer reports its coverage correctly: each shard
-// appears once, either with its part, or as missing with a reason.
-func (s *simulation) checkCoverage() {
+// checkCoverageIsTrue checks that every answer reports its coverage correctly: each
+// shard appears once, either with its part, or as missing with a reason.
+func (s *simulation) checkCoverageIsTrue() {
 	answer := s.answer
 	seen := make(map[v1.ShardID]bool)
 	for _, part := range answer.Parts {
@@ -63,10 +63,10 @@
 	}
 }
 
-// checkNotRun checks that a request refused as not run did not and will not run on
-// any back end, and that a request refused by all servers is reported as not run. A
+// checkNotRunIsTrue checks that a request refused as not run did not and will not run
+// on any back end, and that a request refused by all servers is reported as not run. A
 // cancelled attempt counts as one that may run, whatever its actual result.
-func (s *simulation) checkNotRun() {
+func (s *simulation) checkNotRunIsTrue() {
 	mayRun := false
 	for _, attempt := range s.sent {
 		mayRun = mayRun || attempt.mayRun || attempt.canceled
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -98,7 +98,7 @@
 #else
 				:: version == readVersion ->
 #endif
-					INVARIANT(AcceptedNeverReverts, next > accepted);
+					INVARIANT(RevisionsAlwaysIncrease, next > accepted);
 					accepted = next; acceptedSpec = readSpec;
 					specAcceptedAs[next] = readSpec;
 					version++
@@ -125,7 +125,7 @@
 
 inline apply(node, received, content) {
 	assert(content == specAcceptedAs[received]);  /* only what was accepted */
-	INVARIANT(NodesNeverGoBack, received > highest[node]);
+	INVARIANT(SetRevisionsNeverDecrease, received > highest[node]);
 	revision[node] = received; specOf[node] = content; highest[node] = received;
 #ifdef FORGET_TOMBSTONE
 	if
@@ -177,7 +177,7 @@
 proctype Monitor() {
 	timeout -> assert(spec == BOTH && acceptedSpec == BOTH);
 	assert(serving[0] && serving[1]);
-	INVARIANT(AllEndEqual, highest[0] == accepted && highest[1] == accepted)
+	INVARIANT(SetsConverge, highest[0] == accepted && highest[1] == accepted)
 }
 
 init {
