--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -4,7 +4,7 @@
 // Lines are encoded after the response was sent and, where possible, while no
 // other request is in flight, so that no caller waits for them.
 //
-// docs/OPERATIONS.md lists the events and their fields.
+// docs/ROUTER.md lists the events and their fields.
 package trace
 
 import (
