--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -15,10 +15,11 @@
 	Shards  int
 }
 
-// ChooseVersion returns the newest version that at least enough shards hold on one or more
-// replicas. If there is none, it returns the version that most shards hold, the
-// newest in case of a tie. If no version is known, it returns the zero Choice.
-func ChooseVersion(holdings []ShardVersions, enough int) Choice {
+// ChooseVersion returns the newest version held by at least minShards shards; a shard
+// holds a version if one of its replicas does. If there is none, it returns the version
+// that most shards hold, the newest in case of a tie. If no version is known, it returns
+// the zero Choice.
+func ChooseVersion(holdings []ShardVersions, minShards int) Choice {
 	counts := make(map[int64]int)
 	var seen []int64
 	for _, holding := range holdings {
@@ -35,15 +36,17 @@
 	var best Choice
 	for version, shards := range counts {
 		candidate := Choice{Version: version, Shards: shards}
-		if version != NoVersion && candidate.betterThan(best, enough) {
+		if version != NoVersion && candidate.betterThan(best, minShards) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-func (choice Choice) betterThan(other Choice, enough int) bool {
-	shards, otherShards := min(choice.Shards, enough), min(other.Shards, enough)
+// betterThan reports whether the choice is preferred; shards in excess of
+// minShards do not count.
+func (choice Choice) betterThan(other Choice, minShards int) bool {
+	shards, otherShards := min(choice.Shards, minShards), min(other.Shards, minShards)
 	if shards != otherShards {
 		return shards > otherShards
 	}
@@ -66,8 +69,8 @@
 func (pin *Pin) Accepts(version int64) bool { return version == pin.version }
 
 // Restart pins the query to another version, at most once, and reports whether it
-// did. The query must then discard all its parts. repeatable states that all shards
-// may be run again.
+// did. The query must then discard all its parts. repeatable is set if the
+// requests to all shards may be repeated.
 func (pin *Pin) Restart(version int64, repeatable bool) bool {
 	if pin.restarted || !repeatable || version == NoVersion || version == pin.version {
 		return false
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -24,13 +24,13 @@
 	return count
 }
 
-// The chosen version is the newest that enough shards hold; if there is none, no
+// The chosen version is the newest that at least minShards shards hold; if there is none, no
 // other version is held by more shards.
 func TestChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holdings := drawHoldings(t)
-		enough := rapid.IntRange(1, len(holdings)).Draw(t, "enough")
-		choice := ChooseVersion(holdings, enough)
+		minShards := rapid.IntRange(1, len(holdings)).Draw(t, "enough")
+		choice := ChooseVersion(holdings, minShards)
 		if choice.Version == NoVersion {
 			choice.Shards = countHolders(holdings, NoVersion)
 		}
@@ -39,10 +39,10 @@
 		}
 		for version := int64(1); version <= 5; version++ {
 			count := countHolders(holdings, version)
-			if count >= enough && version > choice.Version {
+			if count >= minShards && version > choice.Version {
 				t.Fatalf("chose %+v though %d shards hold %d", choice, count, version)
 			}
-			if choice.Shards < enough && count > choice.Shards {
+			if choice.Shards < minShards && count > choice.Shards {
 				t.Fatalf("chose %+v though %d shards hold %d", choice, count, version)
 			}
 		}
