--- a/internal/config/set.go
+++ b/internal/config/set.go
@@ -14,14 +14,14 @@
 type Entry struct {
 	Service string
 	// Revision orders the entries of a service: lease epoch in the upper 32
-	// bits, a counter of that epoch in the lower 32.
+	// bits, a counter within that epoch in the lower 32.
 	Revision int64
 	// Deleted marks a tombstone; its Spec is nil.
 	Deleted bool
 	Spec    *v1.QueryServiceSpec
 }
 
-// Version is one entry of a digest: the revision held of a service.
+// Version is one entry of a digest: the revision held for a service.
 type Version struct {
 	Service  string
 	Revision int64
@@ -41,8 +41,8 @@
 	return &Set{entries: make(map[string]Entry)}
 }
 
-// Apply merges an entry and reports whether it changed the set: it does only if its
-// revision is higher than the one held.
+// Apply merges an entry and reports whether the set changed: it does only if
+// the entry's revision is higher than the one held.
 func (set *Set) Apply(entry Entry) bool {
 	held, found := set.entries[entry.Service]
 	if found && entry.Revision <= held.Revision {
@@ -57,19 +57,20 @@
 	return true
 }
 
-// Revision returns the revision held of a service, tombstones included; zero
+// Revision returns the revision held for a service, tombstones included; zero
 // if the service is unknown.
 func (set *Set) Revision(service string) int64 {
 	return set.entries[service].Revision
 }
 
-// Entry returns the entry held of a service, tombstones included.
+// Entry returns the entry held for a service, tombstones included.
 func (set *Set) Entry(service string) (Entry, bool) {
 	entry, found := set.entries[service]
 	return entry, found
 }
 
-// Service returns the revision in force of a service that is not deleted.
+// Service returns the current revision of a service, unless the service is deleted or
+// unknown.
 func (set *Set) Service(name string) (*Service, bool) {
 	entry, found := set.entries[name]
 	if !found || entry.Deleted {
@@ -118,9 +119,9 @@
 	return newer
 }
 
-// Summary describes a whole set in a few bytes. Equal sets have equal summaries. Of
-// two that differ, the one whose Highest is greater has an entry that the other
-// lacks; the reverse may also be true.
+// Summary describes a whole set in a few bytes. Equal sets have equal summaries. If two
+// summaries differ, the set with the greater Highest has an entry that the other set
+// lacks; the other set may also have entries that the first lacks.
 type Summary struct {
 	// Highest is the highest revision of any service.
 	Highest int64
--- a/internal/config/set_test.go
+++ b/internal/config/set_test.go
@@ -12,8 +12,8 @@
 	"github.com/driftstage/driftstage/internal/config"
 )
 
-// newEntry returns the only entry of a service and revision: every fourth revision is
-// a tombstone, each other one has a unique spec.
+// newEntry returns the entry for a service and revision, equal in each call: every fourth
+// revision is a tombstone, and the others have a unique spec.
 func newEntry(service string, revision int64) config.Entry {
 	entry := config.Entry{Service: service, Revision: revision, Deleted: revision%4 == 0}
 	if !entry.Deleted {
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -49,7 +49,8 @@
 	store.services[name] = service
 }
 
-// Service returns the revision in force of a service.
+// Service returns the current revision of a service, unless the service is deleted or
+// unknown.
 func (store *Store) Service(name string) (*Service, bool) {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
@@ -57,14 +58,14 @@
 	return service, found
 }
 
-// Services returns all services in force, sorted by name.
+// Services returns all services that are not deleted, sorted by name.
 func (store *Store) Services() []*Service {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
 	return slices.Clone(store.sorted)
 }
 
-// Revision returns the revision held of a service, tombstones included.
+// Revision returns the revision held for a service, tombstones included.
 func (store *Store) Revision(service string) int64 {
 	store.mutex.RLock()
 	defer store.mutex.RUnlock()
