--- a/internal/node/machines_test.go
+++ b/internal/node/machines_test.go
@@ -34,7 +34,7 @@
 
 func (nopSink) SetMachines([]string) {}
 
-// newMachineLists returns the machine lists of several nodes of one zone, with one platform.
+// newMachineLists returns the machine lists of several nodes of one zone, which share a platform.
 func newMachineLists(t *testing.T, count int, fake *fakePlatform) []*machineList {
 	is := is.New(t)
 	client := wire.NewClient(wire.ClientOptions{})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,8 +48,8 @@
 	return built, nil
 }
 
-// Run serves until ctx ends, then shuts down gracefully. It returns nil if nothing
-// was interrupted.
+// Run serves until ctx ends, then shuts down gracefully. It returns nil if no
+// server failed and the shutdown completed in time.
 func (node *Node) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -108,7 +108,7 @@
 }
 
 // stop shuts the node down without interrupting requests in flight: for the drain
-// delay, new ones are refused as not run, then those in flight are completed, and
+// delay, new ones are refused as not executed, then those in flight are completed, and
 // only then do the listeners close.
 func (node *Node) stop() error {
 	klog.InfoS("stopping", "drainDelay", node.settings.DrainDelay.String())
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -53,7 +53,7 @@
 }
 
 func (source stateSource) read() state {
-	read := state{
+	current := state{
 		Node:     source.Settings.Name,
 		Zone:     source.Settings.Zone,
 		Region:   source.Settings.Region,
@@ -64,13 +64,13 @@
 		Services: []serviceState{},
 	}
 	for _, member := range source.Member.Members() {
-		read.Members = append(read.Members, newMemberState(member))
+		current.Members = append(current.Members, newMemberState(member))
 	}
 	owned := &ownership{self: source.Settings.Name, members: source.Member, store: source.Store}
 	for _, service := range source.Store.Services() {
-		read.Services = append(read.Services, newServiceState(service, owned))
+		current.Services = append(current.Services, newServiceState(service, owned))
 	}
-	return read
+	return current
 }
 
 func newMemberState(member swim.Member) memberState {
