--- a/internal/edge/compare.go
+++ b/internal/edge/compare.go
@@ -23,7 +23,7 @@
 )
 
 // compareConfigurations asks other nodes for a later configuration than this node's, at the start
-// and whenever the store was restored: the backup may be older than the latest configuration.
+// and whenever the store was restored from a backup: the backup may be older than the latest configuration.
 func (n *Node) compareConfigurations(ctx context.Context) {
 	for {
 		for range maxCompares {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -54,22 +54,24 @@
 )
 
 const (
-	// spareNodes is added to the count of nodes for those that have just started.
+	// spareNodes is added to the count of nodes to allow for those that have just started and are
+	// not yet counted.
 	spareNodes = 2
 	// retryRatioMargin is subtracted from the retry ratio, because the windows of the nodes are not
 	// aligned.
 	retryRatioMargin = 0.02
-	// windowFactor lengthens the window in which extra sends are counted: a send arrives later
-	// than it is counted, by up to the time of a slow connection.
+	// windowFactor lengthens the window in which extra sends are counted: a send reaches the
+	// server after it is counted, later by up to the time that a slow connection takes.
 	windowFactor = 1.02
 	// sweepInterval is how often idle connections and unlisted servers are checked for expiry.
 	sweepInterval = time.Second
 	// serversBatchDelay is how long changes of servers are collected before they are read.
 	serversBatchDelay = 250 * time.Millisecond
-	// minStartupHold plus a random part of startupHoldJitter is how long after its start a node
-	// leaves a burst of at least burstSize changes to the nodes that read the store for others:
-	// by then it has counted the nodes, and the readers have caught up. Otherwise many nodes that
-	// start together with their servers would each read all changes.
+	// The startup hold is minStartupHold plus a random part of startupHoldJitter. For this time after
+	// its start, a node leaves any burst of at least burstSize changes to the readers, the nodes that
+	// read the store for others. By the end of the hold it has counted the nodes, and the readers have
+	// caught up. Without the hold, many nodes that start together with their servers would each read
+	// all changes.
 	minStartupHold    = 6500 * time.Millisecond
 	startupHoldJitter = 1500 * time.Millisecond
 	burstSize         = 64
@@ -117,7 +119,7 @@
 	quarantine *quarantine.Manager
 	peerClient peers.Client
 	// retryPool grants retries to the nodes for which this one manages a pool. retriesPooled is set
-	// while retries are pooled; poolChanged has an element when that or the pool size has changed.
+	// while retries are pooled; poolChanged signals that this or the pool size may have changed.
 	retryPool     retrybudget.Pool
 	retriesPooled atomic.Bool
 	poolChanged   chan struct{}
@@ -126,7 +128,7 @@
 	becameReader     chan struct{}
 	becameReaderOnce sync.Once
 	startupHold      time.Duration
-	// storeRestored has an element after the store was restored.
+	// storeRestored signals that the store was restored from a backup.
 	storeRestored chan struct{}
 	// announcer announces this node to the others and counts them.
 	announcer *members.Announcer
@@ -141,8 +143,8 @@
 	Dropped func() uint64
 }
 
-// leftOut returns how many requests the recorder omitted.
-func (l Logs) leftOut() float64 {
+// omitted returns how many requests the recorder omitted.
+func (l Logs) omitted() float64 {
 	if l.Recorder == nil {
 		return 0
 	}
@@ -157,7 +159,7 @@
 }
 
 // Run serves until ctx ends, then shuts down gracefully. It returns nil if no
-// request was interrupted.
+// listener failed and no request was interrupted.
 func (n *Node) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", n.settings.ListenAddress)
 	if err != nil {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -106,7 +106,7 @@
 }
 
 // Guards against a second run of an unsafe request, and against an answer that wrongly states that it has
-// not run: neither a response that leaves this open nor a contradictory status proves it.
+// not run: neither an ambiguous response nor a contradictory status proves that.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	for _, behavior := range []standin.Behavior{
 		standin.ResetAfterRun, standin.TruncateBody, standin.SendGarbage, standin.Encoded, standin.RefuseAfterRun, standin.MisdirectAfterRun,
--- a/internal/edge/era_test.go
+++ b/internal/edge/era_test.go
@@ -35,13 +35,13 @@
 	}
 }
 
-// restoreStore makes the store unavailable for a moment and restores it from the backup; then runs
-// before the store is available again.
-func (h *harness) restoreStore(backup standin.Backup, then func()) {
+// restoreStore makes the store unavailable for a moment and restores it from the backup. It
+// calls whileUnavailable before the store is available again.
+func (h *harness) restoreStore(backup standin.Backup, whileUnavailable func()) {
 	h.store.SetFaults(standin.StoreFaults{Unavailable: true})
 	h.store.Restore(backup)
 	time.Sleep(300 * time.Millisecond)
-	then()
+	whileUnavailable()
 	h.store.SetFaults(standin.StoreFaults{})
 }
 
--- a/internal/edge/evacuation.go
+++ b/internal/edge/evacuation.go
@@ -19,8 +19,8 @@
 }
 
 // evacuationSink receives the evacuated zones from a follower. A zone that is no longer listed
-// receives requests again: only operators write and remove the entries, so that none expires
-// while the store is unavailable.
+// receives requests again: only operators write and remove the entries, so that none expires while
+// the store is unavailable.
 type evacuationSink struct{ state *state }
 
 // Replace implements catalog.Sink.
--- a/internal/edge/evacuation_test.go
+++ b/internal/edge/evacuation_test.go
@@ -57,9 +57,9 @@
 		return peer.get("/one/", "id-peer").status == 200 && len(far.Runs()) > before
 	})
 	ran := len(near.Runs())
-	started := newHarness(t, configuration(1))
-	started.store.SetFaults(standin.StoreFaults{Hang: true})
-	started.startReady(enableEvacuations, func(loaded *settings.Router) { loaded.Seeds = []string{listener.Addr().String()} })
-	is.Equal(started.get("/one/", "id-1").status, 200)
+	joining := newHarness(t, configuration(1))
+	joining.store.SetFaults(standin.StoreFaults{Hang: true})
+	joining.startReady(enableEvacuations, func(loaded *settings.Router) { loaded.Seeds = []string{listener.Addr().String()} })
+	is.Equal(joining.get("/one/", "id-1").status, 200)
 	is.Equal(len(near.Runs()), ran)
 }
--- a/internal/edge/follow.go
+++ b/internal/edge/follow.go
@@ -70,8 +70,8 @@
 	return batchDelayAt(changes, time.Since(n.started), n.startupHold, n.canBootstrap())
 }
 
-// batchDelayAt returns the batch delay of a node of the given age, which leaves bursts of changes to
-// the readers until the age of hold if it can bootstrap from other nodes.
+// batchDelayAt returns the batch delay of a node of the given age. A node that can bootstrap from
+// others leaves bursts of changes to the readers until its age reaches hold.
 func batchDelayAt(changes int, age, hold time.Duration, bootstrap bool) time.Duration {
 	if bootstrap && changes >= burstSize && age < hold {
 		return max(hold-age, serversBatchDelay)
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -88,7 +88,7 @@
 		{"request", "under_way_count", "Requests without final answer.", func() float64 { return float64(node.server.InFlight()) }},
 		{"node", "ready_status", "1 while the node takes new connections.", func() float64 { return boolToFloat(node.state.ready()) }},
 		{"log", "dropped_lines_count", "Log lines lost to a slow reader since the start.", logs.dropped},
-		{"log", "left_out_requests_count", "Requests whose lines were left out by the bounds since the start.", logs.leftOut},
+		{"log", "left_out_requests_count", "Requests whose lines were left out by the bounds since the start.", logs.omitted},
 		{"store", "tables_age_seconds", "Time since the configuration was last read.", func() float64 { return m.age(feedTables) }},
 		{"server", "evacuated_zones_count", "Zones whose servers get nothing new.", func() float64 { return float64(len(node.directory.Evacuated())) }},
 		{"server", "silent_zones_count", "Zones that are out of reach.", func() float64 { return float64(len(node.directory.UnreachableZones())) }},
--- a/internal/edge/quarantine.go
+++ b/internal/edge/quarantine.go
@@ -40,7 +40,7 @@
 	maxNoticePeers = 64
 )
 
-// broadcastNotice sends to other nodes what could not be written to the store.
+// broadcastNotice sends other nodes a notice of what could not be written to the store.
 func (n *Node) broadcastNotice(notice quarantine.Notice) {
 	for _, address := range n.peerAddresses() {
 		go func() {
--- a/internal/edge/retries.go
+++ b/internal/edge/retries.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// minRetryShare is the share of the slack, in sends, below which the nodes use pools instead:
-	// a gather that sends twice for a shard needs this much at once.
+	// minRetryShare is the minimum share of the slack for each node, in sends; if the shares are
+	// smaller, the nodes use pools instead. A gather that sends twice for a shard needs this much
+	// at once.
 	minRetryShare = 2
 	// nodesPerPool is the approximate number of nodes that share a pool.
 	nodesPerPool = 48
@@ -77,11 +78,11 @@
 
 // requestGrant returns the retries granted by the pool, which this node or another one manages.
 func (n *Node) requestGrant(ctx context.Context, wanted retrybudget.SendCounts) (retrybudget.SendCounts, error) {
-	holder, other := n.selector.RetryPoolNode(time.Now())
-	if !other {
+	manager, remote := n.selector.RetryPoolNode(time.Now())
+	if !remote {
 		return n.retryPool.Grant(wanted, boottime.Time()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	return n.peerClient.AcquireRetries(ctx, holder.Address, wanted)
+	return n.peerClient.AcquireRetries(ctx, manager.Address, wanted)
 }
--- a/internal/edge/rollout.go
+++ b/internal/edge/rollout.go
@@ -73,8 +73,8 @@
 	agent *rollout.Agent
 }
 
-// Replace implements catalog.Sink. Only operators write and remove orders, so that none expires
-// while the store is unavailable.
+// Replace implements catalog.Sink. It ignores whether there was an outage: only operators write and
+// remove orders, so that none expires while the store is unavailable.
 func (r rolloutSink) Replace(orders []rollout.Order, _ bool) {
 	r.state.tracker.Replace(orders, boottime.Time())
 	r.agent.Wake()
@@ -109,14 +109,14 @@
 	r.state.notifySynced()
 }
 
-// rolloutDescription describes a node's state of an order, for operators.
+// rolloutDescription describes the state of an order on this node, for operators.
 type rolloutDescription struct {
 	rollout.Description
 	// Servers is the number of servers of the target version, Others that of other versions.
 	Servers, Others int
 }
 
-// describeRollouts describes the node's state of all orders.
+// describeRollouts describes the state of all orders on this node.
 func describeRollouts(tracker *rollout.Tracker, directory *endpoints.Directory) []rolloutDescription {
 	described := []rolloutDescription{}
 	for _, usage := range tracker.Usages(boottime.Time()) {
--- a/internal/edge/rollout_test.go
+++ b/internal/edge/rollout_test.go
@@ -219,11 +219,11 @@
 		return strings.Contains(peer.nodes[0].adminGet("/debug/state"), `"State": "rolled_back"`)
 	})
 	before := peer.runCountOf("new")
-	started := newHarness(t, configuration(1))
-	started.store.SetFaults(standin.StoreFaults{Hang: true})
-	started.startReady(enableRollouts, func(loaded *settings.Router) { loaded.Seeds = []string{peer.nodes[0].loaded.PeerAddress} })
+	joining := newHarness(t, configuration(1))
+	joining.store.SetFaults(standin.StoreFaults{Hang: true})
+	joining.startReady(enableRollouts, func(loaded *settings.Router) { loaded.Seeds = []string{peer.nodes[0].loaded.PeerAddress} })
 	for number := range 10 {
-		is.Equal(started.get("/one/", fmt.Sprint("id-", number)).status, http.StatusOK)
+		is.Equal(joining.get("/one/", fmt.Sprint("id-", number)).status, http.StatusOK)
 	}
 	is.Equal(peer.runCountOf("new"), before)
 }
--- a/internal/edge/state.go
+++ b/internal/edge/state.go
@@ -46,8 +46,8 @@
 	// synced is closed once the state is complete.
 	synced     chan struct{}
 	syncedOnce sync.Once
-	// handover passes on the list of servers from another node; serversPosition is how current
-	// this node's list is.
+	// handover passes the list of servers of another node to the follower of the store;
+	// serversPosition states how current this node's list is.
 	handover        catalog.Handover[endpoints.Server]
 	serversPosition atomic.Pointer[listPosition]
 	// unreadable holds the objects of the store that cannot be decoded.
@@ -56,8 +56,8 @@
 	replaceMutex sync.Mutex
 }
 
-// listPosition is how current a list is: it has the state of the revision, as the store returned
-// it at the given time.
+// listPosition states how current a list is: it holds all changes up to the revision, as the
+// store returned them at the time asOf.
 type listPosition struct {
 	revision catalog.Revision
 	asOf     time.Time
@@ -97,7 +97,7 @@
 }
 
 // shedDelay is how long the node must be overloaded before callers are sent to
-// other nodes: earlier the platform still considers the node ready and might send
+// other nodes: before that, the platform still considers the node ready and might send
 // them back to it.
 const shedDelay = 2500 * time.Millisecond
 
--- a/internal/edge/state_test.go
+++ b/internal/edge/state_test.go
@@ -21,15 +21,15 @@
 
 func TestOverloadedNodeIsNotReady(t *testing.T) {
 	for _, test := range []struct {
-		busy         time.Duration
-		ready, sheds bool
+		overloadedFor time.Duration
+		ready, sheds  bool
 	}{
 		{0, true, false},
 		{time.Millisecond, false, false}, // the platform has not noticed yet
 		{shedDelay + time.Millisecond, false, true},
 	} {
 		is := is.New(t)
-		state := &state{directory: endpoints.New(endpoints.Topology{}, nil), loadMeter: fakeMeter(test.busy), synced: make(chan struct{})}
+		state := &state{directory: endpoints.New(endpoints.Topology{}, nil), loadMeter: fakeMeter(test.overloadedFor), synced: make(chan struct{})}
 		table, err := routing.NewTable(1, routing.Limits{}, nil, nil)
 		is.NoErr(err)
 		state.adoptTable(table)
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -18,9 +18,9 @@
 )
 
 // stop shuts the node down: readiness fails at once, callers are asked to close
-// their connections, and requests in flight are completed. Those still open when the
-// stop timeout is nearly over get their final answer then. It returns how many were
-// interrupted.
+// their connections, and requests in flight are completed. Those still in flight
+// exitReserve before the end of the stop timeout are canceled and get their final
+// answer then. It returns how many were interrupted.
 func (n *Node) stop(listener net.Listener) int64 {
 	started, timeout := time.Now(), n.reloadable.Load().StopTimeout
 	klog.InfoS("stopping", "under_way", n.server.InFlight())
