--- a/internal/query/choose.go
+++ b/internal/query/choose.go
@@ -9,7 +9,7 @@
 const (
 	// suspicionTimeout is how long a server is avoided after its owner could not be reached.
 	suspicionTimeout = time.Second
-	// ejectionTTL is how long a reported ejection is valid. After it one attempt
+	// ejectionTTL is how long a reported ejection is valid. After that one attempt
 	// is sent to the server, so that its recovery is noticed.
 	ejectionTTL = 5 * time.Second
 	// latencyWeight is the weight of a new sample in a server's moving average.
@@ -58,10 +58,11 @@
 	}
 }
 
-// cost is proportional to the estimated duration of an attempt at the server.
+// cost returns a value proportional to the estimated duration of an attempt at the
+// server.
 func (server *Server) cost(now time.Time) float64 {
-	since := max(server.pending-server.pendingAtReport, 0)
-	queue := float64(server.load.Queued + server.load.InFlight + since + 1)
+	sentSinceReport := max(server.pending-server.pendingAtReport, 0)
+	queue := float64(server.load.Queued + server.load.InFlight + sentSinceReport + 1)
 	latency := server.latency
 	if age := now.Sub(server.loadSeen); age > latencyDecayAfter {
 		latency /= float64(age) / float64(latencyDecayAfter)
@@ -88,14 +89,15 @@
 	version int64
 	zone    string
 	random  *rand.Rand
-	// avoidOwner is used only if no other owner's replica has the same rank.
+	// avoidOwner is the owner whose replicas are picked only if no other owner's
+	// replica has the same rank.
 	avoidOwner string
 	// repeatable requests may probe whether an ejected server has recovered.
 	repeatable bool
 	// allowUnreportedVersion permits a server that does not report the version if
 	// there is no other. Load endpoints lag, and a server that gets no attempts
 	// reports nothing newer; a server without the version refuses the attempt as
-	// not run.
+	// NotRun.
 	allowUnreportedVersion bool
 	// alreadyChosen reports whether this step sends other shards to the server.
 	alreadyChosen func(*Server) bool
@@ -173,11 +175,11 @@
 	if second >= first {
 		second++
 	}
-	one, other := candidates[first], candidates[second]
-	if other.cost(s.now) < one.cost(s.now) {
+	candidate, other := candidates[first], candidates[second]
+	if other.cost(s.now) < candidate.cost(s.now) {
 		return other
 	}
-	return one
+	return candidate
 }
 
 // prefer moves the wanted candidates to the front and returns them, or all
--- a/internal/query/crashguard.go
+++ b/internal/query/crashguard.go
@@ -16,23 +16,23 @@
 	}
 }
 
-// resend sends the shards to other replicas. In sequential mode the shards are
-// deferred and sent one at a time.
-func (query *Query) resend(now time.Time, wanted []int) {
+// resend sends the shards at the positions to other replicas. In sequential mode
+// they are deferred and sent one at a time.
+func (query *Query) resend(now time.Time, positions []int) {
 	if !query.guard.Sequential() {
-		query.send(now, wanted, purposeRetry)
+		query.send(now, positions, purposeRetry)
 		return
 	}
-	query.deferred = append(query.deferred, wanted...)
+	query.deferred = append(query.deferred, positions...)
 }
 
 // sendDeferred sends deferred shards as far as the crash guard allows.
 func (query *Query) sendDeferred(now time.Time) {
 	if !query.guard.Sequential() {
-		held := query.deferred
+		positions := query.deferred
 		query.deferred = nil
-		if len(held) > 0 {
-			query.send(now, held, purposeRetry)
+		if len(positions) > 0 {
+			query.send(now, positions, purposeRetry)
 		}
 		return
 	}
--- a/internal/query/crashguard_test.go
+++ b/internal/query/crashguard_test.go
@@ -18,17 +18,17 @@
 	t.Helper()
 	now, sends := start, 0
 	actions := query.Start(now)
-	for open := actions.Sends; actions.Answer == nil; {
-		if len(open) == 0 {
+	for unanswered := actions.Sends; actions.Answer == nil; {
+		if len(unanswered) == 0 {
 			now = query.NextTick()
 			actions = query.Tick(now)
 		} else {
-			send := open[0]
-			open = open[1:]
+			send := unanswered[0]
+			unanswered = unanswered[1:]
 			sends++
 			actions = query.HandleReply(now, reply(send, sends))
 		}
-		open = append(open, actions.Sends...)
+		unanswered = append(unanswered, actions.Sends...)
 	}
 	return actions.Answer, sends
 }
@@ -64,20 +64,20 @@
 
 // The loss of a machine with several servers loses no shard that has another replica.
 func TestCompleteAnswerAfterMachineLoss(t *testing.T) {
-	for _, gone := range []int{1, sequentialThreshold, 5, 9} {
-		t.Run(fmt.Sprint(gone, " servers"), func(t *testing.T) {
+	for _, lost := range []int{1, sequentialThreshold, 5, 9} {
+		t.Run(fmt.Sprint(lost, " servers"), func(t *testing.T) {
 			is := is.New(t)
 			query, fleet := pairs(10, true)
 			fleet.retries.tokens = 100
 			answer, sends := runUntilAnswered(t, query, func(send Send, number int) Reply {
-				if number <= gone {
+				if number <= lost {
 					return lostReply(send)
 				}
 				return completeReply(send)
 			})
 			is.Equal(answer.Failure, nil)
 			is.Equal(len(answer.Parts), 10)
-			is.Equal(sends, 10+gone)
+			is.Equal(sends, 10+lost)
 		})
 	}
 }
@@ -88,22 +88,22 @@
 	is := is.New(t)
 	query, fleet := pairs(10, true)
 	fleet.retries.tokens = 100
-	const before = 10 + sequentialThreshold - 1
-	most := 0
+	const lost = 10 + sequentialThreshold - 1
+	maxPending := 0
 	answer, sends := runUntilAnswered(t, query, func(send Send, number int) Reply {
 		switch {
-		case number <= before:
+		case number <= lost:
 			return lostReply(send)
-		case number == before+1:
+		case number == lost+1:
 			is.Equal(len(query.attempts), 1)
 		}
-		most = max(most, len(query.attempts))
+		maxPending = max(maxPending, len(query.attempts))
 		return completeReply(send)
 	})
 	is.Equal(answer.Failure, nil)
 	is.Equal(len(answer.Parts), 10)
-	is.Equal(sends, 10+before)
-	is.True(most > 1) // the others are sent concurrently
+	is.Equal(sends, 10+lost)
+	is.True(maxPending > 1) // the others are sent concurrently
 }
 
 // No hedge is sent in sequential mode.
--- a/internal/query/finish.go
+++ b/internal/query/finish.go
@@ -131,12 +131,12 @@
 	if notHeld == 0 || len(query.shards)-query.failed >= query.target() {
 		return
 	}
-	next := query.fleet.Snapshot()
-	if next.Shards <= len(query.shards)-notHeld {
+	choice := query.fleet.Snapshot()
+	if choice.Shards <= len(query.shards)-notHeld {
 		return
 	}
 	notRun := query.verdict == verdict.NotRun && len(query.attempts) == len(query.actions.Sends)
-	if !query.pin.Restart(next.Version, query.parameters.Repeatable || notRun) {
+	if !query.pin.Restart(choice.Version, query.parameters.Repeatable || notRun) {
 		return
 	}
 	query.restart(now)
@@ -146,13 +146,13 @@
 func (query *Query) restart(now time.Time) {
 	query.dropUnsent()
 	query.cancelAll(now)
-	wanted := make([]int, len(query.shards))
+	positions := make([]int, len(query.shards))
 	for position := range query.shards {
 		query.shards[position] = shardState{}
-		wanted[position] = position
+		positions[position] = position
 	}
-	query.covered, query.failed, query.retries = 0, 0, 0
+	query.covered, query.failed, query.scheduledRetries = 0, 0, 0
 	query.deferred = nil
 	query.hedgeAt = time.Time{}
-	query.send(now, wanted, purposeRestart)
+	query.send(now, positions, purposeRestart)
 }
--- a/internal/query/fleet.go
+++ b/internal/query/fleet.go
@@ -210,13 +210,13 @@
 
 // hedgeDelay returns the age at which an attempt is hedged, or false for never.
 // The fallback is used while too few latencies are known.
-func (fleet *Fleet) hedgeDelay(unknown time.Duration) (time.Duration, bool) {
+func (fleet *Fleet) hedgeDelay(fallback time.Duration) (time.Duration, bool) {
 	if fleet.quantile <= 0 {
 		return 0, false
 	}
 	delay, known := fleet.latencies.valueAt(fleet.quantile)
 	if !known {
-		return unknown, true
+		return fallback, true
 	}
 	if fleet.hedges.tokens < hedgeReserve {
 		delay *= 2
@@ -224,8 +224,9 @@
 	return delay, true
 }
 
-// attemptFloor is the least time in which an attempt can finish; zero if unknown.
+// attemptFloor returns the least time in which an attempt can finish; zero if unknown.
 func (fleet *Fleet) attemptFloor() time.Duration {
+	// valueAt also updates the floor.
 	if _, known := fleet.latencies.valueAt(fleet.quantile); !known {
 		return 0
 	}
--- a/internal/query/latency.go
+++ b/internal/query/latency.go
@@ -29,9 +29,11 @@
 	// sinceDecay counts samples since the last halving.
 	sinceDecay int
 
-	quantile    float64
-	cached      time.Duration
-	floor       time.Duration
+	// cached is the last computed latency at quantile; floor was computed with it.
+	quantile float64
+	cached   time.Duration
+	floor    time.Duration
+	// sinceCached counts samples since then.
 	sinceCached int
 }
 
--- a/internal/query/overload.go
+++ b/internal/query/overload.go
@@ -14,10 +14,10 @@
 // owners' reports, the queues of too many shards are full or their predicted wait
 // exceeds the remaining time. The work of the other shards would be wasted.
 func (query *Query) refuseIfOverloaded(now time.Time) bool {
-	left := query.parameters.Deadline.Sub(now) - query.fleet.attemptFloor()
+	remaining := query.parameters.Deadline.Sub(now) - query.fleet.attemptFloor()
 	refused := 0
 	for position := range query.shards {
-		if query.overloaded(now, left, position) {
+		if query.overloaded(now, remaining, position) {
 			refused++
 		}
 	}
@@ -33,25 +33,25 @@
 
 // overloaded reports whether all replicas of a shard would refuse an attempt, and
 // takes the shortest wait among them as the retry delay.
-func (query *Query) overloaded(now time.Time, left time.Duration, position int) bool {
+func (query *Query) overloaded(now time.Time, remaining time.Duration, position int) bool {
 	shortest := time.Duration(0)
-	asked := 0
+	usable := 0
 	for _, server := range query.shardMap.Shards[position].Replicas {
 		if server.removed || server.load.Draining {
 			continue
 		}
 		queued, wait := server.predictQueue(now)
 		full := query.fleet.queueLimit > 0 && queued*queueMargin >= float64(query.fleet.queueLimit)
-		if !full && float64(wait)*queueMargin <= float64(left) {
+		if !full && float64(wait)*queueMargin <= float64(remaining) {
 			return false
 		}
-		if asked == 0 || wait < shortest {
+		if usable == 0 || wait < shortest {
 			shortest = wait
 		}
-		asked++
+		usable++
 	}
 	query.retryAfter = max(query.retryAfter, shortest)
-	return asked > 0
+	return usable > 0
 }
 
 // predictQueue predicts the queue length and the wait at the server's owner: the
@@ -62,9 +62,9 @@
 	if load.Wait == 0 {
 		return 0, 0
 	}
-	each := load.Wait / time.Duration(load.Queued+1)
+	perAttempt := load.Wait / time.Duration(load.Queued+1)
 	queued := float64(load.Queued + max(server.pending-server.pendingAtReport, 0))
-	queued -= float64(now.Sub(server.loadSeen)) / float64(max(each, 1))
+	queued -= float64(now.Sub(server.loadSeen)) / float64(max(perAttempt, 1))
 	queued = max(queued, 0)
-	return queued, time.Duration((queued + 1) * float64(each))
+	return queued, time.Duration((queued + 1) * float64(perAttempt))
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -70,8 +70,8 @@
 	attempts map[AttemptID]*attempt
 	covered  int
 	failed   int
-	// retries counts the shards with a scheduled retry: those with a retryAt.
-	retries int
+	// scheduledRetries counts the shards that have a retryAt.
+	scheduledRetries int
 	// verdict combines the verdicts of all finished attempts.
 	verdict    verdict.Verdict
 	retryAfter time.Duration
@@ -107,11 +107,11 @@
 	if query.refuseIfOverloaded(now) {
 		return query.finish(now)
 	}
-	wanted := make([]int, len(query.shards))
-	for position := range wanted {
-		wanted[position] = position
+	positions := make([]int, len(query.shards))
+	for position := range positions {
+		positions[position] = position
 	}
-	query.send(now, wanted, purposeFirst)
+	query.send(now, positions, purposeFirst)
 	return query.finish(now)
 }
 
@@ -138,7 +138,7 @@
 	if query.covered < len(query.shards) && query.covered >= query.target() {
 		earlier(query.parameters.AnswerAfter)
 	}
-	if query.retries > 0 {
+	if query.scheduledRetries > 0 {
 		for position := range query.shards {
 			earlier(query.shards[position].retryAt)
 		}
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -87,7 +87,7 @@
 		s.apply(s.query.Start(s.now))
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			s.step()
-			if s.answer == nil && len(s.query.attempts) == 0 && s.query.retries == 0 {
+			if s.answer == nil && len(s.query.attempts) == 0 && s.query.scheduledRetries == 0 {
 				t.Fatalf("nothing is under way and there is no answer")
 			}
 		}
@@ -130,10 +130,10 @@
 	})
 }
 
-// twoReplicas is a service of one shard at two servers.
+// twoReplicas returns a query of a service with one shard at two servers.
 func twoReplicas(repeatable bool) (*Query, *Fleet) { return pairs(1, repeatable) }
 
-// pairs is a service whose every shard has two servers of its own.
+// pairs returns a query of a service in which every shard has two servers of its own.
 func pairs(shards int, repeatable bool) (*Query, *Fleet) {
 	spec := &v1.QueryServiceSpec{
 		Coverage: v1.Coverage{Target: 1},
--- a/internal/query/send.go
+++ b/internal/query/send.go
@@ -33,11 +33,12 @@
 	shards []int
 }
 
-// send sends the shards to one replica each, with one attempt per server.
-func (query *Query) send(now time.Time, wanted []int, purpose purpose) {
+// send sends the shards at the positions to one replica each, with one attempt per
+// server.
+func (query *Query) send(now time.Time, positions []int, purpose purpose) {
 	tooLate := now.Add(query.fleet.attemptFloor()).After(query.parameters.Deadline) || !now.Before(query.parameters.Deadline)
 	var groups []group
-	grouped := make(map[*Server]int, len(wanted))
+	grouped := make(map[*Server]int, len(positions))
 	selector := replicaSelector{
 		now:        now,
 		version:    query.pin.Version(),
@@ -51,7 +52,7 @@
 			return ok
 		},
 	}
-	for _, position := range wanted {
+	for _, position := range positions {
 		shard := &query.shards[position]
 		if tooLate {
 			query.failShard(position, purpose, verdict.CodeDeadline)
@@ -98,7 +99,7 @@
 			shard.passes++
 			shard.tried = 0
 			shard.retryAt = now.Add(delay)
-			query.retries++
+			query.scheduledRetries++
 			return
 		}
 	}
@@ -224,12 +225,12 @@
 	}
 }
 
-func spend(budget *budget, paid, refused *int) bool {
+func spend(budget *budget, sent, overBudget *int) bool {
 	if !budget.spend() {
-		*refused++
+		*overBudget++
 		return false
 	}
-	*paid++
+	*sent++
 	return true
 }
 
@@ -280,7 +281,7 @@
 
 // sendDueRetries resends the shards whose retry is due.
 func (query *Query) sendDueRetries(now time.Time) {
-	if query.retries == 0 {
+	if query.scheduledRetries == 0 {
 		return
 	}
 	var due []int
@@ -288,7 +289,7 @@
 		shard := &query.shards[position]
 		if !shard.retryAt.IsZero() && !now.Before(shard.retryAt) {
 			shard.retryAt = time.Time{}
-			query.retries--
+			query.scheduledRetries--
 			due = append(due, position)
 		}
 	}
--- a/internal/query/simulation_test.go
+++ b/internal/query/simulation_test.go
@@ -26,10 +26,10 @@
 	delivered  []Reply
 	versions   []int64
 	// heldFrom is the oldest version that the back ends still hold.
-	heldFrom int64
-	firsts   int
-	hedges   int
-	answer   *Answer
+	heldFrom      int64
+	otherAttempts int
+	hedges        int
+	answer        *Answer
 }
 
 type sentAttempt struct {
@@ -195,10 +195,10 @@
 	if concurrent {
 		s.hedges++
 	} else {
-		s.firsts++
+		s.otherAttempts++
 	}
-	if allowed := hedgeInitial + 0.05*float64(s.firsts); float64(s.hedges) > allowed {
-		s.t.Fatalf("%d hedges for %d other attempts", s.hedges, s.firsts)
+	if allowed := hedgeInitial + 0.05*float64(s.otherAttempts); float64(s.hedges) > allowed {
+		s.t.Fatalf("%d hedges for %d other attempts", s.hedges, s.otherAttempts)
 	}
 }
 
