--- a/internal/scatter/bench_test.go
+++ b/internal/scatter/bench_test.go
@@ -15,10 +15,10 @@
 
 const benchShards = 480
 
-// instant is a local owner that answers every attempt immediately.
-type instant struct{}
+// instantOwner is a local owner that answers every attempt immediately.
+type instantOwner struct{}
 
-func (instant) Execute(_ context.Context, request *message.SubRequest) *message.SubReply {
+func (instantOwner) Execute(_ context.Context, request *message.SubRequest) *message.SubReply {
 	reply := &message.SubReply{AttemptID: request.AttemptID, Verdict: 2, Snapshot: request.Snapshot, Load: loadOf(request.Server)}
 	for _, shard := range request.Shards {
 		reply.Parts = append(reply.Parts, message.ShardPart{Shard: shard, Body: []byte(`{"hits":[1,2,3]}`)})
@@ -26,7 +26,7 @@
 	return reply
 }
 
-func (instant) Loads(request *message.LoadRequest) *message.LoadReply {
+func (instantOwner) Loads(request *message.LoadRequest) *message.LoadReply {
 	reply := &message.LoadReply{}
 	for _, name := range request.Servers {
 		reply.Loads = append(reply.Loads, loadOf(name))
@@ -52,7 +52,7 @@
 		spec.Shards = append(spec.Shards, shard)
 	}
 	cluster := &fakeCluster{members: []swim.Member{{ID: "node-0", Address: "node-0", Zone: "a"}}}
-	scatterer := scatter.New(scatter.Options{NodeID: "node-0", Zone: "a", Members: cluster, Owners: cluster, Local: instant{}, Seed: 1})
+	scatterer := scatter.New(scatter.Options{NodeID: "node-0", Zone: "a", Members: cluster, Owners: cluster, Local: instantOwner{}, Seed: 1})
 	service := &config.Service{Name: "bench", Revision: 1, Spec: spec}
 	b.ReportAllocs()
 	b.RunParallel(func(loop *testing.PB) {
--- a/internal/scatter/execute.go
+++ b/internal/scatter/execute.go
@@ -16,8 +16,8 @@
 	reply, failure := scatterer.call(ctx, route.first, request, deadline)
 	if route.second.id != "" && ctx.Err() == nil && ownerUnavailable(reply, failure) {
 		// Copied because the first call may still use the request.
-		again := *request
-		reply, failure = scatterer.call(ctx, route.second, &again, deadline)
+		requestCopy := *request
+		reply, failure = scatterer.call(ctx, route.second, &requestCopy, deadline)
 	}
 	result := ownerReply{server: request.Server, reply: query.Reply{Attempt: query.AttemptID(request.AttemptID)}}
 	if failure != nil {
@@ -70,9 +70,9 @@
 	return reply, nil
 }
 
-func convertReply(target *query.Reply, reply *message.SubReply) {
+func convertReply(converted *query.Reply, reply *message.SubReply) {
 	if reply.Code != "" {
-		target.Failure = &verdict.Error{
+		converted.Failure = &verdict.Error{
 			Verdict:    verdict.Verdict(reply.Verdict),
 			Code:       verdict.Code(reply.Code),
 			Message:    reply.Reason,
@@ -80,9 +80,9 @@
 		}
 		return
 	}
-	target.Snapshot = reply.Snapshot
-	target.Parts = make([]query.Part, len(reply.Parts))
+	converted.Snapshot = reply.Snapshot
+	converted.Parts = make([]query.Part, len(reply.Parts))
 	for index, part := range reply.Parts {
-		target.Parts[index] = query.Part{Shard: v1.ShardID(part.Shard), Body: part.Body}
+		converted.Parts[index] = query.Part{Shard: v1.ShardID(part.Shard), Body: part.Body}
 	}
 }
--- a/internal/scatter/fault_test.go
+++ b/internal/scatter/fault_test.go
@@ -23,14 +23,14 @@
 
 // runLoad sends requests from several concurrent callers, some repeatable and some not,
 // and returns the outcomes.
-func runLoad(t *testing.T, scatterer *scatter.Scatterer, cluster *fakeCluster, callers, each int) []outcome {
+func runLoad(t *testing.T, scatterer *scatter.Scatterer, cluster *fakeCluster, callers, perCaller int) []outcome {
 	t.Helper()
 	var mutex sync.Mutex
 	var outcomes []outcome
 	var group sync.WaitGroup
 	for caller := range callers {
 		group.Go(func() {
-			for round := range each {
+			for round := range perCaller {
 				repeatable := (caller+round)%2 == 0
 				id, answer := runQuery(t, scatterer, cluster, repeatable)
 				mutex.Lock()
--- a/internal/scatter/routes.go
+++ b/internal/scatter/routes.go
@@ -24,7 +24,7 @@
 	second target
 }
 
-// members is a snapshot of the membership, indexed for placement.
+// members is a copy of the member list, indexed for placement.
 type members struct {
 	list      []swim.Member
 	index     *placement.Index
@@ -36,7 +36,7 @@
 	return target{id: id, address: members.addresses[id]}
 }
 
-// memberCache caches the membership and detects changes of it.
+// memberCache caches the member list and detects its changes.
 type memberCache struct {
 	members Members
 
@@ -45,25 +45,25 @@
 	checkedAt time.Time
 }
 
-// current returns the current snapshot; the pointer changes when the members do.
-func (table *memberCache) current(now time.Time) *members {
-	table.mutex.Lock()
-	defer table.mutex.Unlock()
-	if table.cached != nil && now.Sub(table.checkedAt) < memberCheckInterval {
-		return table.cached
+// current returns the current members; the pointer changes when the list does.
+func (cache *memberCache) current(now time.Time) *members {
+	cache.mutex.Lock()
+	defer cache.mutex.Unlock()
+	if cache.cached != nil && now.Sub(cache.checkedAt) < memberCheckInterval {
+		return cache.cached
 	}
-	table.checkedAt = now
-	list := table.members.Members()
-	if table.cached == nil || !slices.Equal(list, table.cached.list) {
-		table.cached = newMembers(slices.Clone(list))
+	cache.checkedAt = now
+	list := cache.members.Members()
+	if cache.cached == nil || !slices.Equal(list, cache.cached.list) {
+		cache.cached = newMembers(slices.Clone(list))
 	}
-	return table.cached
+	return cache.cached
 }
 
 // newMembers selects the members that may own servers: leaving members get no new
 // work, suspected members keep their servers.
 func newMembers(list []swim.Member) *members {
-	snapshot := &members{list: list, addresses: make(map[string]string, len(list)), suspects: make(map[string]bool)}
+	result := &members{list: list, addresses: make(map[string]string, len(list)), suspects: make(map[string]bool)}
 	var nodes []placement.Node
 	for index := range list {
 		member := &list[index]
@@ -71,9 +71,9 @@
 			continue
 		}
 		nodes = append(nodes, placement.Node{ID: member.ID, Zone: member.Zone})
-		snapshot.addresses[member.ID] = member.Address
-		snapshot.suspects[member.ID] = member.State == swim.Suspect
+		result.addresses[member.ID] = member.Address
+		result.suspects[member.ID] = member.State == swim.Suspect
 	}
-	snapshot.index = placement.NewIndex(nodes)
-	return snapshot
+	result.index = placement.NewIndex(nodes)
+	return result
 }
--- a/internal/scatter/scatter_test.go
+++ b/internal/scatter/scatter_test.go
@@ -33,7 +33,7 @@
 	// unreachable nodes refuse connections; lost ones reset them after the call.
 	unreachable map[string]bool
 	lost        map[string]bool
-	// calls counts the attempts sent to other cluster.
+	// calls counts the attempts sent to other nodes.
 	calls atomic.Int32
 }
 
--- a/internal/scatter/service.go
+++ b/internal/scatter/service.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// refreshInterval is how often, while there are queries, the loads are requested
-	// of servers that regular attempts do not reach.
+	// refreshInterval is how often the loads of servers that get no regular attempts
+	// are requested while there are queries.
 	refreshInterval = time.Second
 	// refreshTimeout bounds one load request.
 	refreshTimeout = 500 * time.Millisecond
@@ -34,7 +34,8 @@
 	fleet  *query.Fleet
 	pinned *config.Service
 	shards *query.ShardMap
-	// routed is the membership from which routes, by server name, was computed.
+	// routes holds the owners of each server by its name; routed is the member list
+	// from which they were computed.
 	routed *members
 	routes map[string]route
 
