--- a/internal/owner/collector.go
+++ b/internal/owner/collector.go
@@ -24,12 +24,12 @@
 // Collect implements prometheus.Collector with the state of each managed server.
 func (manager *Manager) Collect(metrics chan<- prometheus.Metric) {
 	manager.mutex.Lock()
-	held := make(map[serverKey]*server, len(manager.servers))
+	servers := make(map[serverKey]*server, len(manager.servers))
 	for key, server := range manager.servers {
-		held[key] = server
+		servers[key] = server
 	}
 	manager.mutex.Unlock()
-	for key, server := range held {
+	for key, server := range servers {
 		load := server.load()
 		gauge := func(description *prometheus.Desc, value float64) {
 			metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, value, key.service, key.server)
--- a/internal/owner/run.go
+++ b/internal/owner/run.go
@@ -25,19 +25,19 @@
 func (manager *Manager) Run(ctx context.Context) {
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
-	polls := make(chan struct{}, 1)
-	polls <- struct{}{}
-	next := time.Time{}
+	pollToken := make(chan struct{}, 1)
+	pollToken <- struct{}{}
+	nextPoll := time.Time{}
 	for {
 		now := manager.options.Now()
 		manager.pauses.beat(now)
-		if !now.Before(next) {
+		if !now.Before(nextPoll) {
 			select {
-			case <-polls:
-				next = now.Add(pollInterval)
+			case <-pollToken:
+				nextPoll = now.Add(pollInterval)
 				go func() {
 					manager.reconcile(ctx)
-					polls <- struct{}{}
+					pollToken <- struct{}{}
 				}()
 			default:
 			}
@@ -93,9 +93,9 @@
 	return manager.options.Ownership != nil && manager.options.Ownership.Owns(key.service, key.server)
 }
 
-// removeUnused removes the servers that are no longer configured, or that another
-// node owns and that are unused here: their connections count at the server. It
-// returns the kept and the removed servers.
+// removeUnused removes the servers that are no longer configured, and those that
+// another node owns and that are unused here, since connections from here count at
+// the server too. It returns the kept and the removed servers.
 func (manager *Manager) removeUnused(now time.Time, configured map[serverKey]*config.Service) (map[serverKey]*server, []*server) {
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
--- a/internal/owner/server.go
+++ b/internal/owner/server.go
@@ -44,12 +44,12 @@
 	lastID  admission.ID
 	// held are the index versions that the server last reported.
 	held []int64
-	// drainOrdered is the draining state in the resource; drainSeen is when the
+	// drainConfigured is the draining state in the resource; drainSeen is when the
 	// server itself last announced draining, zero for never.
-	drainOrdered bool
-	drainSeen    time.Time
-	polling      bool
-	log          serverLog
+	drainConfigured bool
+	drainSeen       time.Time
+	polling         bool
+	log             serverLog
 }
 
 // waiter is an attempt offered to the admission core and not decided yet.
@@ -89,7 +89,7 @@
 		server.connect(spec, service.Spec.Path)
 	}
 	server.client.SetConnections(spec.Connections)
-	server.drainOrdered = spec.Draining
+	server.drainConfigured = spec.Draining
 	server.apply(server.core.SetLimits(now, limitsOf(service, spec)))
 	server.updateDrain(now)
 	server.revision.Store(service.Revision)
@@ -131,7 +131,7 @@
 // draining: the resource, the server itself or the machine list.
 func (server *server) updateDrain(now time.Time) {
 	leaving := server.options.Machines != nil && server.options.Machines.Leaving(server.address)
-	draining := server.drainOrdered || !server.drainSeen.IsZero() || leaving
+	draining := server.drainConfigured || !server.drainSeen.IsZero() || leaving
 	server.apply(server.core.Drain(now, draining))
 	server.log.state(server.core.View())
 }
@@ -164,9 +164,9 @@
 	if failure != nil {
 		return backend.Result{Failure: failure}
 	}
-	state := &execution{server: server, id: id, request: request.RequestID}
-	result := client.Do(ctx, backendRequest(request, deadline), state.end)
-	state.recordOutcome(result)
+	started := &execution{server: server, id: id, request: request.RequestID}
+	result := client.Do(ctx, backendRequest(request, deadline), started.end)
+	started.recordOutcome(result)
 	return result
 }
 
--- a/internal/owner/server_test.go
+++ b/internal/owner/server_test.go
@@ -25,15 +25,16 @@
 	testServer  = "s0"
 )
 
-// pipe is a connection whose sending side can be closed separately.
+// pipe is a connection whose sending side can be closed separately; closed is closed
+// when that happens.
 type pipe struct {
 	net.Conn
-	once sync.Once
-	gone chan struct{}
+	once   sync.Once
+	closed chan struct{}
 }
 
 func (pipe *pipe) CloseWrite() error {
-	pipe.once.Do(func() { close(pipe.gone) })
+	pipe.once.Do(func() { close(pipe.closed) })
 	return nil
 }
 
@@ -51,7 +52,7 @@
 	stopsOnClose bool
 	headers      atomic.Pointer[string]
 	executed     atomic.Int32
-	// shedsLeft is how many requests the server refuses first.
+	// shedsLeft is how many further requests the server sheds.
 	shedsLeft  atomic.Int32
 	running    atomic.Int32
 	maxRunning atomic.Int32
@@ -79,12 +80,12 @@
 
 func (tb *testbed) dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
-	conn := &pipe{Conn: near, gone: make(chan struct{})}
-	go tb.serve(far, conn.gone)
+	conn := &pipe{Conn: near, closed: make(chan struct{})}
+	go tb.serve(far, conn.closed)
 	return conn, nil
 }
 
-func (tb *testbed) serve(conn net.Conn, gone <-chan struct{}) {
+func (tb *testbed) serve(conn net.Conn, closed <-chan struct{}) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -101,7 +102,7 @@
 			continue
 		}
 		id := string(request.Header.Peek("Driftstage-Request-Id"))
-		if !tb.work(gone) {
+		if !tb.work(closed) {
 			return
 		}
 		body := fmt.Sprintf(`{"requestId":%q,"snapshot":41,"parts":[{"shard":0,"body":1}]}`, id)
@@ -114,7 +115,7 @@
 }
 
 // work simulates one execution and reports whether the sender is still connected.
-func (tb *testbed) work(gone <-chan struct{}) bool {
+func (tb *testbed) work(closed <-chan struct{}) bool {
 	tb.executed.Add(1)
 	running := tb.running.Add(1)
 	defer tb.running.Add(-1)
@@ -125,7 +126,7 @@
 	defer timer.Stop()
 	if tb.stopsOnClose {
 		select {
-		case <-gone:
+		case <-closed:
 			return false
 		case <-timer.C:
 			return true
@@ -133,7 +134,7 @@
 	}
 	<-timer.C
 	select {
-	case <-gone:
+	case <-closed:
 		return false
 	default:
 		return true
@@ -229,10 +230,10 @@
 
 // A cancelled attempt holds its slot until the server has stopped running it.
 func TestCancelledAttemptHoldsItsSlot(t *testing.T) {
-	for name, obeys := range map[string]bool{"server obeys": true, "server works on": false} {
+	for name, stops := range map[string]bool{"server obeys": true, "server works on": false} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, testServerSpec(1, 3), func(t *testing.T, is *is.I, tb *testbed) {
-				tb.stopsOnClose = obeys
+				tb.stopsOnClose = stops
 				ctx, cancel := context.WithCancel(t.Context())
 				first := tb.start(ctx, time.Second)
 				second := tb.start(t.Context(), time.Second)
@@ -240,7 +241,7 @@
 				cancelled := <-first
 				is.Equal(verdict.Verdict(cancelled.Verdict), verdict.MayHaveRun)
 				synctest.Wait()
-				is.Equal(tb.executed.Load() == 2, obeys)
+				is.Equal(tb.executed.Load() == 2, stops)
 				is.Equal((<-second).Code, "")
 				is.Equal(tb.maxRunning.Load(), int32(1))
 			})
