--- a/internal/backend/client.go
+++ b/internal/backend/client.go
@@ -136,13 +136,13 @@
 	})
 	reply := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(reply)
-	complete, err := exchange.transfer(reply)
+	requestWritten, err := exchange.transfer(reply)
 	canceled := !stop()
 	if canceled {
 		<-interrupted
 	}
 	if err != nil {
-		return exchange.fail(err, complete, canceled, reply)
+		return exchange.fail(err, requestWritten, canceled, reply)
 	}
 	result, matches := interpret(exchange.request, exchange.attempt, reply)
 	if matches && !canceled && !reply.ConnectionClose() {
@@ -185,15 +185,15 @@
 }
 
 // fail ends an exchange whose reply was not read completely.
-func (exchange *exchange) fail(err error, complete, canceled bool, reply *fasthttp.Response) Result {
-	written := exchange.conn.written
+func (exchange *exchange) fail(err error, requestWritten, canceled bool, reply *fasthttp.Response) Result {
+	anyWritten := exchange.conn.written
 	timedOut := exchange.conn.timedOut
-	if complete && (canceled || timedOut) {
+	if requestWritten && (canceled || timedOut) {
 		exchange.abandon()
 	} else {
 		exchange.close()
 	}
-	if !written {
+	if !anyWritten {
 		code := verdict.CodeUnreachable
 		if canceled {
 			code = verdict.CodeCanceled
--- a/internal/backend/client_test.go
+++ b/internal/backend/client_test.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// Cancellation closes the sending side at once; the attempt and its connection count
-// until the server closes.
+// Cancellation closes the sending side at once; until the server closes the
+// connection, the attempt has not ended and the connection counts against the limit.
 func TestCancellationReachesServer(t *testing.T) {
 	is := is.New(t)
 	seen := make(chan struct{})
--- a/internal/backend/connection.go
+++ b/internal/backend/connection.go
@@ -23,9 +23,9 @@
 	idleAt   time.Time
 }
 
-func newConnection(raw net.Conn) *connection {
-	conn := &connection{Conn: raw}
-	if system, ok := raw.(syscall.Conn); ok {
+func newConnection(netConn net.Conn) *connection {
+	conn := &connection{Conn: netConn}
+	if system, ok := netConn.(syscall.Conn); ok {
 		conn.raw, _ = system.SyscallConn()
 	}
 	conn.reader = bufio.NewReader(conn)
@@ -83,8 +83,8 @@
 // closeWrite closes the sending side: the server reads the end of the stream, as
 // with a full close, while its own close can still be detected here.
 func (conn *connection) closeWrite() error {
-	if half, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return conn.Conn.Close()
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -27,8 +27,8 @@
 	closed bool
 }
 
-// get returns an idle connection or dials a new one within the deadline. The error is errConnectionLimit,
-// errClosed or a dial error; in each case nothing was sent.
+// get returns an idle connection or dials a new one within the deadline. The error
+// is errConnectionLimit, errClosed or a dial error; in each case nothing was sent.
 func (pool *pool) get(ctx context.Context, deadline time.Time) (*connection, error) {
 	for {
 		conn, err := pool.takeIdle()
@@ -45,12 +45,12 @@
 	}
 	dialContext, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	raw, err := pool.dial(dialContext)
+	netConn, err := pool.dial(dialContext)
 	if err != nil {
 		pool.release()
 		return nil, err
 	}
-	return newConnection(raw), nil
+	return newConnection(netConn), nil
 }
 
 // takeIdle returns the most recently used idle connection. If there is none, it
