--- a/internal/controller/cache.go
+++ b/internal/controller/cache.go
@@ -34,8 +34,8 @@
 func (cache *cache) put(object *v1.QueryServiceObject) {
 	cache.mutex.Lock()
 	defer cache.mutex.Unlock()
-	held, found := cache.objects[object.Metadata.Name]
-	if found && version(held) > version(object) {
+	cached, found := cache.objects[object.Metadata.Name]
+	if found && version(cached) > version(object) {
 		return
 	}
 	if cache.deletedSinceLocked(object) {
@@ -74,8 +74,8 @@
 	return deletedAt > 0 && version(object) <= deletedAt
 }
 
-// replace replaces the contents by a complete list; objects cached in a newer
-// version are kept.
+// replace replaces the contents with a complete list; listed objects that are cached
+// in a newer version are kept.
 func (cache *cache) replace(items []v1.QueryServiceObject) {
 	listed := make(map[string]bool, len(items))
 	for index := range items {
--- a/internal/controller/cache_test.go
+++ b/internal/controller/cache_test.go
@@ -35,14 +35,14 @@
 }
 
 // A reconciliation that read the object just before the watch reported its deletion must
-// not undo the deletion; a recreated object does.
+// not undo the deletion; an object that was created again does.
 func TestObjectReadBeforeDeletionIsDeleted(t *testing.T) {
 	is := is.New(t)
 	cache := newCache()
-	taken := objectAt("5")
-	cache.put(taken)
-	is.True(!cache.deletedSince(taken))
+	cached := objectAt("5")
+	cache.put(cached)
+	is.True(!cache.deletedSince(cached))
 	cache.delete(objectAt("6"))
-	is.True(cache.deletedSince(taken))
+	is.True(cache.deletedSince(cached))
 	is.True(!cache.deletedSince(objectAt("7")))
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -20,7 +20,7 @@
 
 const (
 	testTerm = time.Second
-	// eventuallyTimeout is a generous bound on eventual conditions.
+	// eventuallyTimeout bounds the wait for a condition; it is generous on purpose.
 	eventuallyTimeout = 30 * time.Second
 )
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -229,7 +229,7 @@
 	})
 }
 
-// A platform that has lost its data removes no service that is in force; a resource
+// When the platform has lost its data, services in force are kept; a resource that is
 // applied again is accepted with a higher revision.
 func TestLostStoreDeletesNothing(t *testing.T) {
 	is := is.New(t)
@@ -247,8 +247,8 @@
 	is.True(again.Status.Accepted.Revision > known.Revision)
 }
 
-// TestLostReplies drops the replies to the first writes, one more each time, for the
-// writes of an acceptance and of a deletion.
+// TestLostReplies drops the replies to the first one to four writes, of an acceptance
+// and of a deletion.
 func TestLostReplies(t *testing.T) {
 	is := is.New(t)
 	cluster := newCluster(t)
@@ -278,7 +278,7 @@
 	cluster.server.SetFaults(standin.Faults{Resource: "queryservices", Client: "a", HoldWatches: true, DropReplies: 3})
 	cluster.start("a")
 	cluster.awaitInForce("fleet", "/one")
-	is.Equal(cluster.server.Stats()["a"].Conflicts, int64(0)) // nothing was sent blindly
+	is.Equal(cluster.server.Stats()["a"].Conflicts, int64(0)) // no write was sent again without a read
 }
 
 func TestWatchEndsAndExpires(t *testing.T) {
@@ -354,7 +354,8 @@
 	is.True(cluster.server.Stats()["a"].Conflicts > 0) // it did arrive
 }
 
-// TestFewReaders counts the readers of the Object API in a cluster of 40 nodes.
+// TestFewReaders checks that in a cluster of 40 nodes at most two read the Object API,
+// with one watch in total.
 func TestFewReaders(t *testing.T) {
 	const size = 40
 	is := is.New(t)
--- a/internal/controller/decide.go
+++ b/internal/controller/decide.go
@@ -40,7 +40,7 @@
 	stepRemoveFinalizer
 )
 
-// step is a decision.
+// step is the next step for a resource, as returned by decide.
 type step struct {
 	kind stepKind
 	// spec and its generation are set for stepAccept, fieldErrors for stepRefuse.
--- a/internal/controller/decide_test.go
+++ b/internal/controller/decide_test.go
@@ -158,14 +158,14 @@
 	tracker.track(7, false, now)
 	is.True(tracker.due(now))
 	is.True(tracker.latest() == nil)
-	asked := 0
+	checks := 0
 	for end := now.Add(time.Minute); now.Before(end); now = now.Add(trackerInterval) {
 		if tracker.due(now) {
-			asked++
+			checks++
 			tracker.record(7, propagation{total: 3, applied: 2}, now)
 		}
 	}
-	is.True(asked > 25 && asked < 40)
+	is.True(checks > 25 && checks < 40)
 	is.True(tracker.latest().laggingFor > 50*time.Second)
 	tracker.record(6, propagation{total: 3, applied: 3}, now) // a late result for another revision
 	is.Equal(tracker.latest().applied, 2)
--- a/internal/controller/elector.go
+++ b/internal/controller/elector.go
@@ -219,12 +219,12 @@
 		return
 	}
 	klog.InfoS("lease acquired", "epoch", epoch)
-	leading, cancel := context.WithCancel(ctx)
+	leaderContext, cancel := context.WithCancel(ctx)
 	stopped := make(chan struct{})
 	leadership.epoch, leadership.cancel, leadership.stopped = epoch, cancel, stopped
 	go func() {
 		defer close(stopped)
-		lead(leading, epoch)
+		lead(leaderContext, epoch)
 	}()
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -211,12 +211,12 @@
 func (leader *leader) updateRecord(name string, change func(*record)) {
 	leader.mutex.Lock()
 	defer leader.mutex.Unlock()
-	held, found := leader.records[name]
+	current, found := leader.records[name]
 	if !found {
-		held = &record{}
-		leader.records[name] = held
+		current = &record{}
+		leader.records[name] = current
 	}
-	change(held)
+	change(current)
 }
 
 func sleep(ctx context.Context, duration time.Duration) {
--- a/internal/controller/queue_test.go
+++ b/internal/controller/queue_test.go
@@ -40,10 +40,10 @@
 			}
 		}
 		adding.Wait()
-		minute := int(time.Minute / maxBackoff)
-		is.True(taken["broken"] >= minute)
-		is.True(taken["broken"] <= 2*minute+10) // jitter halves the backoff at most
-		is.True(taken["fine"] >= 500)           // not delayed by the other
+		backoffsPerMinute := int(time.Minute / maxBackoff)
+		is.True(taken["broken"] >= backoffsPerMinute)
+		is.True(taken["broken"] <= 2*backoffsPerMinute+10) // jitter at most halves the backoff
+		is.True(taken["fine"] >= 500)                      // not delayed by the other
 	})
 }
 
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -50,8 +50,8 @@
 
 // read returns the resource from the cache or reads it; nil if it does not exist.
 func (leader *leader) read(ctx context.Context, name string) (*v1.QueryServiceObject, error) {
-	if held := leader.cache.get(name); held != nil {
-		return held, nil
+	if cached := leader.cache.get(name); cached != nil {
+		return cached, nil
 	}
 	object, err := leader.client.Get(ctx, name)
 	if platform.IsNotFound(err) {
@@ -64,7 +64,7 @@
 	return object, nil
 }
 
-// publishAccepted publishes the accepted revision in the Object API, once per epoch,
+// publishAccepted publishes the revision accepted in the Object API, once per epoch,
 // because the previous leader may have crashed before publishing it.
 func (leader *leader) publishAccepted(object *v1.QueryServiceObject, status *v1.QueryServiceStatus) {
 	if status.Accepted == nil || object.Metadata.DeletionTimestamp != nil {
