--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -18,8 +18,8 @@
 	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = time.Second
 	readerBytes = 4096
-	// largeBodyBytes is the size from which a body is written while the client
-	// already reads: a server may answer before it has read a large body.
+	// largeBodyBytes is the size from which a body is written while the answer is
+	// already being read: a server may answer before it has read a large body.
 	largeBodyBytes = 4096
 )
 
@@ -81,7 +81,8 @@
 	return true
 }
 
-// ConnectionRefused reports whether the address refuses connections, as it does without a listener.
+// ConnectionRefused reports whether the address refuses connections because no process
+// listens there.
 func (c *Client) ConnectionRefused(ctx context.Context, address string) bool {
 	conn, err := c.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -122,16 +123,16 @@
 	reader := c.readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
 	defer c.putReader(reader)
-	reply, persistence := c.receive(reader, call, conn.used)
+	reply, keepAlive := c.receive(reader, call, conn.used)
 	if reply.Err != nil {
 		if reply.Kind == Lost {
 			reply.Kind = ioErrorKind(conn, reply.Err)
 		}
 		return failedReply(ctx, call, reply.Kind, reply.Verdict, reply.Err), false
 	}
-	reusable := persistence.reusable && reader.Buffered() == 0 && sent.complete()
+	reusable := keepAlive.reusable && reader.Buffered() == 0 && sent.complete()
 	conn.used = true
-	conn.expires = time.Now().Add(persistence.idleTimeout - idleMargin)
+	conn.expires = time.Now().Add(keepAlive.idleTimeout - idleMargin)
 	return reply, reusable
 }
 
@@ -173,15 +174,15 @@
 }
 
 // syncError returns the error of a write that did not run in the background.
-func (s *requestWrite) syncError() error { return s.err }
+func (w *requestWrite) syncError() error { return w.err }
 
 // complete reports whether the whole request was written.
-func (s *requestWrite) complete() bool {
-	if s.done == nil {
-		return s.err == nil
+func (w *requestWrite) complete() bool {
+	if w.done == nil {
+		return w.err == nil
 	}
 	select {
-	case err := <-s.done:
+	case err := <-w.done:
 		return err == nil
 	default:
 		return false
@@ -218,9 +219,9 @@
 
 // failedReply returns the reply of a failed attempt. An error after ctx was canceled
 // or the deadline passed does not count against the server.
-func failedReply(ctx context.Context, call Call, kind Kind, ran verdict.Verdict, err error) Reply {
+func failedReply(ctx context.Context, call Call, kind Kind, execution verdict.Verdict, err error) Reply {
 	if ctx.Err() != nil || !time.Now().Before(call.Deadline) {
 		kind = Expired
 	}
-	return Reply{Kind: kind, Verdict: ran, Err: err}
+	return Reply{Kind: kind, Verdict: execution, Err: err}
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -53,8 +53,8 @@
 	// ServerID is the id of the server, Address its IP:port.
 	ServerID string
 	Address  string
-	// Incarnation identifies the server's process and keys the connection pool; if it
-	// is empty, ServerID does.
+	// Incarnation identifies the server's process and is its key in the connection
+	// pool; if it is empty, ServerID is the key.
 	Incarnation string
 	// Deadline is when the caller of the request stops waiting.
 	Deadline time.Time
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,8 +13,8 @@
 	idleMargin = 700 * time.Millisecond
 )
 
-// pool holds the idle connections to all servers by incarnation. It reuses the most
-// recently used one first.
+// pool holds the idle connections to all servers, keyed by Call.poolKey. It reuses the
+// most recently used connection first.
 type pool struct {
 	mutex sync.Mutex
 	idle  map[string][]*connection
@@ -25,9 +25,9 @@
 }
 
 // get returns a healthy idle connection to the server, or nil.
-func (p *pool) get(incarnation string, now time.Time) *connection {
+func (p *pool) get(key string, now time.Time) *connection {
 	for {
-		conn := p.pop(incarnation)
+		conn := p.pop(key)
 		if conn == nil {
 			return nil
 		}
@@ -38,42 +38,42 @@
 	}
 }
 
-func (p *pool) pop(incarnation string) *connection {
+func (p *pool) pop(key string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	idle := p.idle[incarnation]
+	idle := p.idle[key]
 	if len(idle) == 0 {
 		return nil
 	}
 	last := len(idle) - 1
 	conn := idle[last]
-	p.idle[incarnation] = idle[:last]
+	p.idle[key] = idle[:last]
 	return conn
 }
 
 // put adds an idle connection, or closes it if the limit is reached; a negative
 // limit means none.
-func (p *pool) put(incarnation string, conn *connection, limit int) {
-	if !p.add(incarnation, conn, limit) {
+func (p *pool) put(key string, conn *connection, limit int) {
+	if !p.add(key, conn, limit) {
 		_ = conn.Close()
 	}
 }
 
-func (p *pool) add(incarnation string, conn *connection, limit int) bool {
+func (p *pool) add(key string, conn *connection, limit int) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	idle := p.idle[incarnation]
+	idle := p.idle[key]
 	if limit >= 0 && len(idle) >= limit {
 		return false
 	}
-	p.idle[incarnation] = append(idle, conn)
+	p.idle[key] = append(idle, conn)
 	return true
 }
 
-func (p *pool) has(incarnation string) bool {
+func (p *pool) has(key string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return len(p.idle[incarnation]) > 0
+	return len(p.idle[key]) > 0
 }
 
 func (p *pool) count() int {
@@ -87,10 +87,10 @@
 }
 
 // closeIdle closes the idle connections of the server.
-func (p *pool) closeIdle(incarnation string) {
+func (p *pool) closeIdle(key string) {
 	p.mutex.Lock()
-	idle := p.idle[incarnation]
-	delete(p.idle, incarnation)
+	idle := p.idle[key]
+	delete(p.idle, key)
 	p.mutex.Unlock()
 	for _, conn := range idle {
 		_ = conn.Close()
@@ -101,7 +101,7 @@
 func (p *pool) closeExpired(now time.Time) {
 	p.mutex.Lock()
 	var expired []*connection
-	for incarnation, idle := range p.idle {
+	for key, idle := range p.idle {
 		kept := idle[:0]
 		for _, conn := range idle {
 			if now.Before(conn.expires) {
@@ -110,9 +110,9 @@
 				expired = append(expired, conn)
 			}
 		}
-		p.idle[incarnation] = kept
+		p.idle[key] = kept
 		if len(kept) == 0 {
-			delete(p.idle, incarnation)
+			delete(p.idle, key)
 		}
 	}
 	p.mutex.Unlock()
