--- a/internal/ingress/connection.go
+++ b/internal/ingress/connection.go
@@ -9,7 +9,7 @@
 	"github.com/driftstage/driftstage/internal/upstream"
 )
 
-// listener accepts connections that detect callers that hang up.
+// listener wraps each accepted connection so that it can detect when its caller hangs up.
 type listener struct {
 	net.Listener
 	limits func() routing.Limits
--- a/internal/ingress/names.go
+++ b/internal/ingress/names.go
@@ -2,7 +2,7 @@
 //
 // It uses fasthttp, which does not tell its handlers that a caller has hung up.
 // connection.go therefore reads from the connection while a request is processed, so
-// that its work is canceled when the caller hangs up.
+// that the request is canceled when the caller hangs up.
 package ingress
 
 import "github.com/driftstage/driftstage/internal/upstream"
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -89,8 +89,8 @@
 }
 
 // Serve accepts connections until the listener is closed.
-func (s *Server) Serve(accepting net.Listener) error {
-	return s.http.Serve(&listener{Listener: accepting, limits: s.limits, open: s.open})
+func (s *Server) Serve(netListener net.Listener) error {
+	return s.http.Serve(&listener{Listener: netListener, limits: s.limits, open: s.open})
 }
 
 // Drain makes all further answers ask their callers to close the connection.
--- a/internal/ingress/start.go
+++ b/internal/ingress/start.go
@@ -10,8 +10,8 @@
 	"github.com/driftstage/driftstage/internal/dispatch"
 )
 
-// releaseSlowdown is how many times slower than they arrived the requests are released
-// that have waited for the node's startup: new requests arrive at the same time, and the
+// releaseSlowdown is the factor by which the requests that have waited for the node's
+// startup are released more slowly than they arrived: new requests arrive meanwhile, and the
 // servers are not warmed up.
 const releaseSlowdown = 2
 
