--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,7 +68,8 @@
 	metrics  *metrics
 	inFlight inFlight
 	draining atomic.Bool
-	// baseContext is the context of all queries; cancel ends those left by Shutdown.
+	// baseContext is the context of all queries; Shutdown calls cancel to end the
+	// remaining ones.
 	baseContext context.Context
 	cancel      context.CancelFunc
 }
