--- a/internal/wire/connection.go
+++ b/internal/wire/connection.go
@@ -112,8 +112,9 @@
 }
 
 // remove removes a call from the connection. It reports whether the call was written
-// and whether its reply is already being decoded.
-func (c *connection) remove(started *call) (written, answered bool) {
+// and whether it is already ending, because its answer is being decoded or the
+// connection has failed.
+func (c *connection) remove(started *call) (written, ending bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if _, pending := c.calls[started.id]; !pending {
@@ -129,8 +130,8 @@
 
 // cancelCall ends a call whose context has ended and tells the peer if it was written.
 func (c *connection) cancelCall(ctx context.Context, started *call) error {
-	written, answered := c.remove(started)
-	if answered {
+	written, ending := c.remove(started)
+	if ending {
 		<-started.done
 		return started.err
 	}
--- a/internal/wire/session.go
+++ b/internal/wire/session.go
@@ -69,7 +69,7 @@
 func (s *session) handle(received frame) {
 	switch received.kind {
 	case frameRequest:
-		s.request(received)
+		s.handleRequest(received)
 	case frameCancel:
 		s.cancel(received.id)
 	case framePing:
@@ -77,30 +77,32 @@
 	}
 }
 
-func (s *session) request(received frame) {
+func (s *session) handleRequest(received frame) {
 	handler, known := s.server.handlers[received.fingerprint]
 	if !known {
-		s.fail(received.id, verdict.New(verdict.NotRun, verdict.CodeInvalid, "unknown request type; the peer may be of another version"))
+		s.sendFailure(received.id, verdict.New(verdict.NotRun, verdict.CodeInvalid, "unknown request type; the peer may be of another version"))
 		return
 	}
 	run, err := handler(received.payload)
 	if err != nil {
-		s.fail(received.id, err)
+		s.sendFailure(received.id, err)
 		return
 	}
 	if !s.server.admit() {
-		s.fail(received.id, verdict.New(verdict.NotRun, verdict.CodeDraining, "node is stopping"))
+		s.sendFailure(received.id, verdict.New(verdict.NotRun, verdict.CodeDraining, "node is stopping"))
 		return
 	}
-	ctx, admitted := s.register(received.id)
-	if !admitted {
+	ctx, registered := s.register(received.id)
+	if !registered {
 		s.server.requests.Done()
-		s.fail(received.id, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many requests on the connection"))
+		s.sendFailure(received.id, verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many requests on the connection"))
 		return
 	}
 	go s.run(ctx, received.id, run)
 }
 
+// register returns the context of a new request. It returns false if the id is in use,
+// the connection is closed, or it has too many requests in flight.
 func (s *session) register(id uint64) (context.Context, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -118,19 +120,20 @@
 	reply, err := run(ctx)
 	s.cancel(id)
 	if err != nil {
-		s.fail(id, err)
+		s.sendFailure(id, err)
 		return
 	}
 	payload, err := reply.Marshal()
 	if err != nil || len(payload) > MaxPayloadBytes {
 		klog.ErrorS(err, "cannot send reply", "bytes", len(payload))
-		s.fail(id, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "reply can not be sent"))
+		s.sendFailure(id, verdict.New(verdict.MayHaveRun, verdict.CodeInternal, "reply can not be sent"))
 		return
 	}
 	s.writer.enqueue(outgoing{frame: frame{kind: frameReply, id: id, fingerprint: fingerprintOf(reply.Schema()), payload: payload}})
 }
 
-func (s *session) fail(id uint64, failure error) {
+// sendFailure answers a request with a failure.
+func (s *session) sendFailure(id uint64, failure error) {
 	reply := failureMessage(failure)
 	payload, err := reply.Marshal()
 	if err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -75,23 +75,23 @@
 	_, address := startServer(t, ServerOptions{}, echo)
 	client := startClient(t, ClientOptions{})
 	var group sync.WaitGroup
-	names := make([]string, 500)
-	for index := range names {
+	failures := make([]string, 500)
+	for index := range failures {
 		group.Go(func() {
 			request := &message.LoadRequest{Service: "service-" + string(rune('a'+index%26))}
 			var reply message.LoadReply
 			if err := client.Call(testContext(t), address, request, &reply); err != nil {
-				names[index] = err.Error()
+				failures[index] = err.Error()
 				return
 			}
 			if reply.Loads[0].Server != request.Service {
-				names[index] = "got the reply of " + reply.Loads[0].Server
+				failures[index] = "got the reply of " + reply.Loads[0].Server
 			}
 		})
 	}
 	group.Wait()
-	for _, name := range names {
-		is.Equal(name, "")
+	for _, failure := range failures {
+		is.Equal(failure, "")
 	}
 }
 
