--- a/internal/gossip/applied.go
+++ b/internal/gossip/applied.go
@@ -21,9 +21,9 @@
 const (
 	// groupSize is about the square root of the largest expected number of members.
 	groupSize = 64
-	// queryAttempts is how often a member is queried by datagram, queryInterval the time
-	// between two attempts.
+	// queryAttempts is how many times a member is queried by datagram.
 	queryAttempts = 4
+	// queryInterval is the time between two attempts.
 	queryInterval = 150 * time.Millisecond
 )
 
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -24,7 +24,7 @@
 // cluster is a set of nodes on the loopback interface with links that can be blocked.
 type cluster struct {
 	t *testing.T
-	// name keeps apart clusters that reuse each other's ports.
+	// name distinguishes clusters that reuse each other's ports.
 	name  string
 	nodes []*testNode
 	// membership holds the protocol options of nodes started from now on.
@@ -33,8 +33,8 @@
 	syncTimeout time.Duration
 
 	mutex sync.Mutex
-	// owners maps the addresses of nodes to their numbers.
-	owners  map[string]int
+	// numbers maps the addresses of nodes to the numbers of the nodes.
+	numbers map[string]int
 	blocked func(from, to int) bool
 }
 
@@ -46,7 +46,7 @@
 }
 
 func newCluster(t *testing.T, count int) *cluster {
-	cluster := &cluster{t: t, name: fmt.Sprint(t.Name(), os.Getpid()), owners: make(map[string]int), syncTimeout: time.Second}
+	cluster := &cluster{t: t, name: fmt.Sprint(t.Name(), os.Getpid()), numbers: make(map[string]int), syncTimeout: time.Second}
 	cluster.membership = swim.DefaultOptions()
 	cluster.startMany(count)
 	return cluster
@@ -90,8 +90,8 @@
 		Region:        "region",
 	}
 	cluster.mutex.Lock()
-	cluster.owners[node.self.Address] = node.number
-	cluster.owners[node.self.GossipAddress] = node.number
+	cluster.numbers[node.self.Address] = node.number
+	cluster.numbers[node.self.GossipAddress] = node.number
 	cluster.mutex.Unlock()
 	server := wire.NewServer(wire.ServerOptions{Cluster: cluster.name})
 	node.Node = gossip.New(gossip.Options{
@@ -120,7 +120,7 @@
 func (cluster *cluster) reachable(from, to string) bool {
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	return cluster.blocked == nil || !cluster.blocked(cluster.owners[from], cluster.owners[to])
+	return cluster.blocked == nil || !cluster.blocked(cluster.numbers[from], cluster.numbers[to])
 }
 
 func (cluster *cluster) blockLinks(blocked func(from, to int) bool) {
--- a/internal/gossip/datagram_test.go
+++ b/internal/gossip/datagram_test.go
@@ -14,7 +14,7 @@
 	"github.com/driftstage/driftstage/internal/wire/message"
 )
 
-// drawIncarnation draws a wall clock time in milliseconds, also one in the far future.
+// drawIncarnation draws a wall clock time in milliseconds, possibly in the far future.
 func drawIncarnation(t *rapid.T) uint64 {
 	return rapid.Uint64Range(0, 1<<45).Draw(t, "incarnation")
 }
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -25,21 +25,23 @@
 	}
 }
 
-// pullLimiter limits concurrent pulls and pulls without a higher revision.
+// pullLimiter limits the number of concurrent pulls and the rate of those from members
+// that have no higher revision.
 type pullLimiter struct {
 	mutex sync.Mutex
 	// sources lists the members that are being pulled from.
 	sources []string
-	// nextRepair is the earliest time of the next pull without a higher revision.
+	// nextRepair is the earliest time of the next pull from a member that has no higher
+	// revision.
 	nextRepair time.Time
 }
 
 const (
-	// maxParallelPulls bounds concurrent pulls. More than one are allowed because the
+	// maxParallelPulls bounds concurrent pulls. More than one is allowed because the
 	// first member may be unreachable.
 	maxParallelPulls = 3
-	// repairInterval is the minimum time between two pulls by a node that has received
-	// no revision higher than its own.
+	// repairInterval is the minimum time between two pulls from members that have no
+	// higher revision than this node.
 	repairInterval = time.Second
 )
 
--- a/internal/gossip/export_test.go
+++ b/internal/gossip/export_test.go
@@ -1,6 +1,6 @@
 package gossip
 
-// Pause stops everything in the node that needs its lock, like a process that is stopped.
+// Pause blocks everything in the node that needs its lock, as if the process were stopped.
 // The returned function resumes it.
 func (node *Node) Pause() (resume func()) {
 	node.mutex.Lock()
--- a/internal/gossip/failed.go
+++ b/internal/gossip/failed.go
@@ -36,8 +36,8 @@
 }
 
 // possiblyAlive returns the names of the failed members whose machine is on the platform's
-// fresh list, or, without a fresh list, of those that failed recently. A later process at
-// the same wire address has replaced the earlier one.
+// fresh list, or, without a fresh list, of those that failed recently. It omits a member
+// if a later process has the same wire address: that process has replaced it.
 func possiblyAlive(failed []swim.Failed, members []swim.Member, machines machineList, now time.Time) []string {
 	replaced := make(map[string]bool)
 	for _, member := range members {
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -36,7 +36,7 @@
 	members  atomic.Pointer[[]swim.Member]
 	machines machineList
 	leaving  bool
-	// lastTick is the time of the last tick of the core, since start.
+	// lastTick is the time from start to the last tick of the core, in nanoseconds.
 	lastTick atomic.Int64
 	start    time.Time
 
@@ -162,7 +162,7 @@
 }
 
 // recordActions updates the member list and the readiness according to the core's actions.
-// The core must be locked.
+// The caller must hold node.mutex.
 func (node *Node) recordActions(actions []swim.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -18,8 +18,8 @@
 	cluster.awaitMembers(6)
 	cluster.nodes[3].Publish(entry(7))
 	cluster.awaitRevision(7)
-	found, inForce := cluster.nodes[0].store.Service(service)
-	is.True(inForce)
+	found, exists := cluster.nodes[0].store.Service(service)
+	is.True(exists)
 	is.Equal(found.Spec.Path, "/revision/7")
 	cluster.nodes[5].Publish(entry(6))
 	cluster.nodes[1].Publish(entry(8))
@@ -172,7 +172,7 @@
 func TestClustersStaySeparate(t *testing.T) {
 	is := is.New(t)
 	one := newCluster(t, 2)
-	other := &cluster{t: t, name: one.name + "-other", owners: make(map[string]int), syncTimeout: time.Second, membership: swim.DefaultOptions()}
+	other := &cluster{t: t, name: one.name + "-other", numbers: make(map[string]int), syncTimeout: time.Second, membership: swim.DefaultOptions()}
 	foreign := other.startAs(7, []string{one.nodes[0].self.GossipAddress})
 	foreign.SetMachines([]string{one.nodes[0].self.Address, one.nodes[1].self.Address})
 	one.nodes[0].SetMachines([]string{foreign.self.Address})
--- a/internal/gossip/readiness.go
+++ b/internal/gossip/readiness.go
@@ -55,8 +55,8 @@
 // Ready reports whether the node may accept requests.
 func (node *Node) Ready() bool { return node.NotReadyReason() == "" }
 
-// NotReadyReason returns why the node may not accept requests, or an empty string. It detects a
-// pause even before the next tick does.
+// NotReadyReason returns why the node may not accept requests, or an empty string. It
+// detects a pause even before the next tick does.
 func (node *Node) NotReadyReason() string {
 	sinceTick := time.Since(node.start) - time.Duration(node.lastTick.Load())
 	if sinceTick > node.options.Membership.PauseThreshold {
--- a/internal/gossip/table.go
+++ b/internal/gossip/table.go
@@ -70,12 +70,12 @@
 }
 
 const (
-	// machineInterval is the time between two checks for machines that are not members,
-	// machineIntervalAlone that of a node without other members.
-	machineInterval      = 5 * time.Second
+	// machineInterval is the time between two checks for machines that are not members.
+	machineInterval = 5 * time.Second
+	// machineIntervalAlone replaces machineInterval while the node knows no other member.
 	machineIntervalAlone = 500 * time.Millisecond
-	// machinesPerRound bounds the machines that are called in one check.
-	machinesPerRound = 2
+	// machinesPerCheck bounds the machines that are called in one check.
+	machinesPerCheck = 2
 )
 
 // machineLoop syncs with listed machines that are not members.
@@ -113,5 +113,5 @@
 		}
 	}
 	rand.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
-	return unknown[:min(len(unknown), machinesPerRound)]
+	return unknown[:min(len(unknown), machinesPerCheck)]
 }
