--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -46,9 +46,10 @@
 // but Next only by one goroutine at a time.
 type Watch[Object any] struct {
 	connection *watchConnection
-	stop       func() bool
+	// stopAfterFunc unregisters the function that closes the connection when the context is done.
+	stopAfterFunc func() bool
 
-	// reading is held while Next reads, so that Close releases the body after that.
+	// reading is held while Next reads, so that Close does not release the body meanwhile.
 	reading  sync.Mutex
 	response *fasthttp.Response
 	lines    *bufio.Reader
@@ -58,21 +59,21 @@
 func (collection *Collection[Object]) Watch(ctx context.Context, resourceVersion string) (*Watch[Object], error) {
 	client := collection.client
 	dialer := &watchDialer{idle: client.options.WatchIdleTimeout}
-	stopOnDone := context.AfterFunc(ctx, dialer.close)
+	stop := context.AfterFunc(ctx, dialer.close)
 	response := fasthttp.AcquireResponse()
 	response.StreamBody = true
 	err := client.openWatch(dialer, collection.resource, resourceVersion, response)
 	if err != nil {
-		stopOnDone()
+		stop()
 		dialer.close()
 		_ = response.CloseBodyStream()
 		return nil, err
 	}
 	return &Watch[Object]{
-		connection: dialer.connection,
-		response:   response,
-		lines:      bufio.NewReader(response.BodyStream()),
-		stop:       stopOnDone,
+		connection:    dialer.connection,
+		response:      response,
+		lines:         bufio.NewReader(response.BodyStream()),
+		stopAfterFunc: stop,
 	}, nil
 }
 
@@ -109,7 +110,7 @@
 
 // Close ends the stream; a Next in progress returns.
 func (watch *Watch[Object]) Close() {
-	watch.stop()
+	watch.stopAfterFunc()
 	_ = watch.connection.Close()
 	watch.reading.Lock()
 	defer watch.reading.Unlock()
