--- a/api/v1/decode.go
+++ b/api/v1/decode.go
@@ -11,7 +11,8 @@
 const (
 	// MaxResourceBytes bounds the size of one resource as JSON.
 	MaxResourceBytes = 8 << 20
-	maxDepth         = 32
+	// maxDepth bounds the nesting of objects and lists.
+	maxDepth = 32
 )
 
 // DecodeQueryService decodes a resource from JSON. It reports every unknown
--- a/api/v1/defaults.go
+++ b/api/v1/defaults.go
@@ -17,9 +17,12 @@
 	DefaultLimitBodyBytes  = 1 << 20
 )
 
-// SetDefaults sets every omitted field. AnswerAfter defaults to the default
-// deadline, an omitted maximum deadline is raised to the default one, and an
-// omitted coverage target is never below the minimum.
+// SetDefaults sets every omitted field, except the hedging budget if hedging is
+// disabled. AnswerAfter defaults to the default deadline. Other defaults are
+// adjusted to the fields that are set: the minimum coverage is lowered to the
+// target, the default deadline is lowered to the maximum and raised to
+// AnswerAfter, and the maximum deadline is raised to the default one. The default
+// of the coverage target, 1, is never below the minimum.
 func (spec *QueryServiceSpec) SetDefaults() {
 	setDefault(&spec.Path, DefaultPath)
 	setDefault(&spec.Class, DefaultClass)
--- a/api/v1/validate.go
+++ b/api/v1/validate.go
@@ -159,7 +159,7 @@
 	errs.requireBetween(limits.BodyBytes, 1, MaxLimitBodyBytes, "spec.limits.bodyBytes", "")
 }
 
-// errorList collects errors.
+// errorList collects the errors of one resource.
 type errorList struct {
 	list []FieldError
 }
