--- a/cmd/driftctl/apply.go
+++ b/cmd/driftctl/apply.go
@@ -16,6 +16,7 @@
 	flagWait = "wait"
 	// maxWriteAttempts bounds the attempts to write or delete a resource: a change
 	// of the status alone causes a conflict after which the next attempt can succeed.
+	// It also bounds the reads after a write without reply.
 	maxWriteAttempts = 10
 	// readRetryInterval is the time between reads after a write without reply.
 	readRetryInterval = 200 * time.Millisecond
--- a/cmd/driftctl/delete.go
+++ b/cmd/driftctl/delete.go
@@ -65,13 +65,15 @@
 	return application.awaitDeletion(ctx, services.Get, name, before.Metadata.UID, options.timeout)
 }
 
-// deletion requests the deletion of a resource as it was read.
+// deletion requests that a resource be deleted, unless its spec has changed since it
+// was read or a pinned version is not the current one.
 type deletion struct {
 	services *platform.Collection[v1.QueryServiceObject]
 	before   *v1.QueryServiceObject
-	// version is the resource version to delete; pinned if the operator has set it.
+	// version is the resource version to delete.
 	version string
-	pinned  bool
+	// pinned is set if the operator has specified the version.
+	pinned bool
 }
 
 // run retries only while no other client has changed the spec.
--- a/cmd/driftctl/explain.go
+++ b/cmd/driftctl/explain.go
@@ -45,7 +45,8 @@
 	return err
 }
 
-// openLogs returns the concatenated logs, or standard input without paths.
+// openLogs returns the concatenated logs, or standard input if there are no paths, and
+// a function that closes the files.
 func (application *application) openLogs(paths []string) (io.Reader, func(), error) {
 	if len(paths) == 0 {
 		return application.input, func() {}, nil
--- a/cmd/driftctl/nodes_state.go
+++ b/cmd/driftctl/nodes_state.go
@@ -15,13 +15,13 @@
 // maxErrorBytes bounds how much of a node's error message is printed.
 const maxErrorBytes = 1 << 10
 
-// fetchState reads the internal state of a node (the IP:port of its metrics).
+// fetchState reads the internal state of a node, given the IP:port of its metrics.
 func (application *application) fetchState(ctx context.Context, node string, state any) error {
 	return application.callNode(ctx, http.MethodGet, node, statePath, state)
 }
 
-// fetchStates reads the internal state of each node. Nodes that do not answer are reported on standard
-// error; it fails if none answers.
+// fetchStates passes the internal state of each node to handle. Nodes that do not answer are reported
+// on standard error; it fails if none answers.
 func fetchStates[S any](ctx context.Context, application *application, nodes []string, handle func(node string, state S)) error {
 	answered := 0
 	for _, node := range nodes {
--- a/cmd/driftctl/output.go
+++ b/cmd/driftctl/output.go
@@ -21,7 +21,8 @@
 
 const (
 	columnPadding = 2
-	none          = "-"
+	// none is printed in columns that have no value.
+	none = "-"
 )
 
 // printTable prints rows in columns; the first row is the header.
--- a/cmd/driftctl/rollouts.go
+++ b/cmd/driftctl/rollouts.go
@@ -16,10 +16,10 @@
 // rolloutsPollInterval is the time between two reads with --watch.
 const rolloutsPollInterval = time.Second
 
-// rolloutRow is one order, merged from all nodes that answered.
+// rolloutRow is the rollout of one order, merged from all nodes that answered.
 type rolloutRow struct {
 	rollout.Description
-	// Nodes is how many nodes know the order, Differ how many of them have it in a
+	// Nodes is how many nodes know the rollout, Differ how many of them have it in a
 	// different state or stage than the first node.
 	Nodes, Differ int
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// fetchRollouts returns the orders that the nodes know, sorted by service.
+// fetchRollouts returns the rollouts that the nodes know, sorted by service.
 func (application *application) fetchRollouts(ctx context.Context, nodes []string) ([]rolloutRow, error) {
 	var rows []rolloutRow
 	type state struct{ Rollouts []rollout.Description }
@@ -80,7 +80,7 @@
 	return rows, nil
 }
 
-// mergeRollout merges one node's description of an order into the rows.
+// mergeRollout merges one node's description of a rollout into the rows.
 func mergeRollout(rows []rolloutRow, description rollout.Description) []rolloutRow {
 	index := slices.IndexFunc(rows, func(row rolloutRow) bool {
 		return row.Service == description.Service && row.Target == description.Target
--- a/cmd/driftctl/store.go
+++ b/cmd/driftctl/store.go
@@ -10,7 +10,7 @@
 	"github.com/driftstage/driftstage/internal/catalog"
 )
 
-// storeRow is one node's state of the platform's store.
+// storeRow is what one node has read from the platform's store.
 type storeRow struct {
 	Node string
 	storeState
