--- a/cmd/driftrouter/main.go
+++ b/cmd/driftrouter/main.go
@@ -36,26 +36,26 @@
 }
 
 func run(args []string) int {
-	request, err := settings.LoadRouter(args)
+	commandLine, err := settings.LoadRouter(args)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "driftrouter: invalid settings:\n%v\n", err)
 		return exitSettings
 	}
-	switch request.Mode {
+	switch commandLine.Mode {
 	case settings.ModeHelp:
-		fmt.Println(request.Help)
+		fmt.Println(commandLine.Help)
 	case settings.ModeVersion:
 		fmt.Println("driftrouter", telemetry.Version())
 	case settings.ModeCheck:
 		fmt.Println("settings are valid")
 	default:
-		return serve(request, args)
+		return serve(commandLine, args)
 	}
 	return 0
 }
 
-func serve(request settings.CommandLine[settings.Router], args []string) int {
-	router := request.Settings
+func serve(commandLine settings.CommandLine[settings.Router], args []string) int {
+	router := commandLine.Settings
 	debug.SetGCPercent(edge.GCPercent)
 	limitMemory(router.MemoryMegabytes)
 	output := telemetry.NewAsyncWriter(os.Stdout, logBufferBytes)
@@ -75,8 +75,8 @@
 		Recorder: recorder,
 		Dropped:  output.Dropped,
 	})
-	if request.Path != "" {
-		go settings.Watch(ctx, request.Path, reloads, func() { reload(node, recorder, args) })
+	if commandLine.Path != "" {
+		go settings.Watch(ctx, commandLine.Path, reloads, func() { reload(node, recorder, args) })
 	}
 	if err := node.Run(ctx); err != nil {
 		fmt.Fprintf(os.Stderr, "driftrouter: %v\n", err)
@@ -100,13 +100,13 @@
 // reload loads the settings again. Invalid ones are logged, and the node keeps the
 // current settings.
 func reload(node *edge.Node, recorder *trace.Recorder, args []string) {
-	request, err := settings.LoadRouter(args)
+	commandLine, err := settings.LoadRouter(args)
 	if err != nil {
 		klog.ErrorS(err, "changed settings are wrong; the known ones stay in force")
 		return
 	}
-	recorder.SetOptions(traceOptions(request.Settings))
-	node.Reload(request.Settings)
+	recorder.SetOptions(traceOptions(commandLine.Settings))
+	node.Reload(commandLine.Settings)
 }
 
 func traceOptions(router settings.Router) trace.Options {
--- a/cmd/driftstaged/main.go
+++ b/cmd/driftstaged/main.go
@@ -27,14 +27,14 @@
 }
 
 func run(args []string) int {
-	request, err := settings.Load(args)
+	commandLine, err := settings.Load(args)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "driftstaged: invalid settings:\n%v\n", err)
 		return exitSettings
 	}
-	switch request.Mode {
+	switch commandLine.Mode {
 	case settings.ModeHelp:
-		fmt.Println(request.Help)
+		fmt.Println(commandLine.Help)
 		return 0
 	case settings.ModeVersion:
 		fmt.Println("driftstaged", telemetry.Version())
@@ -43,19 +43,19 @@
 		fmt.Println("settings are valid")
 		return 0
 	}
-	return serve(request.Settings)
+	return serve(commandLine.Settings)
 }
 
 func serve(loaded settings.Settings) int {
 	telemetry.SetupLogs(os.Stderr, loaded.Name, loaded.LogVerbosity)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	built, err := node.New(loaded)
+	daemon, err := node.New(loaded)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "driftstaged: %v\n", err)
 		return exitFailure
 	}
-	if err := built.Run(ctx); err != nil {
+	if err := daemon.Run(ctx); err != nil {
 		fmt.Fprintf(os.Stderr, "driftstaged: %v\n", err)
 		return exitFailure
 	}
