--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,6 +1,6 @@
 // Package trace records the decisions made for a request and logs them as JSON
 // lines once the request has ended. Requests that failed, were rejected, late,
-// partial or sent more than once are always logged; of the others, a sample is.
+// partial or sent more than once are always logged; the others are sampled.
 // Lines are encoded after the response was sent and, where possible, while no
 // other request is in flight, so that no caller waits for them.
 //
@@ -42,7 +42,7 @@
 
 // Options limit how many requests are logged.
 type Options struct {
-	// LinesPerSecond limits the log lines; requests beyond it are dropped whole.
+	// LinesPerSecond limits the log lines; a request that exceeds it is not logged at all.
 	LinesPerSecond int
 	// SampleEvery logs one in this many ordinary requests; 0 logs none.
 	SampleEvery int
