--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,6 @@
 // Package explain reads the log lines of one or more nodes and prints the timeline
-// of one request: its decisions in order, with the first one marked that an ordinary
-// request does not have.
+// of one request: its decisions in order. It marks the first anomalous one, which an
+// ordinary request does not have.
 package explain
 
 import (
@@ -114,7 +114,7 @@
 	return ""
 }
 
-// anomalous reports whether an ordinary request does not have such a line.
+// anomalous reports whether an ordinary request has no such line.
 func (l *Line) anomalous() bool {
 	switch l.Event {
 	case trace.EventDeferred, trace.EventHeld:
@@ -139,11 +139,11 @@
 	marked := false
 	for index := range s.Lines {
 		line := &s.Lines[index]
-		sign := " "
+		marker := " "
 		if !marked && line.anomalous() {
-			sign, marked = anomalyMarker, true
+			marker, marked = anomalyMarker, true
 		}
-		if _, err := fmt.Fprintf(target, "%s %10.3f ms  %-20s %-18s %s\n", sign, line.At, line.Node, line.Event, line.text()); err != nil {
+		if _, err := fmt.Fprintf(target, "%s %10.3f ms  %-20s %-18s %s\n", marker, line.At, line.Node, line.Event, line.text()); err != nil {
 			return true, err
 		}
 	}
