--- a/internal/boottime/suspended.go
+++ b/internal/boottime/suspended.go
@@ -44,14 +44,14 @@
 		m.base.CompareAndSwap(nil, &base)
 	}
 	boot := time.Duration(m.Boot())
-	seen := boot - m.Steady() - *m.base.Load()
+	measured := boot - m.Steady() - *m.base.Load()
 	for {
-		known := m.longest.Load()
-		if int64(seen) <= known {
-			return time.Duration(known)
+		longest := m.longest.Load()
+		if int64(measured) <= longest {
+			return time.Duration(longest)
 		}
-		if m.longest.CompareAndSwap(known, int64(seen)) {
-			return seen
+		if m.longest.CompareAndSwap(longest, int64(measured)) {
+			return measured
 		}
 	}
 }
