--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -192,13 +192,13 @@
 	return nil
 }
 
-// optional accepts an empty text and passes others to check.
-func optional(check func(field *string, text string) error) func(field *string, text string) error {
+// optional accepts an empty text and passes any other to parse.
+func optional(parse func(field *string, text string) error) func(field *string, text string) error {
 	return func(field *string, text string) error {
 		if text == "" {
 			return nil
 		}
-		return check(field, text)
+		return parse(field, text)
 	}
 }
 
--- a/internal/settings/router_test.go
+++ b/internal/settings/router_test.go
@@ -18,10 +18,10 @@
 
 func TestRouterSettings(t *testing.T) {
 	is := is.New(t)
-	request, err := LoadRouter(append(requiredRouter(), "--zones", "z=r, y=q", "--retry-ratio", "0.25", "--stop-timeout", "4s", "--seeds", "127.0.0.1:1,127.0.0.1:2", "--evacuations", "true"))
+	commandLine, err := LoadRouter(append(requiredRouter(), "--zones", "z=r, y=q", "--retry-ratio", "0.25", "--stop-timeout", "4s", "--seeds", "127.0.0.1:1,127.0.0.1:2", "--evacuations", "true"))
 	is.NoErr(err)
-	is.Equal(request.Mode, ModeRun)
-	loaded := request.Settings
+	is.Equal(commandLine.Mode, ModeRun)
+	loaded := commandLine.Settings
 	is.Equal(loaded.Regions, map[string]string{"z": "r", "y": "q"})
 	is.Equal(loaded.RetryRatio, 0.25)
 	is.Equal(loaded.StopTimeout, 4*time.Second)
@@ -32,20 +32,20 @@
 
 func TestRolloutBounds(t *testing.T) {
 	is := is.New(t)
-	request, err := LoadRouter(requiredRouter())
+	commandLine, err := LoadRouter(requiredRouter())
 	is.NoErr(err)
-	is.True(!request.Settings.Rollouts.Enabled())
-	request, err = LoadRouter(append(requiredRouter(), "--expose-share", "0.1", "--expose-slack", "50", "--rollback-time", "5000ms"))
+	is.True(!commandLine.Settings.Rollouts.Enabled())
+	commandLine, err = LoadRouter(append(requiredRouter(), "--expose-share", "0.1", "--expose-slack", "50", "--rollback-time", "5000ms"))
 	is.NoErr(err)
-	is.Equal(request.Settings.Rollouts, rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
-	is.True(request.Settings.Rollouts.Enabled())
+	is.Equal(commandLine.Settings.Rollouts, rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second})
+	is.True(commandLine.Settings.Rollouts.Enabled())
 }
 
 func TestChanges(t *testing.T) {
 	load := func(args ...string) Router {
-		request, err := LoadRouter(append(requiredRouter(), args...))
+		commandLine, err := LoadRouter(append(requiredRouter(), args...))
 		is.New(t).NoErr(err)
-		return request.Settings
+		return commandLine.Settings
 	}
 	for _, test := range []struct {
 		args []string
@@ -68,9 +68,9 @@
 	text := "name: n\nzone: z\nregion: r\nstore-address: 127.0.0.1:9000\nretry-slack: \"58\"\nseeds: \"\"\n"
 	is.NoErr(os.WriteFile(path, []byte(text), 0o600))
 	t.Setenv("DRIFTSTAGE_CONFIG", path)
-	request, err := LoadRouter(nil)
+	commandLine, err := LoadRouter(nil)
 	is.NoErr(err)
-	is.Equal(request.Settings.RetrySlack, 58.0)
+	is.Equal(commandLine.Settings.RetrySlack, 58.0)
 }
 
 func TestAllInvalidRouterSettingsAreReported(t *testing.T) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,14 +19,14 @@
 	is.NoErr(os.WriteFile(file, []byte("zone: from-file\nregion: from-file\ndrain-delay: 3s\n"), 0o600))
 	t.Setenv("DRIFTSTAGE_REGION", "from-environment")
 	t.Setenv("DRIFTSTAGE_ZONE", "from-environment")
-	request, err := Load([]string{"--config", file, "--zone=from-flag", "--platform-address=127.0.0.1:7070", "--join=127.0.0.1:1, 127.0.0.1:2"})
+	commandLine, err := Load([]string{"--config", file, "--zone=from-flag", "--platform-address=127.0.0.1:7070", "--join=127.0.0.1:1, 127.0.0.1:2"})
 	is.NoErr(err)
-	is.Equal(request.Mode, ModeRun)
-	is.Equal(request.Settings.Zone, "from-flag")
-	is.Equal(request.Settings.Region, "from-environment")
-	is.Equal(request.Settings.DrainDelay, 3*time.Second)
-	is.Equal(request.Settings.Join, []string{"127.0.0.1:1", "127.0.0.1:2"})
-	is.Equal(request.Settings.Name, request.Settings.WireAddress)
+	is.Equal(commandLine.Mode, ModeRun)
+	is.Equal(commandLine.Settings.Zone, "from-flag")
+	is.Equal(commandLine.Settings.Region, "from-environment")
+	is.Equal(commandLine.Settings.DrainDelay, 3*time.Second)
+	is.Equal(commandLine.Settings.Join, []string{"127.0.0.1:1", "127.0.0.1:2"})
+	is.Equal(commandLine.Settings.Name, commandLine.Settings.WireAddress)
 }
 
 func TestAllInvalidValuesAreReported(t *testing.T) {
@@ -65,8 +65,8 @@
 		flag string
 		mode Mode
 	}{{"--help", ModeHelp}, {"--version", ModeVersion}, {"--check-config", ModeCheck}} {
-		request, err := Load(append([]string{step.flag}, required...))
+		commandLine, err := Load(append([]string{step.flag}, required...))
 		is.NoErr(err)
-		is.Equal(request.Mode, step.mode)
+		is.Equal(commandLine.Mode, step.mode)
 	}
 }
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -14,9 +14,9 @@
 func TestWatchReportsOnlyChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.yaml")
 	write := func(text string) { is.New(t).NoErr(os.WriteFile(path, []byte(text), 0o600)) }
-	// rest advances the clock and waits for the read at its end: a file that is read
-	// while it is being written would count as one more change.
-	rest := func(pause time.Duration) {
+	// advance moves the clock and waits for the read at its end: a read during the next write
+	// would count as one more change.
+	advance := func(pause time.Duration) {
 		time.Sleep(pause)
 		synctest.Wait()
 	}
@@ -29,20 +29,20 @@
 		go Watch(ctx, path, signals, func() { calls++ })
 		synctest.Wait()
 		signals <- os.Interrupt
-		rest(3 * watchInterval)
+		advance(3 * watchInterval)
 		is.Equal(calls, 0) // a signal without a changed file
 		write("zone: b")
 		signals <- os.Interrupt
 		synctest.Wait()
 		is.Equal(calls, 1) // read immediately on the signal
 		write("zone: c")
-		rest(watchInterval)
+		advance(watchInterval)
 		is.Equal(calls, 2) // polled without a signal
 		is.NoErr(os.Remove(path))
-		rest(2 * watchInterval)
+		advance(2 * watchInterval)
 		is.Equal(calls, 2) // a missing file is being replaced
 		write("zone: d")
-		rest(watchInterval)
+		advance(watchInterval)
 		is.Equal(calls, 3)
 	})
 }
