--- a/test/soak/caller_test.go
+++ b/test/soak/caller_test.go
@@ -53,14 +53,14 @@
 	var group sync.WaitGroup
 	for range callerWorkers {
 		group.Go(func() {
-			kept := make(connectionPool)
-			defer kept.close()
+			pool := make(connectionPool)
+			defer pool.close()
 			for {
 				select {
 				case <-done:
 					return
 				case <-time.After(callerPause):
-					callers.send(kept)
+					callers.send(pool)
 				}
 			}
 		})
@@ -68,7 +68,7 @@
 	group.Wait()
 }
 
-func (callers *callers) send(kept connectionPool) {
+func (callers *callers) send(pool connectionPool) {
 	callers.mutex.Lock()
 	callers.count++
 	count := callers.count
@@ -77,9 +77,9 @@
 	path := []string{pathGather, pathGather, pathSafe, pathUnsafe}[callers.random.IntN(4)] + id
 	target := callers.nodes[callers.random.IntN(len(callers.nodes))]
 	if count%4 == 0 {
-		kept.drop(target)
+		pool.drop(target)
 	}
-	callers.keep(kept.ask(target, path, id))
+	callers.add(pool.ask(target, path, id))
 }
 
 // runCrashing repeatedly sends a few requests that crash servers until done is closed.
@@ -92,11 +92,11 @@
 		}
 		path := fmt.Sprint(pathGather, crashPrefix, random.IntN(crashingRequests))
 		target := callers.nodes[random.IntN(len(callers.nodes))]
-		callers.keep(ask(target, path, fmt.Sprint("bad-", count)))
+		callers.add(ask(target, path, fmt.Sprint("bad-", count)))
 	}
 }
 
-func (callers *callers) keep(seen callResult) {
+func (callers *callers) add(seen callResult) {
 	callers.mutex.Lock()
 	defer callers.mutex.Unlock()
 	callers.results = append(callers.results, seen)
@@ -111,24 +111,24 @@
 // connectionPool holds the connections of one worker by node.
 type connectionPool map[*node]*pooledConnection
 
-func (k connectionPool) drop(target *node) {
-	if conn := k[target]; conn != nil {
+func (pool connectionPool) drop(target *node) {
+	if conn := pool[target]; conn != nil {
 		conn.Close()
-		delete(k, target)
+		delete(pool, target)
 	}
 }
 
-func (k connectionPool) close() {
-	for target := range k {
-		k.drop(target)
+func (pool connectionPool) close() {
+	for target := range pool {
+		pool.drop(target)
 	}
 }
 
 // ask sends one request on the pooled connection to the node, or on a new one.
-func (k connectionPool) ask(target *node, path, id string) (seen callResult) {
+func (pool connectionPool) ask(target *node, path, id string) (seen callResult) {
 	seen = callResult{id: id, path: path, node: target, sent: time.Now()}
 	defer func() { seen.ended = time.Now() }()
-	conn := k[target]
+	conn := pool[target]
 	seen.reused = conn != nil
 	if conn == nil {
 		opened, err := net.DialTimeout("tcp4", target.address, time.Second)
@@ -136,11 +136,11 @@
 			return seen
 		}
 		conn = &pooledConnection{Conn: opened, reader: bufio.NewReader(opened)}
-		k[target] = conn
+		pool[target] = conn
 	}
 	seen.dialed = true
 	if !conn.exchange(&seen) {
-		k.drop(target)
+		pool.drop(target)
 	}
 	return seen
 }
@@ -169,7 +169,7 @@
 
 // ask sends one request on a new connection.
 func ask(target *node, path, id string) callResult {
-	kept := make(connectionPool)
-	defer kept.close()
-	return kept.ask(target, path, id)
+	pool := make(connectionPool)
+	defer pool.close()
+	return pool.ask(target, path, id)
 }
--- a/test/soak/crash_table_test.go
+++ b/test/soak/crash_table_test.go
@@ -39,7 +39,8 @@
 	repeatPrefix string
 	// disturb injects faults after callers have started; it may be nil.
 	disturb func(world *crashWorld, random *lockedRandom)
-	// unbounded rows have disturbed nodes at the time from which the limit on sends would apply.
+	// unbounded rows disturb nodes at the time from which the limit on sends would apply, so it is
+	// not checked.
 	unbounded bool
 	// short rows also run without -ending-full.
 	short bool
@@ -53,8 +54,8 @@
 	fullTopology  = crashTopology{nodes: 9, shards: 10, crashKind: standin.CrashReset}
 )
 
-func withCrashKind(topo crashTopology, manner standin.Crash) crashTopology {
-	topo.crashKind = manner
+func withCrashKind(topo crashTopology, kind standin.Crash) crashTopology {
+	topo.crashKind = kind
 	return topo
 }
 
@@ -84,10 +85,10 @@
 	{name: "servers close", topology: withCrashKind(fullTopology, standin.CrashClose), crashingPaths: []string{crashingGather(1)}},
 	{name: "half an answer", topology: withCrashKind(fullTopology, standin.CrashHalfResponse), crashingPaths: []string{crashingGather(1)}},
 	{name: "servers fall silent", topology: withCrashKind(fullTopology, standin.CrashHang), crashingPaths: []string{crashingGather(1)}},
-	{name: "store away for 6 s", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: storeAway, unbounded: true},
-	{name: "a third of the nodes cut from the store", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: cutFromStore, unbounded: true},
+	{name: "store away for 6 s", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: hangStore, unbounded: true},
+	{name: "a third of the nodes cut from the store", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: partitionFromStore, unbounded: true},
 	{name: "nodes killed and started", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: restartNodes},
-	{name: "nodes frozen for 3 s", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: freezeNodes, unbounded: true},
+	{name: "nodes frozen for 3 s", topology: fullTopology, crashingPaths: []string{crashingGather(1)}, disturb: freezeNode, unbounded: true},
 }
 
 // harmlessRows have no crashing request, so every quarantine is a false positive.
@@ -127,16 +128,18 @@
 	}},
 }
 
-func storeAway(w *crashWorld, _ *lockedRandom) {
+// hangStore makes the store hang for 6 s.
+func hangStore(w *crashWorld, _ *lockedRandom) {
 	w.store.SetFaults(standin.StoreFaults{Hang: true})
 	time.Sleep(6 * time.Second)
 	w.store.SetFaults(standin.StoreFaults{})
 }
 
-func cutFromStore(w *crashWorld, _ *lockedRandom) {
-	cut := standin.LinkFault{HoldRequests: true, HoldResponses: true}
+// partitionFromStore partitions a third of the nodes from the store for 6 s.
+func partitionFromStore(w *crashWorld, _ *lockedRandom) {
+	partition := standin.LinkFault{HoldRequests: true, HoldResponses: true}
 	for index := 0; index < len(w.nodes); index += 3 {
-		w.nodes[index].storeLink.Set(cut)
+		w.nodes[index].storeLink.Set(partition)
 	}
 	time.Sleep(6 * time.Second)
 	for index := 0; index < len(w.nodes); index += 3 {
@@ -145,6 +148,7 @@
 	}
 }
 
+// restartNodes kills a random node every second, four times, and restarts it.
 func restartNodes(w *crashWorld, random *lockedRandom) {
 	for range 4 {
 		time.Sleep(time.Second)
@@ -157,7 +161,8 @@
 	}
 }
 
-func freezeNodes(w *crashWorld, random *lockedRandom) {
+// freezeNode freezes a random node for 3 s.
+func freezeNode(w *crashWorld, random *lockedRandom) {
 	target := w.nodes[random.IntN(len(w.nodes))]
 	target.signal(syscall.SIGSTOP)
 	time.Sleep(3 * time.Second)
@@ -190,15 +195,15 @@
 	random := newRandom(seed)
 	world := newCrashWorld(t, row.topology)
 	defer world.close()
-	others := &callers{nodes: world.nodes, random: random}
-	again := &callers{nodes: world.nodes, random: newRandom(seed + 1)}
+	mixed := &callers{nodes: world.nodes, random: random}
+	repeating := &callers{nodes: world.nodes, random: newRandom(seed + 1)}
 	until := time.Now().Add(convergenceTime + 4*time.Second)
 	done := make(chan struct{})
 	time.AfterFunc(time.Until(until), func() { close(done) })
 	var group sync.WaitGroup
-	group.Go(func() { others.run(done) })
+	group.Go(func() { mixed.run(done) })
 	for number := range repeatCallers {
-		group.Go(func() { again.repeat(fmt.Sprint(pathGather, cmp.Or(row.repeatPrefix, "again-"), number), done) })
+		group.Go(func() { repeating.repeat(fmt.Sprint(pathGather, cmp.Or(row.repeatPrefix, "again-"), number), done) })
 	}
 	time.Sleep(500 * time.Millisecond)
 	for number, path := range row.crashingPaths {
@@ -212,7 +217,7 @@
 		group.Go(func() { row.disturb(world, random) })
 	}
 	group.Wait()
-	row.report(t, world, append(others.results, again.results...), seed)
+	row.report(t, world, append(mixed.results, repeating.results...), seed)
 	for _, node := range world.nodes {
 		node.signal(syscall.SIGKILL)
 		node.wait(5 * time.Second)
@@ -221,23 +226,23 @@
 
 func (row crashRow) report(t *testing.T, world *crashWorld, harmless []callResult, seed uint64) {
 	t.Helper()
-	wrong, served := 0, 0
+	quarantined, served := 0, 0
 	for _, seen := range harmless {
 		switch {
 		case seen.status == 200:
 			served++
 		case failureText(seen) == "quarantined":
-			wrong++
+			quarantined++
 		}
 	}
-	t.Logf("seed %d: of %d harmless requests, %d served, %d quarantined", seed, len(harmless), served, wrong)
-	if wrong > 0 {
-		t.Errorf("seed %d: %d harmless requests were quarantined", seed, wrong)
+	t.Logf("seed %d: of %d harmless requests, %d served, %d quarantined", seed, len(harmless), served, quarantined)
+	if quarantined > 0 {
+		t.Errorf("seed %d: %d harmless requests were quarantined", seed, quarantined)
 	}
 	for _, path := range row.crashingPaths {
-		sends, ends := world.sendsAfterBound(path), len(world.crashesOf(path))
+		sends, crashes := world.sendsAfterBound(path), len(world.crashesOf(path))
 		known, all := world.quarantinedAfter(path)
-		t.Logf("seed %d: %s: %d servers crashed, %d sends after the bound, quarantined by all nodes after %v (%v)", seed, path, ends, sends, known.Round(time.Millisecond), all)
+		t.Logf("seed %d: %s: %d servers crashed, %d sends after the bound, quarantined by all nodes after %v (%v)", seed, path, crashes, sends, known.Round(time.Millisecond), all)
 		if sends > maxSends && !row.unbounded {
 			t.Errorf("seed %d: %s was sent to servers %d times after the bound", seed, path, sends)
 		}
@@ -253,6 +258,6 @@
 		case <-time.After(repeatPause):
 		}
 		seen := ask(callers.nodes[callers.random.IntN(len(callers.nodes))], path, fmt.Sprint(path[len(pathGather):], "-", count))
-		callers.keep(seen)
+		callers.add(seen)
 	}
 }
--- a/test/soak/crash_test.go
+++ b/test/soak/crash_test.go
@@ -14,13 +14,13 @@
 // crashed repeatedly, for eight seconds at a time, while all nodes and other services were
 // healthy, and the request was still sent to servers long after it had crashed three.
 //
-// Each server that start to run the request crashed. The node counted that as a failure of the
+// Each server that started to run the request crashed. The node counted that as a failure of the
 // server, retried the request on the next server of each shard and responded 502; the caller
 // retried at another node. Nodes recorded failures only against servers: they kept nothing about
 // the request and shared nothing with other nodes.
 //
-// With request digests in the log, the crashes of a wave all had the same digest, which no server
-// ever answered. Here, servers crash for no other reason.
+// With request digests in the log, all crashes of one such period had the same digest, which no
+// server ever answered. In this test, servers crash for no other reason.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	world := newCrashWorld(t, crashTopology{nodes: 9, shards: 10, crashKind: standin.CrashReset})
 	path := pathGather + crashPrefix + "1"
--- a/test/soak/crash_world_test.go
+++ b/test/soak/crash_world_test.go
@@ -55,7 +55,7 @@
 	mutex       sync.Mutex
 	serverCount int
 	servers     []*standin.Server
-	// running is the latest incarnation of the server in each place.
+	// places are the places of all servers; running is the latest incarnation in each.
 	places  []serverPlace
 	running map[serverPlace]*standin.Server
 	// crashes are the times at which servers crashed, by the path of the request.
@@ -94,7 +94,7 @@
 }
 
 // nodeTopology returns the topology of the nodes.
-func nodeTopology(l crashTopology) topology { return topology{nodes: l.nodes, oneRegion: l.oneRegion} }
+func nodeTopology(c crashTopology) topology { return topology{nodes: c.nodes, oneRegion: c.oneRegion} }
 
 func (w *crashWorld) configure() { w.configureWith(1) }
 
@@ -193,11 +193,11 @@
 // sendsAfterBound returns how many times the request reached servers after the limit on its sends
 // applies: convergenceTime after it has crashed minCrashes servers.
 func (w *crashWorld) sendsAfterBound(path string) int {
-	ends := w.crashesOf(path)
-	if len(ends) < minCrashes {
+	crashes := w.crashesOf(path)
+	if len(crashes) < minCrashes {
 		return 0
 	}
-	from := ends[minCrashes-1].Add(convergenceTime)
+	from := crashes[minCrashes-1].Add(convergenceTime)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	count := 0
@@ -238,8 +238,8 @@
 // quarantinedAfter returns the time from the third crash on a request until the last node
 // quarantined it; false if some node never did.
 func (w *crashWorld) quarantinedAfter(path string) (time.Duration, bool) {
-	ends := w.crashesOf(path)
-	if len(ends) < minCrashes {
+	crashes := w.crashesOf(path)
+	if len(crashes) < minCrashes {
 		return 0, false
 	}
 	last := time.Time{}
@@ -252,7 +252,7 @@
 			last = at
 		}
 	}
-	return last.Sub(ends[minCrashes-1]), true
+	return last.Sub(crashes[minCrashes-1]), true
 }
 
 // firstLine returns the time of a node's first log line that contains the text.
--- a/test/soak/node_test.go
+++ b/test/soak/node_test.go
@@ -88,9 +88,9 @@
 	seeds, peer string
 }
 
-func newNode(t *testing.T, place nodeOptions, directory string) *node {
+func newNode(t *testing.T, options nodeOptions, directory string) *node {
 	t.Helper()
-	index := place.index
+	index := options.index
 	built := &node{name: fmt.Sprintf("node-%d", index), address: freeAddress(t), readiness: freeAddress(t)}
 	log, err := os.Create(filepath.Join(directory, built.name+".log"))
 	if err != nil {
@@ -98,11 +98,11 @@
 	}
 	t.Cleanup(func() { log.Close() })
 	built.log = log
-	built.storeLink = newProxy(t, place.store)
+	built.storeLink = newProxy(t, options.store)
 	built.arguments = []string{
-		"--name", built.name, "--zone", zoneName(index), "--region", place.region, "--zones", place.regions,
+		"--name", built.name, "--zone", zoneName(index), "--region", options.region, "--zones", options.regions,
 		"--listen-address", built.address, "--readiness-address", built.readiness,
-		"--peer-address", place.peer, "--seeds", place.seeds, "--store-address", built.storeLink.Address(),
+		"--peer-address", options.peer, "--seeds", options.seeds, "--store-address", built.storeLink.Address(),
 		"--retry-ratio", "0.3", "--retry-slack", "60", "--stop-timeout", "4s", "--log-lines", "2000",
 	}
 	built.arguments = append(built.arguments, rolloutArguments...)
--- a/test/soak/restored_store_test.go
+++ b/test/soak/restored_store_test.go
@@ -18,13 +18,13 @@
 	// applied it.
 	convergenceBound = 3 * time.Second
 	// retryRatio and retrySlack are the retry budget in the nodes' settings: extra sends allowed per
-	// request, and in addition to that.
+	// request, and a fixed number in addition.
 	retryRatio = 0.3
 	retrySlack = 60
 )
 
 // TestRestoredStoreCostsNothing restores the store from a backup, without other faults. Guards against
-// requests that are rejected or fail because of it, retries beyond the budget, and late
+// requests that are rejected or fail because of the restore, retries beyond the budget, and late
 // configurations.
 func TestRestoredStoreCostsNothing(t *testing.T) {
 	sizes := []int{5}
@@ -32,13 +32,13 @@
 		sizes = append(sizes, 27, 95)
 	}
 	for _, nodes := range sizes {
-		for _, away := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
-			t.Run(fmt.Sprintf("%d nodes, away %v", nodes, away), func(t *testing.T) { restoreUnderLoad(t, nodes, away) })
+		for _, outage := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
+			t.Run(fmt.Sprintf("%d nodes, away %v", nodes, outage), func(t *testing.T) { restoreUnderLoad(t, nodes, outage) })
 		}
 	}
 }
 
-func restoreUnderLoad(t *testing.T, nodes int, away time.Duration) {
+func restoreUnderLoad(t *testing.T, nodes int, outage time.Duration) {
 	world := newCrashWorld(t, crashTopology{nodes: nodes, shards: 10, oneRegion: nodes > 9})
 	defer world.close()
 	world.store.EnableEra()
@@ -47,7 +47,7 @@
 	var group sync.WaitGroup
 	group.Go(func() { senders.run(done) })
 	time.Sleep(2 * time.Second)
-	from := world.store.Backup()
+	backup := world.store.Backup()
 	world.writeVersion(2)
 	for zone := range serversSinceBackup {
 		world.serve(singleService, zone, "")
@@ -56,8 +56,8 @@
 	world.awaitVersion(2)
 	calls := world.store.Calls("list") + world.store.Calls("watch") + world.store.Calls("stale watch")
 	world.store.SetFaults(standin.StoreFaults{Unavailable: true})
-	time.Sleep(away)
-	world.store.Restore(from)
+	time.Sleep(outage)
+	world.store.Restore(backup)
 	world.store.SetFaults(standin.StoreFaults{})
 	world.writeVersion(3)
 	took := world.awaitVersion(3)
@@ -99,17 +99,17 @@
 			byAnswer[fmt.Sprintf("%d %s", result.status, failureText(result))]++
 		}
 	}
-	runs, asked := w.runsOf(seen)
+	runs, parts := w.runsOf(seen)
 	w.Logf("%d requests, not served: %v; %d sends for %d parts; in force everywhere after %v; %d reading calls until 5 s after the return",
-		len(seen), byAnswer, runs, asked, took.Round(time.Millisecond), calls)
+		len(seen), byAnswer, runs, parts, took.Round(time.Millisecond), calls)
 	if len(byAnswer) > 0 {
 		w.Errorf("requests were not served: %v", byAnswer)
 	}
 	if took > convergenceBound {
 		w.Errorf("the version was in force everywhere after %v", took)
 	}
-	if float64(runs) > (1+retryRatio)*float64(asked)+retrySlack {
-		w.Errorf("%d sends for %d parts", runs, asked)
+	if float64(runs) > (1+retryRatio)*float64(parts)+retrySlack {
+		w.Errorf("%d sends for %d parts", runs, parts)
 	}
 }
 
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -77,11 +77,11 @@
 	span := time.Duration(200+injector.random.IntN(1500)) * time.Millisecond
 	switch injector.random.IntN(12) {
 	case 0:
-		injector.exclusively(group, target, func() { injector.kill(target, span) })
+		injector.injectExclusively(group, target, func() { injector.kill(target, span) })
 	case 1:
-		injector.exclusively(group, target, func() { injector.freeze(target, span) })
+		injector.injectExclusively(group, target, func() { injector.freeze(target, span) })
 	case 2:
-		injector.exclusively(group, target, func() { injector.restart(target) })
+		injector.injectExclusively(group, target, func() { injector.restart(target) })
 	case 3:
 		target.signal(syscall.SIGHUP)
 	case 4:
@@ -115,8 +115,8 @@
 	time.AfterFunc(span, func() { link.Set(standin.LinkFault{}) })
 }
 
-// exclusively injects a fault into a node unless another one is in progress there.
-func (injector *injector) exclusively(group *sync.WaitGroup, target *node, do func()) {
+// injectExclusively injects a fault into a node unless another one is in progress there.
+func (injector *injector) injectExclusively(group *sync.WaitGroup, target *node, do func()) {
 	if !target.injecting.TryLock() {
 		return
 	}
@@ -218,15 +218,15 @@
 	random := newRandom(seed)
 	world := newWorld(t, random)
 	nodes := startNodes(t, world, topologyOf(seed))
-	sending, injecting := make(chan struct{}), make(chan struct{})
+	stopCallers, injecting := make(chan struct{}), make(chan struct{})
 	callers := &callers{nodes: nodes, random: random}
 	var group sync.WaitGroup
-	group.Go(func() { callers.run(sending) })
+	group.Go(func() { callers.run(stopCallers) })
 	group.Go(func() { callers.runCrashing(injecting, newRandom(seed+2)) })
 	operator := &operator{t: t, world: world, random: newRandom(seed + 1)}
-	ordering := make(chan struct{})
+	operatorDone := make(chan struct{})
 	go func() {
-		defer close(ordering)
+		defer close(operatorDone)
 		operator.run(injecting)
 	}()
 	if further != nil {
@@ -241,8 +241,8 @@
 		node.storeLink.Set(standin.LinkFault{})
 	}
 	checkRecovery(t, world, nodes)
-	<-ordering
-	close(sending)
+	<-operatorDone
+	close(stopCallers)
 	group.Wait()
 	world.close()
 	world.servers = append(append(world.servers, world.replaced...), operator.started...)
--- a/test/soak/world_test.go
+++ b/test/soak/world_test.go
@@ -33,8 +33,8 @@
 	servers []*standin.Server
 	// replaced are earlier incarnations of servers that were restarted with the same id.
 	replaced []*standin.Server
+	mutex    sync.Mutex
 	// records are the records of each server, by its id.
-	mutex   sync.Mutex
 	records map[string][]byte
 	version uint64
 	// links are the proxies in front of servers, proxyAddresses their addresses by server id.
