--- a/internal/standin/backend/client.go
+++ b/internal/standin/backend/client.go
@@ -68,7 +68,7 @@
 }
 
 // Record returns the selected executions. It fails if the record overflowed,
-// since an incomplete record cannot be compared with.
+// since answers cannot be compared with an incomplete record.
 func (client *Client) Record(filter RecordFilter) ([]Execution, error) {
 	query := url.Values{}
 	query.Set("requestId", filter.RequestID)
--- a/internal/standin/backend/fault.go
+++ b/internal/standin/backend/fault.go
@@ -21,9 +21,9 @@
 	// FaultDrain marks every reply as coming from a draining server. After the
 	// delay, the server rejects new work.
 	FaultDrain FaultKind = "drain"
-	// FaultTruncate sends half of the reply and closes the connection.
+	// FaultTruncate sends three quarters of the reply and closes the connection.
 	FaultTruncate FaultKind = "truncate"
-	// FaultReset sends half of the reply and resets the connection.
+	// FaultReset sends three quarters of the reply and resets the connection.
 	FaultReset FaultKind = "reset"
 	// FaultDuplicate sends the reply twice, so that the next request on the
 	// connection reads the second copy.
--- a/internal/standin/backend/record.go
+++ b/internal/standin/backend/record.go
@@ -98,7 +98,7 @@
 }
 
 // Overflowed returns the number of executions over the limit of the record.
-// Unless it is zero, the record is incomplete and cannot be compared with.
+// Unless it is zero, the record is incomplete, and answers cannot be compared with it.
 func (record *Record) Overflowed() int {
 	record.mutex.Lock()
 	defer record.mutex.Unlock()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -34,14 +34,14 @@
 
 // Server is the stand-in. It keeps all state in memory.
 type Server struct {
-	store     *store
-	faults    *faultControl
-	stats     *statistics
-	machines  *laggingMachines
-	bookmarks time.Duration
-	public    *fasthttp.Server
-	admin     *fasthttp.Server
-	stopped   chan struct{}
+	store            *store
+	faults           *faultControl
+	stats            *statistics
+	machines         *laggingMachines
+	bookmarkInterval time.Duration
+	public           *fasthttp.Server
+	admin            *fasthttp.Server
+	stopped          chan struct{}
 }
 
 // NewServer returns a stand-in that does not listen yet.
@@ -51,14 +51,14 @@
 			resourceQueryServices: "QueryService",
 			resourceLeases:        "Lease",
 		}),
-		faults:    newFaultControl(),
-		stats:     newStatistics(),
-		machines:  &laggingMachines{lag: options.MachineLag, current: options.Machines},
-		bookmarks: options.BookmarkInterval,
-		stopped:   make(chan struct{}),
+		faults:           newFaultControl(),
+		stats:            newStatistics(),
+		machines:         &laggingMachines{lag: options.MachineLag, current: options.Machines},
+		bookmarkInterval: options.BookmarkInterval,
+		stopped:          make(chan struct{}),
 	}
-	if server.bookmarks <= 0 {
-		server.bookmarks = DefaultBookmarkInterval
+	if server.bookmarkInterval <= 0 {
+		server.bookmarkInterval = DefaultBookmarkInterval
 	}
 	server.public = newHTTPServer(server.publicRoutes())
 	server.admin = newHTTPServer(server.adminRoutes())
--- a/internal/standin/platform/watch.go
+++ b/internal/standin/platform/watch.go
@@ -50,7 +50,7 @@
 }
 
 func (stream *watchStream) run() {
-	bookmarks := time.NewTicker(stream.server.bookmarks)
+	bookmarks := time.NewTicker(stream.server.bookmarkInterval)
 	defer bookmarks.Stop()
 	// The first bookmark flushes the response headers immediately.
 	if !stream.sendBookmark() {
@@ -79,8 +79,8 @@
 // false if the stream has ended.
 func (stream *watchStream) sendEvents() (<-chan struct{}, bool) {
 	stream.applyFaults()
-	if held, replaced := stream.server.faults.watchHeld(stream.resource, stream.client); held {
-		return replaced, true
+	if held, faultsChanged := stream.server.faults.watchHeld(stream.resource, stream.client); held {
+		return faultsChanged, true
 	}
 	events, version, changed, failure := stream.server.store.eventsSince(stream.resource, stream.version)
 	if failure != nil {
