--- a/test/e2e/crash_test.go
+++ b/test/e2e/crash_test.go
@@ -16,7 +16,7 @@
 		time.Sleep(time.Second)
 		system.Nodes[0].Kill()
 	})
-	// From the second second on, a third of the queries is sent to the killed node.
+	// From the kill on, a third of the queries is sent to the killed node.
 	system.requireAnswered(report, 0.6)
 	if report.Answered == report.Sent {
 		t.Error("no query was sent to the killed gateway: the test is inconclusive")
--- a/test/e2e/harness_test.go
+++ b/test/e2e/harness_test.go
@@ -105,7 +105,7 @@
 
 func (system *system) stop() {
 	for _, node := range system.Running() {
-		// A failed test may have left a daemon stopped, which could not exit.
+		// A failed test may have left a daemon suspended by SIGSTOP, which cannot exit on SIGTERM.
 		_ = node.Signal(syscall.SIGCONT)
 	}
 	if err := system.Stop(); err != nil {
