--- a/internal/lab/experiment/stragglers.go
+++ b/internal/lab/experiment/stragglers.go
@@ -20,8 +20,8 @@
 		return nil, err
 	}
 	defer func() { failure = errors.Join(failure, system.cluster.Stop()) }()
-	dead := system.fleet.Servers[0].Name
-	if err := system.backends.SetFault(backend.Fault{Server: dead, Kind: backend.FaultCrash}); err != nil {
+	stopped := system.fleet.Servers[0].Name
+	if err := system.backends.SetFault(backend.Fault{Server: stopped, Kind: backend.FaultCrash}); err != nil {
 		return nil, err
 	}
 	load := system.load(options, stragglerRate)
@@ -29,20 +29,20 @@
 	if err != nil {
 		return nil, err
 	}
-	through, err := lab.Load(ctx, load, system.driftstage(), system.backends)
+	gateways, err := lab.Load(ctx, load, system.driftstage(), system.backends)
 	if err != nil {
 		return nil, err
 	}
 	return &Result{
 		Experiment: "stragglers, one server dead",
 		Service:    user.Service,
-		Reports:    []*lab.Report{direct, through},
+		Reports:    []*lab.Report{direct, gateways},
 		Figures: []Metric{
-			{"p99 shorter by a factor of", ratio(direct.Latency.P99, through.Latency.P99), ""},
-			{"p999 shorter by a factor of", ratio(direct.Latency.P999, through.Latency.P999), ""},
-			{"extra load", 100 * (through.BackEnds.Ratio - 1), "%"},
+			{"p99 shorter by a factor of", ratio(direct.Latency.P99, gateways.Latency.P99), ""},
+			{"p999 shorter by a factor of", ratio(direct.Latency.P999, gateways.Latency.P999), ""},
+			{"extra load", 100 * (gateways.BackEnds.Ratio - 1), "%"},
 			{"coverage of all sent, baseline", direct.CoverageOfAll, ""},
-			{"coverage of all sent, driftstage", through.CoverageOfAll, ""},
+			{"coverage of all sent, driftstage", gateways.CoverageOfAll, ""},
 		},
 	}, nil
 }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -167,7 +167,7 @@
 
 func (builder *reportBuilder) addRecord(outcomes []*outcome, groups map[string]*executionSummary) {
 	load := &builder.report.BackEnds
-	load.ShardsRequested = builder.shardsAsked(outcomes)
+	load.ShardsRequested = builder.shardsRequested(outcomes)
 	if groups == nil {
 		return
 	}
@@ -188,18 +188,18 @@
 	load.Ratio = float64(load.ShardExecutions) / float64(max(1, load.ShardsRequested))
 }
 
-// shardsAsked sums the shards of all queries. A query whose answer does not state the
+// shardsRequested sums the shards of all queries. A query whose answer does not state the
 // number of shards counts with the largest number stated by others.
-func (builder *reportBuilder) shardsAsked(outcomes []*outcome) int {
-	asked := 0
+func (builder *reportBuilder) shardsRequested(outcomes []*outcome) int {
+	requested := 0
 	for _, outcome := range outcomes {
 		if outcome.shards > 0 {
-			asked += outcome.shards
+			requested += outcome.shards
 		} else {
-			asked += builder.maxShards
+			requested += builder.maxShards
 		}
 	}
-	return asked
+	return requested
 }
 
 func (builder *reportBuilder) finish() *Report {
--- a/internal/lab/rollouts/callers.go
+++ b/internal/lab/rollouts/callers.go
@@ -29,18 +29,18 @@
 // callerCounts count requests. A request failed if its response was no success, lacked a
 // shard or did not arrive in time.
 type callerCounts struct {
-	asked, failed int
+	sent, failed int
 	// byRoute counts the failed ones by the path of their route.
 	byRoute map[string]int
 }
 
 // run sends requests for the span and waits for their responses.
 func (c *callers) run(ctx context.Context, span time.Duration) callerCounts {
-	counts := callerCounts{asked: int(span.Seconds() * callerRate), byRoute: make(map[string]int)}
+	counts := callerCounts{sent: int(span.Seconds() * callerRate), byRoute: make(map[string]int)}
 	var mutex sync.Mutex
 	var group sync.WaitGroup
 	start := time.Now()
-	for number := range counts.asked {
+	for number := range counts.sent {
 		time.Sleep(time.Until(start.Add(time.Duration(number) * time.Second / callerRate)))
 		target, route, id := c.next()
 		group.Go(func() {
--- a/internal/lab/rollouts/fault.go
+++ b/internal/lab/rollouts/fault.go
@@ -63,11 +63,11 @@
 // injectFault waits for the start of the fault and injects it.
 func (r *run) injectFault(ctx context.Context) error {
 	duration := r.options.Duration
-	part := r.options.FaultStart
-	if part < 0 {
-		part = minFaultStart + (maxFaultStart-minFaultStart)*r.faultStart
+	fraction := r.options.FaultStart
+	if fraction < 0 {
+		fraction = minFaultStart + (maxFaultStart-minFaultStart)*r.faultStart
 	}
-	if err := sleep(ctx, time.Duration(part*float64(duration))); err != nil {
+	if err := sleep(ctx, time.Duration(fraction*float64(duration))); err != nil {
 		return err
 	}
 	span := min(time.Duration(faultShare*float64(duration)), maxFaultDuration)
--- a/internal/lab/rollouts/result.go
+++ b/internal/lab/rollouts/result.go
@@ -79,7 +79,7 @@
 		State:                r.world.store.RolloutStatus(r.service).State,
 		Exposed:              count(exposed, within),
 		BadAnswers:           count(exposed, func(ran standin.Run) bool { return ran.Affected && within(ran) }),
-		CallersAsked:         during.asked,
+		CallersAsked:         during.sent,
 		CallersFailed:        during.failed,
 		CallersFailedBefore:  before.failed,
 		CallersFailedByRoute: during.byRoute,
@@ -150,6 +150,6 @@
 
 // inSeconds returns the span in seconds, truncated to milliseconds.
 func inSeconds(span time.Duration) *float64 {
-	rounded := float64(span.Milliseconds()) / 1000
-	return &rounded
+	truncated := float64(span.Milliseconds()) / 1000
+	return &truncated
 }
--- a/internal/lab/rollouts/result_test.go
+++ b/internal/lab/rollouts/result_test.go
@@ -47,16 +47,16 @@
 
 func TestInvalidOptionsAreRejected(t *testing.T) {
 	is := is.New(t)
-	right := Options{Version: versionGood, Trouble: "none", Nodes: 3, Duration: 12 * time.Second}
-	is.NoErr(right.Validate())
+	valid := Options{Version: versionGood, Trouble: "none", Nodes: 3, Duration: 12 * time.Second}
+	is.NoErr(valid.Validate())
 	for _, change := range []func(*Options){
 		func(o *Options) { o.Version = "unheard-of" },
 		func(o *Options) { o.Trouble = "" },
 		func(o *Options) { o.Nodes = 0 },
 		func(o *Options) { o.Duration = time.Hour },
 	} {
-		wrong := right
-		change(&wrong)
-		is.True(wrong.Validate() != nil)
+		invalid := valid
+		change(&invalid)
+		is.True(invalid.Validate() != nil)
 	}
 }
--- a/internal/lab/rollouts/run.go
+++ b/internal/lab/rollouts/run.go
@@ -74,12 +74,12 @@
 		return nil, err
 	}
 	deadline := r.operator.orderedAt.Add(r.options.Duration)
-	playing, cancel := context.WithDeadline(ctx, deadline.Add(deadlineGrace))
+	rolloutCtx, cancel := context.WithDeadline(ctx, deadline.Add(deadlineGrace))
 	defer cancel()
 	var group sync.WaitGroup
 	failures := make([]error, 2)
-	group.Go(func() { failures[0] = r.operator.run(playing) })
-	group.Go(func() { failures[1] = r.injectFault(playing) })
+	group.Go(func() { failures[0] = r.operator.run(rolloutCtx) })
+	group.Go(func() { failures[1] = r.injectFault(rolloutCtx) })
 	during := r.callers.run(ctx, r.options.Duration)
 	calls := storeCalls(r.world.store) - callsBefore
 	r.callers.run(ctx, time.Until(deadline.Add(deadlineGrace)))
@@ -95,8 +95,8 @@
 
 func storeCalls(store *standin.Store) int {
 	calls := 0
-	for _, sort := range []string{"list", "get", "watch", "stale watch", "write"} {
-		calls += store.Calls(sort)
+	for _, operation := range []string{"list", "get", "watch", "stale watch", "write"} {
+		calls += store.Calls(operation)
 	}
 	return calls
 }
--- a/internal/lab/rollouts/world.go
+++ b/internal/lab/rollouts/world.go
@@ -63,13 +63,13 @@
 	return built, nil
 }
 
-func (w *world) populate(moved string) error {
+func (w *world) populate(withRollout string) error {
 	if err := w.store.Configure(configuration()); err != nil {
 		return err
 	}
 	for _, service := range []string{serviceShardA, serviceShardB, serviceSingle} {
 		servers, err := w.serve(service, oldVersion, standin.Flaw{})
-		if service == moved {
+		if service == withRollout {
 			w.old = servers
 		} else {
 			w.others = append(w.others, servers...)
@@ -142,14 +142,14 @@
 		gathered.ResultCount, gathered.MinVersion = 3, 0.5
 		return gathered
 	}
-	whole := func(path, kind string) standin.Route {
-		single := route(path, kind)
-		single.Service = serviceSingle
-		return single
+	single := func(path, kind string) standin.Route {
+		served := route(path, kind)
+		served.Service = serviceSingle
+		return served
 	}
 	return standin.Configuration{
 		Version: 1,
-		Routes:  []standin.Route{gather(pathAll), gather(pathFew), whole(pathRead, "safe"), whole(pathPost, "unsafe")},
+		Routes:  []standin.Route{gather(pathAll), gather(pathFew), single(pathRead, "safe"), single(pathPost, "unsafe")},
 		Limits:  standin.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 262144, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 	}
 }
