--- a/cmd/driftlab/failure.go
+++ b/cmd/driftlab/failure.go
@@ -24,7 +24,7 @@
 	name string
 	help string
 	path string
-	// behavior and serviceTime are those of the servers; a nil behavior answers normally.
+	// behavior and serviceTime are those of the servers; with a nil behavior, they respond normally.
 	behavior    func(int) standin.Behavior
 	serviceTime time.Duration
 	// setUp is called before the request, disturb while it is in flight; both may be nil.
@@ -91,13 +91,13 @@
 	if f.setUp != nil {
 		f.setUp(world)
 	}
-	asked := make(chan error, 1)
-	go func() { asked <- router.sendFailing(ctx, f.path) }()
+	sent := make(chan error, 1)
+	go func() { sent <- router.sendFailing(ctx, f.path) }()
 	if f.disturb != nil {
 		time.Sleep(200 * time.Millisecond)
 		err = f.disturb(router)
 	}
-	err = errors.CombineErrors(err, <-asked)
+	err = errors.CombineErrors(err, <-sent)
 	err = errors.CombineErrors(err, router.stop())
 	timeline, readErr := explain.Read(&logs, failedRequestID)
 	if readErr != nil {
