--- a/bench/deployment/main.go
+++ b/bench/deployment/main.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// shardServices returns the services that are replicated as shards (key copies).
+// shardServices returns the services of shards, which have the TOML key "copies".
 func shardServices(site table) []table {
 	var shards []table
 	for _, service := range entries(site, "services") {
